--- a/crates/plumgate/src/gateway/admission/budget.rs
+++ b/crates/plumgate/src/gateway/admission/budget.rs
@@ -5,13 +5,13 @@
 
 use crate::ids::PoolId;
 
-/// Parts into which a window is cut; a part leaves the window as a whole.
+/// Number of parts of a window; a part leaves the window as a whole.
 const WINDOW_PARTS: u32 = 20;
-/// Share of the ratio that is spent. Requests arrive at the pool later than they were counted
-/// here, so the window of the pool may hold a few of them less.
+/// Share of the ratio that is spent. Requests arrive at the pool later than they are counted here, so the
+/// pool's own window may contain a few fewer of them.
 const RATIO_SHARE: f64 = 0.8;
 
-/// Arrivals counted in one part of the window.
+/// Requests and retries counted in one part of the window.
 #[derive(Clone, Copy, Debug)]
 struct WindowPart {
     started: Instant,
@@ -19,24 +19,24 @@
     retries: u32,
 }
 
-/// Retries to each pool, bounded over a sliding window.
+/// Budget of retries to each pool over a sliding window.
 ///
-/// All nodes together may send `ratio` times the requests plus `extra`. A node's own requests
-/// earn their ratio here; the extra is divided by the nodes that may be alive, so that the
-/// shares add up without the nodes talking.
+/// All nodes together may send `ratio` times the requests plus `extra`. A node's own requests earn their
+/// ratio here; `extra` is divided by the number of nodes that may be alive, so that the shares add up
+/// without messages between the nodes.
 #[derive(Clone, Debug)]
 pub struct WindowBudget {
     window: Duration,
     ratio: f64,
     extra: f64,
-    /// How many nodes divide the extra; none where that is not known.
+    /// Number of nodes that share `extra`; `None` where it is not known.
     nodes: Option<u32>,
     pools: HashMap<PoolId, VecDeque<WindowPart>>,
 }
 
 impl WindowBudget {
-    /// A budget for a fleet of which nobody knows yet how many nodes it has: a share of the extra would be
-    /// a guess, and all guesses together might exceed it.
+    /// Creates a budget for a fleet of unknown size, which gets nothing of `extra`: a share of it would be a
+    /// guess, and all guesses together might exceed it.
     pub fn new(window: Duration, ratio: f64, extra: f64) -> Self {
         Self {
             window,
@@ -47,30 +47,30 @@
         }
     }
 
-    /// The same for a fleet of this many nodes.
+    /// Sets the number of nodes in the fleet.
     pub fn with_nodes(mut self, nodes: u32) -> Self {
         self.set_nodes(nodes);
         self
     }
 
-    /// Takes over other bounds.
+    /// Replaces window, ratio and extra.
     pub fn set_bounds(&mut self, window: Duration, ratio: f64, extra: f64) {
         self.window = window;
         self.ratio = ratio;
         self.extra = extra;
     }
 
-    /// Takes over how many nodes may be alive.
+    /// Sets the number of nodes that may be alive.
     pub fn set_nodes(&mut self, nodes: u32) {
         self.nodes = Some(nodes.max(1));
     }
 
-    /// A request for the pool came from a caller.
+    /// Records a request that a caller sent for the pool.
     pub fn earn(&mut self, pool: &PoolId, now: Instant) {
         self.part(pool, now).requests += 1;
     }
 
-    /// Takes one retry, if there is one.
+    /// Spends one retry; returns false, without spending, where none is left.
     pub fn spend(&mut self, pool: &PoolId, now: Instant) -> bool {
         if self.left(pool, now) < 1.0 {
             return false;
@@ -79,7 +79,7 @@
         true
     }
 
-    /// Retries that may still be sent.
+    /// Returns how many retries may still be sent.
     pub fn left(&mut self, pool: &PoolId, now: Instant) -> f64 {
         let share = self.nodes.map_or(0.0, |nodes| 1.0 / f64::from(nodes));
         let allowed_extra = self.extra * share;
@@ -93,7 +93,7 @@
 
     fn part(&mut self, pool: &PoolId, now: Instant) -> &mut WindowPart {
         let width = self.window / WINDOW_PARTS;
-        // One part more than the window: a part counts until its youngest arrival is out.
+        // One part more than the window: a part counts until its latest request is out of the window.
         let oldest = self.window + width;
         let parts = self.pools.entry(pool.clone()).or_default();
         while parts
--- a/crates/plumgate/src/gateway/admission/freshness.rs
+++ b/crates/plumgate/src/gateway/admission/freshness.rs
@@ -1,20 +1,20 @@
-//! For how long what was read from the store may be taken as the present.
+//! Limit on the age of data read from the store.
 
 use std::time::Duration;
 
-/// Share of the allowed age after which requests with a key are refused. The rest covers a read
-/// whose answer tells of a moment somewhat before it was asked for.
-const SAFE_SHARE: f64 = 0.88;
-/// Share of the allowed age after which a key or route that is not known may be new. A node that
-/// hears from the store knows all within two waits of a watch, which are shorter.
+/// Share of the allowed age after which requests with a key are refused. The rest allows for a read whose
+/// answer reflects a moment somewhat before the read was sent.
+const KEY_SHARE: f64 = 0.88;
+/// Share of the allowed age after which a key or route that is not known may be new. A node that receives
+/// the store's changes knows all within two waits of a watch, which are shorter.
 const DENIAL_SHARE: f64 = 0.6;
-/// Share of the allowed age after which the node asks for no new callers.
+/// Share of the allowed age after which the node reports itself as not ready for new callers.
 const READY_SHARE: f64 = 0.66;
 
-/// How old the knowledge of keys may get.
+/// Limit on how old the known configuration and keys may get.
 ///
-/// Moments are times since the VM started, suspension included. A clock that stands still while
-/// the VM is suspended would keep a key alive that was taken away meanwhile.
+/// Moments are times since the VM started, including suspension. A clock that stands still while the VM is
+/// suspended would keep accepting a key that was revoked meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct FreshnessLease {
     longest: Duration,
@@ -22,7 +22,7 @@
 }
 
 impl FreshnessLease {
-    /// A lease for a longest age after which a key that was taken away must not work.
+    /// Creates a lease for the age after which a revoked key must not work any more.
     pub fn new(longest: Duration) -> Self {
         Self {
             longest,
@@ -30,32 +30,32 @@
         }
     }
 
-    /// Takes over another longest age.
+    /// Replaces that age.
     pub fn set_longest(&mut self, longest: Duration) {
         self.longest = longest;
     }
 
-    /// The store answered a read that was asked for at a moment, and its result is in force.
+    /// Records that the store answered a read sent at `asked_at`, and that its result is in force.
     pub fn renew(&mut self, asked_at: Duration) {
         self.known_at = self.known_at.max(Some(asked_at));
     }
 
-    /// The age of what is known.
+    /// Returns the age of what is known, or `None` before the first read.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.known_at.map(|known| now.saturating_sub(known))
     }
 
-    /// Whether a key that is known may be trusted.
+    /// Whether a known key may be trusted.
     pub fn allows_keys(&self, now: Duration) -> bool {
-        self.is_within(now, SAFE_SHARE)
+        self.is_within(now, KEY_SHARE)
     }
 
-    /// Whether a key or route that is not known may be called unknown.
+    /// Whether a request with an unknown key or route may be rejected as such.
     pub fn allows_denials(&self, now: Duration) -> bool {
         self.is_within(now, DENIAL_SHARE)
     }
 
-    /// Whether new callers should come to this node.
+    /// Whether this node may report itself as ready for new callers.
     pub fn allows_ready(&self, now: Duration) -> bool {
         self.is_within(now, READY_SHARE)
     }
--- a/crates/plumgate/src/gateway/admission/mod.rs
+++ b/crates/plumgate/src/gateway/admission/mod.rs
@@ -1,4 +1,5 @@
-//! What may run: refusing by queue, the fleet's retries, and for how long what was read holds.
+//! Admission of requests: refusal by predicted wait, the retry budget, and the limit on the age of stored
+//! data.
 
 mod budget;
 mod freshness;
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -1,8 +1,9 @@
-//! The servers that may get a request, by what they said of themselves and by what this node saw of them.
+//! Selection of the servers that may receive a request, by what they reported themselves and by what this
+//! node observed of them.
 
 use std::time::Instant;
 
-use super::choice::{PlacementRequest, ServerHold};
+use super::choice::{PlacementRequest, SendDeferral};
 use super::load::LoadTable;
 use super::server_load::ServerLoad;
 use crate::gateway::rate_limit::BootTime;
@@ -11,33 +12,33 @@
 use crate::ids::{PoolId, ServerId};
 
 impl LoadTable {
-    /// The servers that may get the request: those in doubt only where there is no other, and those that leave
-    /// only where no other can take work.
+    /// Returns the servers that may receive the request. Servers that look unhealthy or unreachable are
+    /// returned only where there is no other, and leaving servers only where no other accepts work.
     pub(super) fn candidates(&self, request: &PlacementRequest<'_>, now: Instant) -> Vec<ServerId> {
-        let takers: Vec<&ServerLoad> = self
+        let available: Vec<&ServerLoad> = self
             .of_pool(request)
             .filter(|load| load.stays() && load.held_until(request.urgency, now).is_none())
             .collect();
-        let has_takers = !takers.is_empty();
-        let mut usable: Vec<&ServerLoad> = takers;
-        if !has_takers {
+        let has_available = !available.is_empty();
+        let mut usable: Vec<&ServerLoad> = available;
+        if !has_available {
             usable = self
                 .of_pool(request)
                 .filter(|load| {
-                    load.serves_on(now) && load.held_until(request.urgency, now).is_none()
+                    load.accepts_last_resort(now) && load.held_until(request.urgency, now).is_none()
                 })
                 .collect();
         }
         usable.retain(|load| !request.avoid.contains(&load.entry.id));
-        let sound: Vec<ServerId> = usable
+        let healthy: Vec<ServerId> = usable
             .iter()
-            .filter(|load| self.is_trusted(load, now))
+            .filter(|load| self.seems_usable(load, now))
             .map(|load| load.entry.id.clone())
             .collect();
-        if sound.is_empty() {
+        if healthy.is_empty() {
             return usable.iter().map(|load| load.entry.id.clone()).collect();
         }
-        sound
+        healthy
     }
 
     fn of_pool(&self, request: &PlacementRequest<'_>) -> impl Iterator<Item = &ServerLoad> {
@@ -45,21 +46,22 @@
         loads.filter(|load| load.entry.pool == *request.pool)
     }
 
-    /// Whether nothing that this node saw speaks against a server.
-    fn is_trusted(&self, load: &ServerLoad, now: Instant) -> bool {
-        load.is_sound(self.options.switches, now) && !self.is_cut(&load.entry)
+    /// Whether nothing that this node observed speaks against a server.
+    fn seems_usable(&self, load: &ServerLoad, now: Instant) -> bool {
+        load.is_healthy(self.options.switches, now) && !self.is_cut(&load.entry)
     }
 
-    /// A server gets no requests of an urgency, nor less urgent ones, from this node until a moment, as it named a
-    /// limit.
+    /// Sends a server no requests of this urgency or a less urgent one from this node until the given time,
+    /// because it named a rate limit.
     pub fn hold_back(&mut self, server: &ServerId, urgency: u8, until: Instant) {
         if let Some(load) = self.servers.get_mut(server) {
             load.hold_back(urgency, until);
         }
     }
 
-    /// When the first server that could take a request is no longer held back; none where none is.
-    pub fn held_until(&self, request: &PlacementRequest<'_>, now: Instant) -> Option<ServerHold> {
+    /// Returns the earliest time at which one of the servers that could take the request is no longer
+    /// deferred, or `None` where none is deferred.
+    pub fn held_until(&self, request: &PlacementRequest<'_>, now: Instant) -> Option<SendDeferral> {
         let untried = self
             .of_pool(request)
             .filter(|load| load.stays() && !request.avoid.contains(&load.entry.id));
@@ -68,7 +70,7 @@
             .min_by_key(|hold| hold.until)
     }
 
-    /// Whether servers of a pool are known, and all of them leave.
+    /// Whether the pool has known servers and all of them are leaving.
     pub fn has_only_leaving(&self, pool: &PoolId) -> bool {
         let of_pool = || {
             self.servers
@@ -78,7 +80,7 @@
         of_pool().any(ServerLoad::is_leaving) && !of_pool().any(ServerLoad::stays)
     }
 
-    /// Takes over what a server said of itself.
+    /// Applies what a server reported of itself. A report of another incarnation is ignored.
     pub fn set_standing(&mut self, server: &ServerEntry, standing: ServerStanding, now: Instant) {
         let load = self.servers.get_mut(&server.id);
         if let Some(load) = load.filter(|load| load.entry.born == server.born) {
@@ -86,10 +88,11 @@
         }
     }
 
-    /// Takes over what all servers said of themselves, as of one moment by both clocks.
+    /// Applies what all servers reported of themselves. `boot` and `now` are the same moment on the two
+    /// clocks.
     pub fn set_standings(&mut self, notices: &NoticeBook, boot: BootTime, now: Instant) {
         for load in self.servers.values_mut() {
-            let standing = notices.standing(load.life(), boot);
+            let standing = notices.standing(load.incarnation(), boot);
             load.set_standing(standing, now);
         }
     }
--- a/crates/plumgate/src/gateway/placement/centres.rs
+++ b/crates/plumgate/src/gateway/placement/centres.rs
@@ -1,56 +1,57 @@
-//! Tells a data centre that is cut off from servers that fail one by one.
+//! Detection of data centres that are cut off, as opposed to servers that fail one by one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use crate::ids::{DataCentreId, ServerId};
 
-/// Servers of a data centre whose connections stay silent before the data centre counts as cut
-/// off. One may be down by itself.
+/// Number of servers of a data centre whose connections must go unanswered before the data centre counts as
+/// cut off. A single one may be down by itself.
 const SILENT_SERVERS: usize = 2;
-/// Time within which they must have stayed silent.
-const SILENCE_SPAN: Duration = Duration::from_secs(2);
+/// Time within which these connections must have gone unanswered.
+const SILENCE_WINDOW: Duration = Duration::from_secs(2);
 /// Time between two probes of a data centre that is cut off.
-const PROBE_PAUSE: Duration = Duration::from_millis(300);
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What is known of one data centre.
+/// Unanswered connections to one data centre.
 #[derive(Clone, Debug, Default)]
-struct CentreState {
+struct DataCentreState {
     silent: BTreeSet<ServerId>,
     since: Option<Instant>,
     probed_at: Option<Instant>,
     is_cut: bool,
 }
 
-/// Which data centres can be reached.
+/// Reachability of the data centres, as seen from this node.
 ///
-/// Behind a cut each new connection hangs until its timeout, and there are as many servers to
-/// find that out from as the data centre has. Once two stay silent and none answers, requests go
-/// elsewhere at once, and bare connections find out when the cut is over.
+/// Behind a network partition each new connection hangs until its timeout, and without this table that
+/// timeout would be paid once for every server of the data centre. Once two servers leave connections
+/// unanswered and none answers, requests go elsewhere at once, and probe connections find out when the
+/// partition is over.
 #[derive(Clone, Debug, Default)]
 pub struct CentreTable {
-    centres: BTreeMap<DataCentreId, CentreState>,
+    data_centres: BTreeMap<DataCentreId, DataCentreState>,
 }
 
 impl CentreTable {
-    /// A table in which all data centres can be reached.
+    /// Creates a table in which all data centres are reachable.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Something in the data centre answered.
-    pub fn note_answer(&mut self, centre: &DataCentreId) {
-        self.centres.remove(centre);
+    /// Records that a server of the data centre answered.
+    pub fn note_answer(&mut self, data_centre: &DataCentreId) {
+        self.data_centres.remove(data_centre);
     }
 
-    /// A connection to a server stayed silent.
-    pub fn note_silence(&mut self, centre: &DataCentreId, server: &ServerId, now: Instant) {
-        let state = self.centres.entry(centre.clone()).or_default();
-        let is_old = state
+    /// Records that a connection to a server went unanswered.
+    pub fn note_silence(&mut self, data_centre: &DataCentreId, server: &ServerId, now: Instant) {
+        let state = self.data_centres.entry(data_centre.clone()).or_default();
+        let is_expired = state
             .since
-            .is_some_and(|since| now.saturating_duration_since(since) > SILENCE_SPAN);
-        if is_old && !state.is_cut {
-            *state = CentreState::default();
+            .is_some_and(|since| now.saturating_duration_since(since) > SILENCE_WINDOW);
+        if is_expired && !state.is_cut {
+            *state = DataCentreState::default();
         }
         state.since.get_or_insert(now);
         state.silent.insert(server.clone());
@@ -60,26 +61,28 @@
     }
 
     /// Whether the data centre seems cut off.
-    pub fn is_cut(&self, centre: &DataCentreId) -> bool {
-        self.centres.get(centre).is_some_and(|state| state.is_cut)
+    pub fn is_cut(&self, data_centre: &DataCentreId) -> bool {
+        self.data_centres
+            .get(data_centre)
+            .is_some_and(|state| state.is_cut)
     }
 
-    /// The data centres that seem cut off.
+    /// Returns the data centres that seem cut off.
     pub fn cut(&self) -> Vec<DataCentreId> {
-        let cut = self.centres.iter().filter(|(_, state)| state.is_cut);
-        cut.map(|(centre, _)| centre.clone()).collect()
+        let cut = self.data_centres.iter().filter(|(_, state)| state.is_cut);
+        cut.map(|(data_centre, _)| data_centre.clone()).collect()
     }
 
-    /// The data centres that are due for a probe.
+    /// Returns the data centres that are due for a probe, and marks them as probed.
     pub fn due_probes(&mut self, now: Instant) -> Vec<DataCentreId> {
         let mut due = Vec::new();
-        for (centre, state) in &mut self.centres {
+        for (data_centre, state) in &mut self.data_centres {
             let waits = state
                 .probed_at
-                .is_some_and(|at| now.saturating_duration_since(at) < PROBE_PAUSE);
+                .is_some_and(|at| now.saturating_duration_since(at) < PROBE_INTERVAL);
             if state.is_cut && !waits {
                 state.probed_at = Some(now);
-                due.push(centre.clone());
+                due.push(data_centre.clone());
             }
         }
         due
--- a/crates/plumgate/src/gateway/placement/choice.rs
+++ b/crates/plumgate/src/gateway/placement/choice.rs
@@ -1,4 +1,4 @@
-//! What a server is chosen for, by which way, and what was chosen.
+//! Input, options and result of the choice of a server.
 
 use std::time::{Duration, Instant};
 
@@ -9,24 +9,24 @@
 use crate::gateway::switches::PolicySwitches;
 use crate::ids::{DataCentreId, PoolId, ServerId};
 
-/// Ways to choose a server.
+/// Rule by which a server is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum PlacementPolicy {
-    /// The least predicted cost, shared parts counted.
+    /// The lowest predicted cost, with cached prompt parts taken into account.
     #[default]
     PredictedCost,
     /// The fewest requests in flight from this node.
     LeastInFlight,
-    /// Any server.
+    /// A random server.
     Random,
 }
 
-/// Why a server gets no request for some time, and until when.
+/// Time during which a server receives no request, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerHold {
-    /// When the time is over.
+pub struct SendDeferral {
+    /// End of that time.
     pub until: Instant,
-    /// What of its own words is in the way.
+    /// Which report of the server is the reason.
     pub cause: SendRefusal,
 }
 
@@ -35,7 +35,7 @@
 pub struct PlacementOptions {
     /// The data centre of this node.
     pub data_centre: DataCentreId,
-    /// The way to choose.
+    /// The rule by which servers are chosen.
     pub policy: PlacementPolicy,
     /// Seed of random choices.
     pub seed: u64,
@@ -44,7 +44,7 @@
 }
 
 impl PlacementOptions {
-    /// Options for a node of a data centre.
+    /// Creates options for a node in a data centre, with the default policy, seed 0 and all mechanisms on.
     pub fn new(data_centre: impl Into<DataCentreId>) -> Self {
         Self {
             data_centre: data_centre.into(),
@@ -54,62 +54,62 @@
         }
     }
 
-    /// The same with other mechanisms on.
+    /// Sets which mechanisms are on.
     pub fn with_switches(mut self, switches: PolicySwitches) -> Self {
         self.switches = switches;
         self
     }
 
-    /// The same with another way to choose.
+    /// Sets the rule by which servers are chosen.
     pub fn with_policy(mut self, policy: PlacementPolicy) -> Self {
         self.policy = policy;
         self
     }
 
-    /// The same with a seed.
+    /// Sets the seed of random choices.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 }
 
-/// What a choice is made for.
+/// Properties of a request that matter for the choice of a server.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
     /// The pool.
     pub pool: &'a PoolId,
-    /// The prompt, where the pool's servers read one.
+    /// The prompt, where the servers of the pool process prompts.
     pub prompt: Option<&'a PromptShape>,
-    /// The urgency, 0 first.
+    /// Urgency rank; 0 is the most urgent.
     pub urgency: u8,
-    /// How sensitive its stream is.
+    /// How sensitive its stream is to pauses.
     pub class: StreamClass,
-    /// Whether it may end its server, so that the one with the least work is best.
+    /// Whether the request may crash its server, so that the server with the least work is best.
     pub apart: bool,
     /// Servers that were tried already.
     pub avoid: &'a [ServerId],
 }
 
-/// The server that was chosen, and why.
+/// The chosen server and what is predicted of the request there.
 #[derive(Clone, Debug)]
 pub struct ServerPick {
-    /// The server.
+    /// The chosen server.
     pub server: ServerEntry,
-    /// Whether it leaves, and no other can take the request.
+    /// Whether the server is leaving and was chosen because no other accepts the request.
     pub is_last_resort: bool,
-    /// Predicted time until it begins to read the request's own prompt.
+    /// Predicted time until the server starts on the prompt of the request.
     pub queue: Duration,
-    /// Predicted time until it begins to answer.
+    /// Predicted time until the answer begins.
     pub wait: Duration,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that the server has to prefill.
     pub unread_tokens: u64,
-    /// Those of them that are of shared parts.
+    /// Those of them that belong to shared parts.
     pub shared_unread: u64,
-    /// Prompt tokens that it reads before.
+    /// Prompt tokens of other requests that the server prefills first.
     pub ahead_tokens: u64,
-    /// A server that keeps shared parts which the chosen one does not: it may copy them from there.
+    /// A server that caches shared parts which the chosen one lacks and may copy from there.
     pub copy_from: Option<ServerEntry>,
-    /// What the server is to the prompt's shared parts, for the log.
+    /// Affinity rank of the server for the prompt's shared parts, for the log.
     pub home: &'static str,
     /// The second best server and its cost, for the log.
     pub runner_up: Option<(ServerId, Duration)>,
--- a/crates/plumgate/src/gateway/placement/homes.rs
+++ b/crates/plumgate/src/gateway/placement/homes.rs
@@ -1,4 +1,4 @@
-//! Which servers keep a prompt's shared parts.
+//! Affinity of prompts to the servers that cache their shared parts.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -6,61 +6,64 @@
 use crate::gateway::switches::{PolicyPart, PolicySwitches};
 use crate::ids::ServerId;
 
-/// How much dearer than its reading time a shared token is at the second home of a prompt that no
-/// server keeps yet: some server has to read it, and the first home may be busy with others.
-const FIRST_READING_WEIGHT: f64 = 2.0;
-/// The same for a prompt that another server of the group keeps: reading it again takes the engines'
-/// time from everybody else's prompts, just when there is none left. Dossiers answered in time in a
-/// model fleet of 60 engines and 64 nodes under a burst of 2.7 times: 0.63 where it is 2, 0.67 with 8
+/// Extra cost of a shared token at the second preferred server, as a multiple of its prefill time, for a
+/// prompt that no server of the group caches yet: some server has to prefill it, and the first one may be
+/// busy.
+const FIRST_PREFILL_WEIGHT: f64 = 2.0;
+/// The same for a prompt that another server of the group caches: prefilling it again takes engine time from
+/// all other prompts, at the very time when none is left. Dossiers answered in time in a simulated fleet of
+/// 60 engines and 64 nodes under a burst of 2.7 times: 0.63 with a weight of 2, 0.67 with 8
 /// (`tests/gateway_load.rs`).
-const REREADING_WEIGHT: f64 = 8.0;
-/// The same for a server that is no home. All nodes have to go on to the same second home: if each
-/// found another server for a prompt, the fleet would read it many times just when it is busiest.
-const STRAY_WEIGHT: f64 = 25.0;
+const REPEATED_PREFILL_WEIGHT: f64 = 8.0;
+/// The same for a server that is not preferred. All nodes have to fall back to the same second server: if
+/// each found another one for a prompt, the fleet would prefill it many times just when it is busiest.
+const OTHER_PREFILL_WEIGHT: f64 = 25.0;
 
-/// How much dearer than its reading time a shared token is that the second home copies from a server that
-/// keeps it. Copying takes a few milliseconds, but also the engines' links, and room in the memory of one
-/// more; and a server that is believed to keep a part may have let it go. Cheap copies (1 and 2 in place
-/// of 4 and 12) had parts moved and read again so often that all callers lost by it; dear ones (8 and 25)
-/// left homes busy while others idled. Long prompts answered in time in a model fleet of 20 engines under a
-/// burst of 2.7 times: 0.66 where all parts are read again, 0.72 with copies (`tests/gateway_load.rs`).
+/// Extra cost of a shared token that the second preferred server copies from a server that caches it, as a
+/// multiple of its prefill time. Copying takes a few milliseconds, but also bandwidth of the engines' links
+/// and memory of one more engine; and a server that is believed to cache a part may have evicted it. Cheap
+/// copies (1 and 2 instead of 4 and 12) made parts move and be prefilled again so often that all callers
+/// lost by it; expensive ones (8 and 25) left preferred servers busy while others idled. Long prompts
+/// answered in time in a simulated fleet of 20 engines under a burst of 2.7 times: 0.66 where all parts are
+/// prefilled again, 0.72 with copies (`tests/gateway_load.rs`).
 const COPY_WEIGHT: f64 = 4.0;
-/// The same for a server that is no home.
-const STRAY_COPY_WEIGHT: f64 = 12.0;
+/// The same for a server that is not preferred.
+const OTHER_COPY_WEIGHT: f64 = 12.0;
 
-/// Whether a server is one of the few that keep a prompt's shared parts.
+/// Rank of a server among those preferred for a prompt's shared parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HomeRank {
-    /// All nodes send there first.
+pub(crate) enum AffinityRank {
+    /// The server that all nodes try first.
     First,
-    /// All nodes go on there where the first is busy.
+    /// The server that all nodes fall back to where the first is busy.
     Second,
-    /// Any other.
+    /// Any other server.
     Other,
 }
 
-impl HomeRank {
-    /// How much dearer than its reading time a shared token is that the server has to read, where
-    /// some server of the group keeps the prompt already or none does.
-    pub(crate) fn reread_weight(self, is_kept: bool) -> f64 {
+impl AffinityRank {
+    /// Returns the extra cost of a shared token that the server has to prefill, as a multiple of its prefill
+    /// time. `is_cached` says whether a server of the group caches the prompt already.
+    pub(crate) fn prefill_weight(self, is_cached: bool) -> f64 {
         match self {
             Self::First => 0.0,
-            Self::Second if is_kept => REREADING_WEIGHT,
-            Self::Second => FIRST_READING_WEIGHT,
-            Self::Other => STRAY_WEIGHT,
+            Self::Second if is_cached => REPEATED_PREFILL_WEIGHT,
+            Self::Second => FIRST_PREFILL_WEIGHT,
+            Self::Other => OTHER_PREFILL_WEIGHT,
         }
     }
 
-    /// How much dearer than its reading time a shared token is that the server copies from another one.
+    /// Returns the extra cost of a shared token that the server copies from another one, as a multiple of
+    /// its prefill time.
     pub(crate) fn copy_weight(self) -> f64 {
         match self {
             Self::First => 0.0,
             Self::Second => COPY_WEIGHT,
-            Self::Other => STRAY_COPY_WEIGHT,
+            Self::Other => OTHER_COPY_WEIGHT,
         }
     }
 
-    /// The name used in logs.
+    /// Returns the name used in logs.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::First => "first",
@@ -70,15 +73,15 @@
     }
 }
 
-/// The homes of a prompt's shared parts among the servers, agreed on by rendezvous hashing.
-pub(crate) struct HomeRanks {
-    /// The first home; none where nothing is shared.
+/// The preferred servers of a prompt's shared parts. All nodes choose the same ones by rendezvous hashing.
+pub(crate) struct PreferredServers {
+    /// The first preferred server, or `None` where no part is shared.
     pub(crate) first: Option<ServerId>,
     second: Option<ServerId>,
 }
 
-impl HomeRanks {
-    /// The first home is of the request's own group; the second one may be any other server.
+impl PreferredServers {
+    /// Chooses the first server from the request's own group, and the second from all other servers.
     pub(crate) fn new(
         prompt: Option<&PromptShape>,
         group: &[ServerId],
@@ -102,14 +105,14 @@
         ranks
     }
 
-    /// What a server is to the prompt.
-    pub(crate) fn rank(&self, id: &ServerId) -> HomeRank {
+    /// Returns the rank of a server for the prompt.
+    pub(crate) fn rank(&self, id: &ServerId) -> AffinityRank {
         if self.first.as_ref() == Some(id) {
-            HomeRank::First
+            AffinityRank::First
         } else if self.second.as_ref() == Some(id) {
-            HomeRank::Second
+            AffinityRank::Second
         } else {
-            HomeRank::Other
+            AffinityRank::Other
         }
     }
 }
--- a/crates/plumgate/src/gateway/placement/keepers.rs
+++ b/crates/plumgate/src/gateway/placement/keepers.rs
@@ -1,4 +1,4 @@
-//! Which server keeps the shared parts of a prompt, so that another one may copy them from there.
+//! Search for a server that caches the shared parts of a prompt, so that another one can copy them.
 
 use std::time::Instant;
 
@@ -6,17 +6,17 @@
 use crate::gateway::prompt::{PromptShape, SMALL_PART};
 use crate::ids::ServerId;
 
-/// The server that keeps most of a prompt's shared parts. One that is leaving counts too: it serves on for
-/// some time, and its parts would otherwise all be read again.
+/// The server that caches most of a prompt's shared parts. A leaving server counts too: it stays for some
+/// time, and its parts would otherwise all be prefilled again.
 #[derive(Debug, Default)]
-pub(crate) struct PartKeeper {
-    /// Shared tokens that it lacks, and its id; none where no server may be copied from.
+pub(crate) struct CacheHolder {
+    /// Shared tokens that it lacks, and its id; `None` where no server may be copied from.
     best: Option<(u64, ServerId)>,
 }
 
-impl PartKeeper {
-    /// The best of some servers.
-    pub(crate) fn among<'a>(
+impl CacheHolder {
+    /// Finds the server that lacks the fewest shared tokens of the prompt.
+    pub(crate) fn find<'a>(
         servers: impl Iterator<Item = &'a ServerLoad>,
         prompt: &PromptShape,
         now: Instant,
@@ -28,20 +28,21 @@
         }
     }
 
-    /// Shared tokens that no server keeps; all where none may be copied from.
-    pub(crate) fn kept_nowhere(&self) -> u64 {
+    /// Returns the number of shared tokens that no server caches, or `u64::MAX` where no server may be
+    /// copied from.
+    pub(crate) fn cached_nowhere(&self) -> u64 {
         self.best
             .as_ref()
             .map_or(u64::MAX, |(uncached, _)| *uncached)
     }
 
-    /// From where a server copies that lacks some shared tokens: the keeper, or else the first home, to
-    /// which all nodes send them.
+    /// Returns the server that `chosen` copies from if it lacks the given number of shared tokens: the
+    /// holder if that lacks fewer, or else the first preferred server, to which all nodes send the prompt.
     pub(crate) fn source<'a>(
         &'a self,
         chosen: &ServerId,
         lacks: u64,
-        first_home: Option<&'a ServerId>,
+        preferred: Option<&'a ServerId>,
     ) -> Option<&'a ServerId> {
         let (uncached, best) = self.best.as_ref()?;
         if lacks < u64::from(SMALL_PART) {
@@ -50,6 +51,6 @@
         if *uncached < lacks {
             return Some(best);
         }
-        first_home.filter(|first| *first != chosen)
+        preferred.filter(|first| *first != chosen)
     }
 }
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -1,5 +1,5 @@
-//! Chooses the backend server of a request: shared prompt parts have few homes, and a home that
-//! is too busy gives way to the next one.
+//! Choice of the backend server of a request. Shared prompt parts are cached by few preferred servers, and a
+//! preferred server that is too busy is passed over for the next one.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -8,9 +8,9 @@
 use super::choice::{PlacementOptions, PlacementPolicy, PlacementRequest, ServerPick};
 use super::demand::DemandMeter;
 use super::groups::{GroupShares, ServerGroups};
-use super::homes::HomeRanks;
-use super::keepers::PartKeeper;
-use super::reading::ReadingSpeeds;
+use super::homes::PreferredServers;
+use super::keepers::CacheHolder;
+use super::reading::PrefillSpeeds;
 use super::server_load::{CostPrediction, ServerLoad, TokenCosts};
 use crate::duty::{PoolLoad, ServerKind};
 use crate::gateway::config::StreamClass;
@@ -23,64 +23,65 @@
 use crate::gateway::work::{ServerWork, URGENCIES, WorkEnd, WorkTicket};
 use crate::ids::{DataCentreId, PoolId, ServerId};
 
-/// Servers among which a request is placed that no server is better for. Short streams answered in
-/// time at 64 nodes of a model fleet: 0.82 with the best of all, 0.97 with the best of three
+/// Number of servers of the group sampled for a request that has no preferred server. Short streams answered
+/// in time at 64 nodes of a simulated fleet: 0.82 with the best of all servers, 0.97 with the best of three
 /// (`tests/gateway_load.rs`).
 const SAMPLE_SIZE: usize = 3;
-/// Seconds that an interactive server costs a batch stream: it goes there only rather than fail.
-const BATCH_STRAY_SECONDS: f64 = 8.0;
-/// Seconds that a batch server costs an interactive stream: in a burst of them idle servers help.
-const INTERACTIVE_STRAY_SECONDS: f64 = 0.15;
+/// Extra cost, in seconds, of an interactive server for a batch stream: it goes there only rather than fail.
+const BATCH_OVERFLOW_SECONDS: f64 = 8.0;
+/// Extra cost, in seconds, of a batch server for an interactive stream: in a burst of such streams, idle
+/// servers help.
+const INTERACTIVE_OVERFLOW_SECONDS: f64 = 0.15;
 
-/// What one node knows of all servers.
+/// State of all servers as known to one node.
 #[derive(Debug)]
 pub struct LoadTable {
     pub(super) options: PlacementOptions,
     rng: fastrand::Rng,
     pub(super) servers: BTreeMap<ServerId, ServerLoad>,
-    centres: CentreTable,
-    /// How fast each pool's servers read prompts.
-    speeds: ReadingSpeeds,
-    /// The share of each pool's servers that interactive streams have for themselves.
+    data_centres: CentreTable,
+    /// Prefill speed of each pool's servers.
+    speeds: PrefillSpeeds,
+    /// Share of each pool's servers that is reserved for interactive streams.
     shares: GroupShares,
-    /// Parts that this node was the first to send to a server, still to be told.
-    new_places: Vec<PartPlace>,
-    /// What this node's requests bring.
+    /// Parts that this node was the first to send to a server, not yet announced to other nodes.
+    new_locations: Vec<PartPlace>,
+    /// Demand from the requests of this node.
     demand: DemandMeter,
 }
 
 impl LoadTable {
-    /// A table without servers.
+    /// Creates a table without servers.
     pub fn new(options: PlacementOptions) -> Self {
         let rng = fastrand::Rng::with_seed(options.seed);
         Self {
             options,
             rng,
             servers: BTreeMap::new(),
-            centres: CentreTable::new(),
-            speeds: ReadingSpeeds::default(),
+            data_centres: CentreTable::new(),
+            speeds: PrefillSpeeds::default(),
             shares: GroupShares::default(),
-            new_places: Vec::new(),
+            new_locations: Vec::new(),
             demand: DemandMeter::default(),
         }
     }
 
-    /// A server's entry, as it is known.
+    /// Returns the current entry of a server.
     pub fn entry(&self, server: &ServerId) -> Option<&ServerEntry> {
         self.servers.get(server).map(|load| &load.entry)
     }
 
-    /// All servers, as they are known.
+    /// Returns the current entries of all servers.
     pub fn entries(&self) -> impl Iterator<Item = &ServerEntry> {
         self.servers.values().map(|load| &load.entry)
     }
 
-    /// When a server last answered this node.
+    /// Returns when a server last answered this node.
     pub fn answered_at(&self, server: &ServerId) -> Option<Instant> {
         self.servers.get(server)?.answered_at
     }
 
-    /// Takes over a change of the servers.
+    /// Applies a change of the servers. A server that restarted loses its recorded load.
     pub fn apply(&mut self, change: &ServerChange, now: Instant) {
         match change {
             ServerChange::Changed(entry) => match self.servers.get_mut(&entry.id) {
@@ -101,26 +102,28 @@
         }
     }
 
-    /// Takes over what the other nodes told, and tells what they should know.
+    /// Applies what the other nodes reported, and passes on what this node has to report.
     pub fn swap_news(&mut self, exchange: &mut LoadExchange, now: Instant) {
         self.adapt_shares(now);
-        exchange.tell_places(self.new_places.drain(..));
+        exchange.tell_places(self.new_locations.drain(..));
         let rates = self.demand.rates(now);
         let demand = rates.map(|(pool, rate)| PoolDemand::new(pool, rate));
         exchange.duty_talk().tell_demand(demand.collect());
         let mut parts: HashMap<ServerKey, Vec<u64>> = HashMap::new();
-        for place in exchange.take_places() {
-            parts.entry(place.server).or_default().push(place.part);
+        for location in exchange.take_places() {
+            parts
+                .entry(location.server)
+                .or_default()
+                .push(location.part);
         }
         let counts_peers = self.has(PolicyPart::Exchange);
         for load in self.servers.values_mut() {
             if counts_peers {
                 load.peers = exchange.peer_work(&load.entry, now);
             }
-            // Looked up by server: compared with each server, places times servers are work that a small
-            // VM has no time for.
+            // Looked up by server: comparing each location with each server is too much work for a small VM.
             for part in parts.remove(&server_key(&load.entry)).unwrap_or_default() {
-                load.note_part(part, now);
+                load.record_part(part, now);
             }
         }
     }
@@ -129,7 +132,7 @@
         self.options.switches.has(part)
     }
 
-    /// Divides the servers anew by how full those of the interactive streams are.
+    /// Adjusts the shares of interactive streams to the slot use of their servers.
     fn adapt_shares(&mut self, now: Instant) {
         if !self.has(PolicyPart::AdaptiveShare) || !self.shares.is_due(now) {
             return;
@@ -140,13 +143,13 @@
             .map(|load| load.entry.pool.clone())
             .collect();
         for pool in pools {
-            let use_of_slots = self.interactive_use(&pool);
-            self.shares.adapt(&pool, use_of_slots);
+            let slot_use = self.interactive_slot_use(&pool);
+            self.shares.adapt(&pool, slot_use);
         }
     }
 
-    /// Share of the slots of a pool's interactive servers that are taken.
-    fn interactive_use(&self, pool: &PoolId) -> f64 {
+    /// Returns the share of slots in use at a pool's interactive servers.
+    fn interactive_slot_use(&self, pool: &PoolId) -> f64 {
         let groups = self.groups(pool);
         let loads = groups.interactive.iter().map(|id| &self.servers[id]);
         let (taken, slots) = loads.fold((0, 0), |(taken, slots), load| {
@@ -156,13 +159,14 @@
         f64::from(taken) / f64::from(slots.max(1))
     }
 
-    /// A request came for which a server was chosen; whether it is sent there or refused, it is demand.
+    /// Records the demand of a request for which a server was chosen, whether the request is then sent or
+    /// refused.
     pub fn note_demand(&mut self, pool: &PoolId, pick: &ServerPick, now: Instant) {
         let tokens = pick.unread_tokens.saturating_sub(pick.shared_unread);
-        self.demand.note(pool, tokens, now);
+        self.demand.record(pool, tokens, now);
     }
 
-    /// A pool as a whole, given the prompt tokens a second that the fleet's requests bring.
+    /// Returns the load of a pool as a whole. `tokens_per_second` is the demand of the entire fleet.
     pub fn pool_load(&self, pool: &PoolId, tokens_per_second: u64, now: Instant) -> PoolLoad {
         let mut load = PoolLoad {
             tokens_per_second: tokens_per_second as f64,
@@ -195,7 +199,7 @@
         load
     }
 
-    /// What this node has in flight, servers without work left out.
+    /// Returns the work that this node has in flight, without servers that have none.
     pub fn own_work(&self) -> impl Iterator<Item = (&ServerEntry, ServerWork)> {
         self.servers
             .values()
@@ -203,38 +207,38 @@
             .map(|load| (&load.entry, load.own))
     }
 
-    /// Those of some servers that answered lately, or all where none did.
-    fn answering(&self, servers: Vec<ServerId>, now: Instant) -> Vec<ServerId> {
-        let answering: Vec<ServerId> = servers
+    /// Returns those of the servers that answered recently, or all where none did.
+    fn recently_answering(&self, servers: Vec<ServerId>, now: Instant) -> Vec<ServerId> {
+        let recently_answering: Vec<ServerId> = servers
             .iter()
-            .filter(|id| self.servers[*id].answered_lately(now))
+            .filter(|id| self.servers[*id].answered_recently(now))
             .cloned()
             .collect();
-        if answering.is_empty() {
+        if recently_answering.is_empty() {
             return servers;
         }
-        answering
+        recently_answering
     }
 
-    /// Chooses the server of a request.
+    /// Chooses the server of a request, or returns `None` where no server accepts it.
     pub fn pick(&mut self, request: &PlacementRequest<'_>, now: Instant) -> Option<ServerPick> {
         let mut candidates = self.candidates(request, now);
         if request.apart {
-            candidates = self.answering(candidates, now);
+            candidates = self.recently_answering(candidates, now);
         }
         let mut costs: Vec<(f64, CostPrediction, ServerId)> = Vec::with_capacity(candidates.len());
         let groups = self.groups(request.pool);
         let members = groups.members(request.class, &candidates);
         let shared = request.prompt.filter(|_| self.has(PolicyPart::Homes));
-        let homes = HomeRanks::new(shared, &members, &candidates, self.options.switches);
-        let is_kept = self.has(PolicyPart::RereadWeights)
+        let preferred = PreferredServers::new(shared, &members, &candidates, self.options.switches);
+        let is_cached = self.has(PolicyPart::RereadWeights)
             && members.iter().any(|id| {
                 let load = &self.servers[id];
-                load.keeps_shared(request, now)
+                load.caches_shared(request, now)
             });
-        let keeper = self.keeper(request, now);
-        let is_homeless = request.prompt.is_some() && homes.first.is_none();
-        let candidates = if is_homeless && !request.apart && self.has(PolicyPart::Sampling) {
+        let cache_holder = self.cache_holder(request, now);
+        let has_no_affinity = request.prompt.is_some() && preferred.first.is_none();
+        let candidates = if has_no_affinity && !request.apart && self.has(PolicyPart::Sampling) {
             self.sample(&members, &candidates)
         } else {
             candidates
@@ -242,33 +246,33 @@
         let speed = self.speeds.speed(request.pool, now);
         for id in candidates {
             let load = &self.servers[&id];
-            let home = homes.rank(&id);
-            let has_homes = self.has(PolicyPart::Homes);
+            let rank = preferred.rank(&id);
+            let has_affinity = self.has(PolicyPart::Homes);
             let tokens = TokenCosts {
                 speed,
-                reread_weight: if has_homes {
-                    home.reread_weight(is_kept)
+                prefill_weight: if has_affinity {
+                    rank.prefill_weight(is_cached)
                 } else {
                     1.0
                 },
-                copy_weight: home.copy_weight(),
-                kept_nowhere: keeper.kept_nowhere(),
+                copy_weight: rank.copy_weight(),
+                cached_nowhere: cache_holder.cached_nowhere(),
             };
             let prediction = load.predict(request, &tokens, &self.options, now);
-            let stray = match (request.class, groups.class(&id)) {
-                (StreamClass::Batch, StreamClass::Interactive) => BATCH_STRAY_SECONDS,
-                (StreamClass::Interactive, StreamClass::Batch) => INTERACTIVE_STRAY_SECONDS,
+            let overflow = match (request.class, groups.class(&id)) {
+                (StreamClass::Batch, StreamClass::Interactive) => BATCH_OVERFLOW_SECONDS,
+                (StreamClass::Interactive, StreamClass::Batch) => INTERACTIVE_OVERFLOW_SECONDS,
                 _ => 0.0,
             };
             let is_divided = request.prompt.is_some() && self.has(PolicyPart::Groups);
-            let stray = if is_divided { stray } else { 0.0 };
+            let overflow = if is_divided { overflow } else { 0.0 };
             let cost = match self.options.policy {
                 _ if request.apart => f64::from(load.own.in_flight + load.peers.in_flight),
-                PlacementPolicy::PredictedCost => prediction.cost + stray,
+                PlacementPolicy::PredictedCost => prediction.cost + overflow,
                 PlacementPolicy::LeastInFlight => f64::from(load.own.in_flight),
                 PlacementPolicy::Random => 0.0,
             };
-            // Equal servers are taken in no order, or all nodes would agree on the first.
+            // Ties are broken at random, or all nodes would choose the same server.
             let cost = cost + self.rng.f64() * 1e-4;
             costs.push((cost, prediction, id));
         }
@@ -277,7 +281,7 @@
         let runner_up = costs
             .get(1)
             .map(|(cost, _, id)| (id.clone(), Duration::from_secs_f64(*cost)));
-        let source = keeper.source(id, prediction.shared_unread, homes.first.as_ref());
+        let source = cache_holder.source(id, prediction.shared_unread, preferred.first.as_ref());
         let source = source.filter(|id| self.servers[*id].limit.is_none());
         Some(ServerPick {
             server: self.servers[id].entry.clone(),
@@ -288,35 +292,35 @@
             shared_unread: prediction.shared_unread,
             ahead_tokens: prediction.ahead,
             copy_from: source.map(|id| self.servers[id].entry.clone()),
-            home: homes.rank(id).as_str(),
+            home: preferred.rank(id).as_str(),
             runner_up,
         })
     }
 
-    /// Whether a server's data centre seems cut off.
+    /// Whether the data centre of a server seems cut off.
     pub(super) fn is_cut(&self, server: &ServerEntry) -> bool {
-        self.has(PolicyPart::CutCentres) && self.centres.is_cut(&server.data_centre)
+        self.has(PolicyPart::CutCentres) && self.data_centres.is_cut(&server.data_centre)
     }
 
-    /// The server that another one may copy a prompt's shared parts from.
-    fn keeper(&self, request: &PlacementRequest<'_>, now: Instant) -> PartKeeper {
+    /// Finds the server from which another one may copy a prompt's shared parts.
+    fn cache_holder(&self, request: &PlacementRequest<'_>, now: Instant) -> CacheHolder {
         let Some(prompt) = request.prompt.filter(|_| self.has(PolicyPart::PartCopies)) else {
-            return PartKeeper::default();
+            return CacheHolder::default();
         };
         let of_pool = self.servers.values().filter(|load| {
             load.entry.pool == *request.pool
                 && load.limit.is_none()
                 && !load.is_leaving()
                 && !load.rests(now)
-                && load.is_sound(self.options.switches, now)
+                && load.is_healthy(self.options.switches, now)
         });
-        PartKeeper::among(of_pool, prompt, now)
+        CacheHolder::find(of_pool, prompt, now)
     }
 
-    /// A few servers of the group and one of all, for a request that no server is better for.
+    /// Samples a few servers of the group and one of all, for a request that has no preferred server.
     ///
-    /// All nodes know the same load, somewhat late. If each took the least loaded server, all of
-    /// them would take the same one until they hear of it.
+    /// All nodes know the same load, with some delay. If each chose the least loaded server, all of them
+    /// would choose the same one until they learn of each other's requests.
     fn sample(&mut self, group: &[ServerId], all: &[ServerId]) -> Vec<ServerId> {
         let mut sample = self.rng.choose_multiple(group.iter().cloned(), SAMPLE_SIZE);
         let other = self.rng.choice(all).cloned();
@@ -337,14 +341,14 @@
         ServerGroups::new(of_pool.map(|load| load.entry.id.clone()), share)
     }
 
-    /// Takes over which servers are limited.
+    /// Applies the rate limits that servers named.
     pub fn set_limits(&mut self, limits: &ServerLimits) {
         for load in self.servers.values_mut() {
             load.limit = limits.rate(&load.entry);
         }
     }
 
-    /// A request goes to a server.
+    /// Records that a request is sent to a server.
     pub fn start(
         &mut self,
         pick: &ServerPick,
@@ -364,16 +368,17 @@
             load.own.unread[ticket.urgency] += ticket.unread_tokens;
             let shared = request.prompt.map_or(&[][..], PromptShape::shared);
             for part in shared.iter().filter(|part| part.tokens >= SMALL_PART) {
-                let is_new = load.note_part(part.id, now);
+                let is_new = load.record_part(part.id, now);
                 if is_new {
-                    self.new_places.push(PartPlace::new(part.id, &load.entry));
+                    self.new_locations
+                        .push(PartPlace::new(part.id, &load.entry));
                 }
             }
         }
         ticket
     }
 
-    /// The server began to answer: it has read the prompt.
+    /// Records that the answer began, which means that the server has prefilled the prompt.
     pub fn first_answer(&mut self, ticket: &mut WorkTicket, now: Instant) {
         let tokens = std::mem::take(&mut ticket.unread_tokens);
         let learns = self.has(PolicyPart::LearntSpeed);
@@ -385,11 +390,11 @@
         if learns && tokens > 0 {
             let took = now.saturating_duration_since(ticket.started);
             self.speeds
-                .note(&load.entry.pool, ticket.read_tokens, took, now);
+                .record(&load.entry.pool, ticket.read_tokens, took, now);
         }
     }
 
-    /// A request ended.
+    /// Records how a request ended.
     pub fn finish(&mut self, ticket: WorkTicket, end: WorkEnd, now: Instant) {
         let Some(load) = ticket_load(&mut self.servers, &ticket) else {
             return;
@@ -397,14 +402,15 @@
         load.own.in_flight = load.own.in_flight.saturating_sub(1);
         let unread = &mut load.own.unread[ticket.urgency];
         *unread = unread.saturating_sub(ticket.unread_tokens);
-        load.note_end(end, now);
-        let centre = &load.entry.data_centre;
+        load.record_end(end, now);
+        let data_centre = &load.entry.data_centre;
         match end {
             WorkEnd::Answered | WorkEnd::Full | WorkEnd::Refused => {
-                self.centres.note_answer(centre)
+                self.data_centres.note_answer(data_centre)
             }
             WorkEnd::Unreachable => {
-                self.centres.note_silence(centre, &load.entry.id, now);
+                self.data_centres
+                    .note_silence(data_centre, &load.entry.id, now);
             }
             WorkEnd::Failed
             | WorkEnd::Broken
@@ -415,38 +421,38 @@
         }
     }
 
-    /// Servers to try a bare connection to, one in each data centre that seems cut off.
+    /// Returns servers for probe connections, one in each data centre that seems cut off.
     pub fn probes(&mut self, now: Instant) -> Vec<ServerEntry> {
-        let due = self.centres.due_probes(now);
+        let due = self.data_centres.due_probes(now);
         let mut probes = Vec::with_capacity(due.len());
-        for centre in due {
-            let of_centre = self
+        for data_centre in due {
+            let of_data_centre = self
                 .servers
                 .values()
                 .map(|load| &load.entry)
-                .filter(|entry| entry.data_centre == centre);
-            let entries: Vec<&ServerEntry> = of_centre.collect();
+                .filter(|entry| entry.data_centre == data_centre);
+            let entries: Vec<&ServerEntry> = of_data_centre.collect();
             match self.rng.choice(&entries) {
                 Some(entry) => probes.push((*entry).clone()),
                 // A data centre without servers can't be probed, and nothing is sent there.
-                None => self.centres.note_answer(&centre),
+                None => self.data_centres.note_answer(&data_centre),
             }
         }
         probes
     }
 
-    /// A bare connection to a server came about, or was refused by its machine.
+    /// Records that a probe connection to a server was established, or was refused by its machine.
     pub fn note_reached(&mut self, server: &ServerEntry) {
-        self.centres.note_answer(&server.data_centre);
+        self.data_centres.note_answer(&server.data_centre);
     }
 
-    /// Data centres that seem cut off from this node.
+    /// Returns the data centres that seem cut off from this node.
     pub fn cut_centres(&self) -> Vec<DataCentreId> {
-        self.centres.cut()
+        self.data_centres.cut()
     }
 }
 
-/// The server of a ticket, if it is still the incarnation that the request went to.
+/// Returns the server of a ticket if it is still the incarnation that the request was sent to.
 fn ticket_load<'a>(
     servers: &'a mut BTreeMap<ServerId, ServerLoad>,
     ticket: &WorkTicket,
--- a/crates/plumgate/src/gateway/placement/mod.rs
+++ b/crates/plumgate/src/gateway/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request goes to, and what a node knows of the servers.
+//! Placement of requests on backend servers, and the state of the servers as known to one node.
 
 mod candidates;
 pub mod centres;
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -1,9 +1,9 @@
-//! What one node knows of one backend server, and what it predicts of it.
+//! State of one backend server as known to one node, and cost predictions.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use super::choice::{PlacementOptions, PlacementRequest, ServerHold};
+use super::choice::{PlacementOptions, PlacementRequest, SendDeferral};
 use crate::gateway::config::StreamClass;
 use crate::gateway::prompt::{PromptShape, SMALL_PART};
 use crate::gateway::rate_limit::RequestRate;
@@ -13,73 +13,75 @@
 use crate::gateway::work::{ServerWork, URGENCIES, WorkEnd};
 use crate::retry::CircuitBreaker;
 
-/// Time that a request spends at an engine for each one that already runs there: the step of a
-/// batch grows with its members.
+/// Time, in seconds, that each request already running at an engine adds to a new one: the step of a batch
+/// grows with its members.
 const STEP_COST: f64 = 0.000_3;
-/// Seconds that a plain request spends at a server, before any was seen.
+/// Service time, in seconds, of a request without a prompt.
 const DEFAULT_SERVICE_SECONDS: f64 = 0.03;
-/// Seconds that a server in another data centre costs, from the round trip between two of them.
+/// Cost, in seconds, of a server in another data centre, from the round trip between two of them.
 const DISTANCE_SECONDS: f64 = 0.002;
-/// Seconds that a share of failures of one costs: about the time that a second try takes.
+/// Cost, in seconds, of a failure share of one: about the time that a second attempt takes.
 const FAILURE_SECONDS: f64 = 2.0;
-/// Weight of the newest outcome in the share of failures.
+/// Weight of the newest outcome in the failure share.
 const FAILURE_WEIGHT: f64 = 0.15;
-/// Time in which what was seen of failures loses its weight.
-const FAILURE_MEMORY: Duration = Duration::from_secs(4);
-/// Share of a server's other unread prompts that counts against it for an interactive stream:
-/// those behind it are read between its tokens and draw its pauses out.
+/// Time constant with which the failure share decays.
+const FAILURE_DECAY: Duration = Duration::from_secs(4);
+/// Share of the less urgent pending prefill of a server that counts against it for an interactive stream:
+/// those prompts are prefilled between its tokens and lengthen its pauses.
 const PAUSE_WEIGHT: f64 = 0.5;
-/// Share of a server's slots from which on a request is expected to wait for one.
+/// Share of a server's slots in use from which on a request is expected to wait for one.
 const SLOTS_FULL: f64 = 0.9;
-/// Seconds that a request waits for a slot where as many others wait as there are slots: about
-/// the time that a stream holds one.
+/// Time, in seconds, that a request waits for a slot where as many others wait as there are slots: about the
+/// time that a stream occupies one.
 const SLOT_SECONDS: f64 = 2.0;
-/// Time that copying a shared token from another server takes, as a share of the time of reading it: an
-/// engine reads 13,300 tokens in 235 ms and copies them in 5 to 30 ms, behind others' copies.
+/// Time of copying a shared token from another server, as a share of its prefill time: an engine prefills
+/// 13,300 tokens in 235 ms and copies them in 5 to 30 ms, behind other copies.
 const COPY_SHARE: f64 = 0.1;
 /// Prompt parts that are remembered for one server.
-const PARTS_MOST: usize = 512;
-/// How long a server is believed to keep a part after its last use.
+const MAX_PARTS: usize = 512;
+/// Time after its last use for which a server is believed to cache a part.
 const PART_LIFETIME: Duration = Duration::from_secs(30);
 
-/// How long a server counts as answering: one that went dark takes no work any more, and would pass for the one
-/// with the least.
-const ANSWERED_LATELY: Duration = Duration::from_secs(1);
-/// How long a server that said that it is full gets no more from this node.
+/// Time after its last answer for which a server counts as answering: one that hangs accepts no more work,
+/// and would seem to be the one with the least.
+const RECENT_ANSWER: Duration = Duration::from_secs(1);
+/// Pause after a server reported that it is full, during which this node sends it nothing.
 const FULL_PAUSE: Duration = Duration::from_millis(150);
-/// How long a server that could not be reached gets no more from this node. The next requests
-/// would each lose the time of a connection that does not come about.
+/// Pause after a server could not be reached, during which this node sends it nothing. Each of the next
+/// requests would lose the time of a failing connection.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(400);
-/// The farthest end of a rest that placement tells apart from later ones: no clock shows any moment.
+/// Longest rest that is told apart from longer ones, so that its end is a moment that the clock can
+/// represent.
 const FARTHEST_END: Duration = Duration::from_secs(365 * 86_400);
 
-/// What one node knows of one server.
+/// State of one server as known to one node.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerLoad {
-    /// The server.
+    /// The current entry of the server.
     pub(crate) entry: ServerEntry,
-    /// What this node has in flight there.
+    /// Work that this node has in flight there.
     pub(crate) own: ServerWork,
-    /// What the other nodes have in flight there.
+    /// Work that the other nodes have in flight there.
     pub(crate) peers: ServerWork,
     breaker: CircuitBreaker,
     failures: f64,
     failures_at: Instant,
-    /// When it last began or ended an answer to this node.
+    /// When it last began or finished an answer to this node.
     pub(crate) answered_at: Option<Instant>,
-    /// Until when it rests as it said that it is full.
+    /// End of the pause after it reported that it is full.
     full_until: Option<Instant>,
-    /// Until when it rests as it could not be reached.
+    /// End of the pause after it could not be reached.
     unreachable_until: Option<Instant>,
-    /// The name of its incarnation.
-    life: LifeKey,
-    /// Until when it serves on, if it said that it leaves.
+    /// Key of its incarnation.
+    incarnation: LifeKey,
+    /// Until when it accepts work of last resort, if it reported that it is leaving.
     serves_until: Option<Instant>,
-    /// Until when it rests, if it asked for that.
-    rests_until: Option<Instant>,
-    /// The requests a second that it takes, if it named a limit.
+    /// End of the rest that it asked for.
+    resting_until: Option<Instant>,
+    /// The rate of requests that it accepts, if it named a limit.
     pub(crate) limit: Option<RequestRate>,
-    /// Until when it gets no requests of an urgency, nor less urgent ones, from this node, as it named a limit.
+    /// For each urgency, the time until which this node sends it no requests of that urgency or a less
+    /// urgent one, because it named a limit.
     held_until: Vec<(u8, Instant)>,
     parts: HashMap<u64, Instant>,
     part_order: VecDeque<u64>,
@@ -87,40 +89,40 @@
 
 /// What the shared tokens of a prompt cost at one server.
 pub(crate) struct TokenCosts {
-    /// Prompt tokens that it reads in a second.
+    /// Prompt tokens per second that it prefills.
     pub(crate) speed: f64,
-    /// How much dearer than its reading time a token is that it has to read.
-    pub(crate) reread_weight: f64,
-    /// How much dearer than its reading time a token is that it copies from another server.
+    /// Extra cost of a token that it has to prefill, as a multiple of its prefill time.
+    pub(crate) prefill_weight: f64,
+    /// Extra cost of a token that it copies from another server, as a multiple of its prefill time.
     pub(crate) copy_weight: f64,
-    /// Shared tokens of the prompt that no server keeps, so that they can't be copied.
-    pub(crate) kept_nowhere: u64,
+    /// Shared tokens of the prompt that no server caches and that can't be copied for this reason.
+    pub(crate) cached_nowhere: u64,
 }
 
-/// What is predicted of one server.
+/// Predictions for a request at one server.
 pub(crate) struct CostPrediction {
-    /// Seconds by which servers are compared.
+    /// Cost, in seconds, by which servers are compared.
     pub(crate) cost: f64,
-    /// Seconds until it turns to the request.
+    /// Seconds until it starts on the request.
     pub(crate) queue: f64,
     /// Seconds until it begins to answer.
     pub(crate) wait: f64,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that it has to prefill.
     pub(crate) unread: u64,
-    /// Those of them that are of shared parts.
+    /// Shared tokens that it does not cache, whether it prefills or copies them.
     pub(crate) shared_unread: u64,
-    /// Prompt tokens that it reads before.
+    /// Prompt tokens of other requests that it prefills first.
     pub(crate) ahead: u64,
 }
 
 impl ServerLoad {
-    /// A server that nothing is known of yet.
+    /// Creates the state of a server of which nothing is known yet.
     pub(crate) fn new(entry: ServerEntry, now: Instant) -> Self {
         Self {
-            life: entry.life_key(),
+            incarnation: entry.life_key(),
             entry,
             serves_until: None,
-            rests_until: None,
+            resting_until: None,
             own: ServerWork::default(),
             peers: ServerWork::default(),
             breaker: CircuitBreaker::new(),
@@ -136,42 +138,42 @@
         }
     }
 
-    /// Another entry of the same incarnation holds.
+    /// Replaces the entry by a newer one of the same incarnation.
     pub(crate) fn set_entry(&mut self, entry: &ServerEntry) {
-        self.life = entry.life_key();
+        self.incarnation = entry.life_key();
         self.entry = entry.clone();
     }
 
-    /// The name of its incarnation.
-    pub(crate) fn life(&self) -> LifeKey {
-        self.life
+    /// Returns the key of its incarnation.
+    pub(crate) fn incarnation(&self) -> LifeKey {
+        self.incarnation
     }
 
-    /// Takes over what it said of itself.
+    /// Applies what the server reported of itself.
     pub(crate) fn set_standing(&mut self, standing: ServerStanding, now: Instant) {
         self.serves_until = standing.serves_for.map(|serves| now + serves);
         let rest = standing.rest_left.map(|left| left.min(FARTHEST_END));
-        self.rests_until = rest.map(|left| now + left);
+        self.resting_until = rest.map(|left| now + left);
     }
 
-    /// Whether it said in an answer that it leaves.
+    /// Whether it reported in an answer that it is leaving.
     pub(crate) fn is_leaving(&self) -> bool {
         self.serves_until.is_some()
     }
 
-    /// Whether it takes new work, as far as it says itself.
+    /// Whether it accepts new work by its own reports.
     pub(crate) fn stays(&self) -> bool {
         self.entry.state == ServerState::Ready && !self.is_leaving()
     }
 
-    /// Whether it leaves and still takes work, for which there is no other server.
-    pub(crate) fn serves_on(&self, now: Instant) -> bool {
+    /// Whether it is leaving and still accepts requests for which there is no other server.
+    pub(crate) fn accepts_last_resort(&self, now: Instant) -> bool {
         let serves = self.serves_until.is_some_and(|until| now < until);
         serves && self.entry.state == ServerState::Ready
     }
 
-    /// Whether what this node saw of it speaks for new work.
-    pub(crate) fn is_sound(&self, switches: PolicySwitches, now: Instant) -> bool {
+    /// Whether nothing that this node observed of it speaks against new work.
+    pub(crate) fn is_healthy(&self, switches: PolicySwitches, now: Instant) -> bool {
         let is_resting = |part, until: Option<Instant>| {
             switches.has(part) && until.is_some_and(|until| now < until)
         };
@@ -181,34 +183,34 @@
             && !is_resting(PolicyPart::FullPause, self.full_until)
     }
 
-    /// It gets no requests of an urgency, nor less urgent ones, from this node for some time.
+    /// Defers requests of this urgency or a less urgent one until the given time.
     pub(crate) fn hold_back(&mut self, urgency: u8, until: Instant) {
         self.held_until.retain(|(held, _)| *held != urgency);
         self.held_until.push((urgency, until));
     }
 
-    /// Until when it gets no requests of an urgency from this node, and why, if it is held back.
-    pub(crate) fn held_until(&self, urgency: u8, now: Instant) -> Option<ServerHold> {
+    /// Returns until when requests of this urgency are deferred, and why, or `None` where they are not.
+    pub(crate) fn held_until(&self, urgency: u8, now: Instant) -> Option<SendDeferral> {
         let holds = self.held_until.iter();
         let holds = holds.filter(|(held, until)| *held <= urgency && now < *until);
-        let limited = holds.map(|(_, until)| ServerHold {
+        let limited = holds.map(|(_, until)| SendDeferral {
             until: *until,
             cause: SendRefusal::Limited,
         });
-        let rest = self.rests_until.filter(|until| now < *until);
-        let rest = rest.map(|until| ServerHold {
+        let rest = self.resting_until.filter(|until| now < *until);
+        let rest = rest.map(|until| SendDeferral {
             until,
             cause: SendRefusal::Resting,
         });
         limited.chain(rest).max_by_key(|hold| hold.until)
     }
 
-    /// Whether it rests.
+    /// Whether it rests at its own request.
     pub(crate) fn rests(&self, now: Instant) -> bool {
-        self.rests_until.is_some_and(|until| now < until)
+        self.resting_until.is_some_and(|until| now < until)
     }
 
-    /// What the server would mean to a request, by what its shared tokens cost there.
+    /// Predicts cost and times of a request at this server.
     pub(crate) fn predict(
         &self,
         request: &PlacementRequest<'_>,
@@ -243,16 +245,16 @@
             .sum();
         let uncached = self.uncached(prompt, now);
         let own_tokens = prompt.parts.last().map_or(0, |part| u64::from(part.tokens));
-        let read = uncached.min(tokens.kept_nowhere);
+        let read = uncached.min(tokens.cached_nowhere);
         let copied = uncached - read;
         let unread = read + own_tokens + (copied as f64 * COPY_SHARE) as u64;
         let speed = tokens.speed;
         let queue = ahead as f64 / speed + slot_wait(in_flight, self.entry.slots);
         let wait = queue + unread as f64 / speed;
-        let shared = read as f64 * tokens.reread_weight + copied as f64 * tokens.copy_weight;
+        let shared = read as f64 * tokens.prefill_weight + copied as f64 * tokens.copy_weight;
         cost += wait + shared / speed + f64::from(in_flight) * STEP_COST;
         if request.class == StreamClass::Interactive {
-            let behind = self.unread_total().saturating_sub(ahead);
+            let behind = self.pending_prefill().saturating_sub(ahead);
             cost += behind as f64 / speed * PAUSE_WEIGHT;
         }
         CostPrediction {
@@ -265,20 +267,20 @@
         }
     }
 
-    /// Whether the server is believed to keep all shared parts of a request's prompt.
-    pub(crate) fn keeps_shared(&self, request: &PlacementRequest<'_>, now: Instant) -> bool {
+    /// Whether the server is believed to cache all shared parts of a request's prompt.
+    pub(crate) fn caches_shared(&self, request: &PlacementRequest<'_>, now: Instant) -> bool {
         request
             .prompt
             .is_some_and(|prompt| self.uncached(prompt, now) == 0)
     }
 
-    fn unread_total(&self) -> u64 {
+    fn pending_prefill(&self) -> u64 {
         let own: u64 = self.own.unread.iter().sum();
         let peers: u64 = self.peers.unread.iter().sum();
         own + peers
     }
 
-    /// Shared tokens that the server is not believed to keep.
+    /// Returns the shared tokens of a prompt that the server is not believed to cache.
     pub(crate) fn uncached(&self, prompt: &PromptShape, now: Instant) -> u64 {
         let shared = prompt.shared();
         let kept = shared
@@ -297,13 +299,13 @@
             .sum()
     }
 
-    /// The server reads a part, or has it; whether that is new here.
-    pub(crate) fn note_part(&mut self, id: u64, now: Instant) -> bool {
+    /// Records that the server caches a part, and returns whether that is new to this node.
+    pub(crate) fn record_part(&mut self, id: u64, now: Instant) -> bool {
         let is_new = self.parts.insert(id, now).is_none();
         if is_new {
             self.part_order.push_back(id);
         }
-        while self.part_order.len() > PARTS_MOST {
+        while self.part_order.len() > MAX_PARTS {
             if let Some(oldest) = self.part_order.pop_front() {
                 self.parts.remove(&oldest);
             }
@@ -313,22 +315,22 @@
 
     fn failure_share(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.failures_at);
-        self.failures * (-age.as_secs_f64() / FAILURE_MEMORY.as_secs_f64()).exp()
+        self.failures * (-age.as_secs_f64() / FAILURE_DECAY.as_secs_f64()).exp()
     }
 
-    /// It answers this node.
+    /// Records that it answers this node.
     pub(crate) fn note_answer(&mut self, now: Instant) {
         self.answered_at = Some(now);
     }
 
-    /// Whether it answered this node lately.
-    pub(crate) fn answered_lately(&self, now: Instant) -> bool {
+    /// Whether it answered this node recently.
+    pub(crate) fn answered_recently(&self, now: Instant) -> bool {
         self.answered_at
-            .is_some_and(|at| now.saturating_duration_since(at) < ANSWERED_LATELY)
+            .is_some_and(|at| now.saturating_duration_since(at) < RECENT_ANSWER)
     }
 
-    /// A request ended there.
-    pub(crate) fn note_end(&mut self, end: WorkEnd, now: Instant) {
+    /// Records how a request to it ended.
+    pub(crate) fn record_end(&mut self, end: WorkEnd, now: Instant) {
         let failed = match end {
             WorkEnd::Answered => {
                 self.breaker.record_success();
@@ -353,7 +355,7 @@
     }
 }
 
-/// Seconds that a request is expected to wait for a slot.
+/// Returns the seconds that a request is expected to wait for a slot.
 fn slot_wait(in_flight: u32, slots: u32) -> f64 {
     let slots = f64::from(slots.max(1));
     let over = f64::from(in_flight) - slots * SLOTS_FULL;
