--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -189,8 +189,9 @@
                     ServerKind::Reclaimable => site.reclaimable += 1,
                 }
                 if let Some(limit) = server.limit.filter(|_| mean_tokens > 0.0) {
-                    let read = limit.per_second() * mean_tokens / load.server_speed.max(1.0);
-                    load.limited += (1.0 - read).max(0.0);
+                    let usable_share =
+                        limit.per_second() * mean_tokens / load.server_speed.max(1.0);
+                    load.limited += (1.0 - usable_share).max(0.0);
                 }
             }
             let unread = server.own.plus(&server.peers).unread;
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -245,13 +245,13 @@
             .sum();
         let uncached = self.uncached(prompt, now);
         let own_tokens = prompt.parts.last().map_or(0, |part| u64::from(part.tokens));
-        let read = uncached.min(tokens.cached_nowhere);
-        let copied = uncached - read;
-        let unread = read + own_tokens + (copied as f64 * COPY_SHARE) as u64;
+        let uncopied = uncached.min(tokens.cached_nowhere);
+        let copied = uncached - uncopied;
+        let unread = uncopied + own_tokens + (copied as f64 * COPY_SHARE) as u64;
         let speed = tokens.speed;
         let queue = ahead as f64 / speed + slot_wait(in_flight, self.entry.slots);
         let wait = queue + unread as f64 / speed;
-        let shared = read as f64 * tokens.prefill_weight + copied as f64 * tokens.copy_weight;
+        let shared = uncopied as f64 * tokens.prefill_weight + copied as f64 * tokens.copy_weight;
         cost += wait + shared / speed + f64::from(in_flight) * STEP_COST;
         if request.class == StreamClass::Interactive {
             let behind = self.pending_prefill().saturating_sub(ahead);
