--- a/crates/plumgate/src/gateway/exchange/duty_talk.rs
+++ b/crates/plumgate/src/gateway/exchange/duty_talk.rs
@@ -1,4 +1,4 @@
-//! What goes with the nodes' messages for the duties: the time of day, usage, and demand.
+//! Data for the fleet's duties that goes along with the messages: time of day, usage and demand.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -8,95 +8,95 @@
 use crate::duty::{ClockNews, UsageNews};
 use crate::ids::{DataCentreId, NodeId};
 
-/// How long no collector of another data centre must be heard before this one no longer leaves the duties to it:
-/// longer than a change of the collector there takes.
-pub(crate) const CENTRE_SILENCE: Duration = Duration::from_millis(1_500);
-/// How long what was told of demand counts.
+/// Time without a message from a collector of another data centre after which this node no longer leaves the
+/// duties to it: longer than a change of the collector there takes.
+pub(crate) const DATA_CENTRE_SILENCE: Duration = Duration::from_millis(1_500);
+/// Time for which a demand report counts.
 const DEMAND_LIFETIME: Duration = Duration::from_secs(2);
-/// Messages of usage that are kept until they are taken: two of each node of a large data centre.
-const USAGE_MOST: usize = 256;
+/// Maximum number of usage reports that wait to be taken: two of each node of a large data centre.
+const MAX_USAGE_REPORTS: usize = 256;
 
-/// What another node said of the time of day.
+/// Another node's report of the time of day.
 #[derive(Clone, Debug)]
 pub struct HeardClock {
-    /// The node.
+    /// Node that sent the report.
     pub node: NodeId,
-    /// For whom it speaks.
+    /// Nodes that the report covers.
     pub speaker: ClockSpeaker,
-    /// What it said.
+    /// The report.
     pub news: ClockNews,
-    /// When it came.
+    /// Time since the VM started, suspension included, at which the report was received.
     pub came_at: Duration,
 }
 
-/// For whom a node speaks.
+/// Nodes on whose behalf a node reports the time of day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClockSpeaker {
     /// A node of this data centre, for itself.
     Member,
-    /// The collector of another data centre, for so many nodes.
+    /// The collector of another data centre, for the given number of nodes.
     Centre(usize),
     /// This node's collector, for the fleet.
     Collector,
 }
 
-/// What another node told of usage.
+/// Another node's usage report.
 #[derive(Clone, Debug)]
 pub struct HeardUsage {
-    /// The node.
+    /// Node that sent the report.
     pub node: NodeId,
-    /// What it told.
+    /// The report.
     pub news: UsageNews,
-    /// When it came.
+    /// Time since the VM started, suspension included, at which the report was received.
     pub came_at: Duration,
 }
 
-/// What somebody told of demand, with its time.
-type ToldDemand = (Vec<PoolDemand>, Instant);
+/// Reported demand and the time of the report.
+type ReportedDemand = (Vec<PoolDemand>, Instant);
 
-/// What one node tells and hears for the duties.
+/// What this node sends and has received for the duties.
 #[derive(Debug, Default)]
 pub struct DutyTalk {
-    /// What this node says of the time of day.
+    /// Report of the time of day that this node sends.
     clock: Option<ClockNews>,
-    heard_clocks: Vec<HeardClock>,
-    /// What this node tells of usage in this round.
-    usage: Vec<UsageNews>,
-    heard_usage: Vec<HeardUsage>,
-    /// What this node's own requests bring.
+    received_clocks: Vec<HeardClock>,
+    /// Usage reports that this node sends in this round.
+    outgoing_usage: Vec<UsageNews>,
+    received_usage: Vec<HeardUsage>,
+    /// Demand of this node's own requests.
     own_demand: Vec<PoolDemand>,
-    /// What those of the other nodes of this data centre bring.
-    member_demand: HashMap<NodeId, ToldDemand>,
-    /// What those of other data centres bring.
-    centre_demand: BTreeMap<DataCentreId, ToldDemand>,
-    /// When a collector of each other data centre was last heard.
-    centre_heard: BTreeMap<DataCentreId, Instant>,
-    /// The collector of each other data centre that was heard last.
-    centre_speakers: BTreeMap<DataCentreId, NodeId>,
-    /// Whether another node listens than before, which has heard nothing.
-    has_new_listener: bool,
+    /// Demand of the other nodes of this data centre.
+    member_demand: HashMap<NodeId, ReportedDemand>,
+    /// Demand of the other data centres.
+    data_centre_demand: BTreeMap<DataCentreId, ReportedDemand>,
+    /// When the last message of a collector of each other data centre was received.
+    data_centre_received_at: BTreeMap<DataCentreId, Instant>,
+    /// Sender of that message.
+    foreign_collectors: BTreeMap<DataCentreId, NodeId>,
+    /// Whether the node that receives the reports has changed: the new one has no earlier reports.
+    has_new_receiver: bool,
 }
 
 impl DutyTalk {
-    /// What this node says of the time of day from now on.
+    /// Sets the report of the time of day that this node sends from now on.
     pub fn tell_clock(&mut self, clock: Option<ClockNews>) {
         self.clock = clock;
     }
 
-    /// What this node says of the time of day.
+    /// Returns the report of the time of day that this node sends.
     pub(crate) fn clock(&self) -> Option<ClockNews> {
         self.clock
     }
 
-    /// Another node said something of the time of day.
-    pub(crate) fn hear_clock(
+    /// Stores another node's report of the time of day.
+    pub(crate) fn receive_clock(
         &mut self,
         node: &NodeId,
         speaker: ClockSpeaker,
         news: ClockNews,
         moment: TalkMoment,
     ) {
-        self.heard_clocks.push(HeardClock {
+        self.received_clocks.push(HeardClock {
             node: node.clone(),
             speaker,
             news,
@@ -104,25 +104,26 @@
         });
     }
 
-    /// What others said of the time of day since the last call.
+    /// Takes the reports of the time of day received since the last call.
     pub fn take_clocks(&mut self) -> Vec<HeardClock> {
-        std::mem::take(&mut self.heard_clocks)
+        std::mem::take(&mut self.received_clocks)
     }
 
-    /// What the next round tells of usage: a node its collector, a collector those of other data centres.
-    pub fn tell_usage(&mut self, news: Vec<UsageNews>) {
-        self.usage = news;
+    /// Sets the usage reports of the next round: a node sends them to its collector, a collector to the
+    /// collectors of the other data centres.
+    pub fn tell_usage(&mut self, reports: Vec<UsageNews>) {
+        self.outgoing_usage = reports;
     }
 
-    /// What this round tells of usage.
-    pub(crate) fn take_told_usage(&mut self) -> Vec<UsageNews> {
-        std::mem::take(&mut self.usage)
+    /// Takes the usage reports to send in this round.
+    pub(crate) fn take_outgoing_usage(&mut self) -> Vec<UsageNews> {
+        std::mem::take(&mut self.outgoing_usage)
     }
 
-    /// Another node told of usage.
-    pub(crate) fn hear_usage(&mut self, node: NodeId, news: UsageNews, moment: TalkMoment) {
-        if self.heard_usage.len() < USAGE_MOST {
-            self.heard_usage.push(HeardUsage {
+    /// Stores another node's usage report.
+    pub(crate) fn receive_usage(&mut self, node: NodeId, news: UsageNews, moment: TalkMoment) {
+        if self.received_usage.len() < MAX_USAGE_REPORTS {
+            self.received_usage.push(HeardUsage {
                 node,
                 news,
                 came_at: moment.boot,
@@ -130,24 +131,24 @@
         }
     }
 
-    /// What others told of usage since the last call.
+    /// Takes the usage reports received since the last call.
     pub fn take_usage(&mut self) -> Vec<HeardUsage> {
-        std::mem::take(&mut self.heard_usage)
+        std::mem::take(&mut self.received_usage)
     }
 
-    /// What this node's requests bring from now on.
+    /// Sets the demand of this node's requests from now on.
     pub fn tell_demand(&mut self, demand: Vec<PoolDemand>) {
         self.own_demand = demand;
     }
 
-    /// What this node's requests bring.
+    /// Returns the demand of this node's requests.
     pub(crate) fn own_demand(&self) -> &[PoolDemand] {
         &self.own_demand
     }
 
-    /// A node of this data centre told what its requests bring. A message that tells of further servers brings none,
-    /// and takes none back.
-    pub(crate) fn hear_member_demand(
+    /// Stores the demand of a node of this data centre. A node's demand goes along with its first message of a
+    /// round only: one without demand leaves the stored demand as it is.
+    pub(crate) fn receive_member_demand(
         &mut self,
         node: NodeId,
         demand: Vec<PoolDemand>,
@@ -158,51 +159,56 @@
         }
     }
 
-    /// The collector of another data centre was heard, which may tell what its requests bring.
-    pub(crate) fn hear_centre(
+    /// Records a message of the collector of another data centre, and stores the demand if it holds any.
+    pub(crate) fn receive_from_data_centre(
         &mut self,
-        centre: &DataCentreId,
+        data_centre: &DataCentreId,
         node: NodeId,
         demand: Vec<PoolDemand>,
         now: Instant,
     ) {
-        let before = self.centre_speakers.insert(centre.clone(), node.clone());
-        self.has_new_listener |= before != Some(node);
-        self.centre_heard.insert(centre.clone(), now);
+        let before = self
+            .foreign_collectors
+            .insert(data_centre.clone(), node.clone());
+        self.has_new_receiver |= before != Some(node);
+        self.data_centre_received_at
+            .insert(data_centre.clone(), now);
         if !demand.is_empty() {
-            self.centre_demand.insert(centre.clone(), (demand, now));
+            self.data_centre_demand
+                .insert(data_centre.clone(), (demand, now));
         }
     }
 
-    /// Another node collects for this data centre.
-    pub(crate) fn note_collector(&mut self) {
-        self.has_new_listener = true;
+    /// Records that another node has become the collector of this data centre.
+    pub(crate) fn record_collector_change(&mut self) {
+        self.has_new_receiver = true;
     }
 
-    /// Whether another node listens than at the last call: it has to be told all.
+    /// Takes whether another node receives the reports than at the last call: it needs all of them.
     pub fn take_new_listener(&mut self) -> bool {
-        std::mem::take(&mut self.has_new_listener)
+        std::mem::take(&mut self.has_new_receiver)
     }
 
-    /// Whether a data centre is heard whose name comes before this node's.
-    pub(crate) fn hears_before(&self, own: &DataCentreId, now: Instant) -> bool {
-        let mut earlier = self.centre_heard.range::<DataCentreId, _>(..own);
-        earlier.any(|(_, at)| now.saturating_duration_since(*at) <= CENTRE_SILENCE)
+    /// Returns whether a data centre is reachable whose name sorts before this node's.
+    pub(crate) fn has_earlier_data_centre(&self, own: &DataCentreId, now: Instant) -> bool {
+        let mut earlier = self.data_centre_received_at.range::<DataCentreId, _>(..own);
+        earlier.any(|(_, at)| now.saturating_duration_since(*at) <= DATA_CENTRE_SILENCE)
     }
 
-    /// Prompt tokens a second that the fleet's requests for a pool bring; for a node that collects.
+    /// Returns the prompt tokens per second that the fleet's requests for a pool bring. Complete only on a
+    /// collector.
     pub fn demand(&self, pool: &str, now: Instant) -> u64 {
         let key = pool_key(pool);
-        let foreign = self.centre_demand.values();
+        let foreign = self.data_centre_demand.values();
         let foreign = foreign.filter(|(_, at)| is_recent(*at, now));
-        let told = foreign.flat_map(|(demand, _)| demand);
-        let own = self.centre_demand(now);
-        let of_pool = told.chain(&own).filter(|demand| demand.pool == key);
+        let reported = foreign.flat_map(|(demand, _)| demand);
+        let own = self.data_centre_demand(now);
+        let of_pool = reported.chain(&own).filter(|demand| demand.pool == key);
         of_pool.map(|demand| demand.tokens_per_second).sum()
     }
 
-    /// What the requests of this data centre bring.
-    pub(crate) fn centre_demand(&self, now: Instant) -> Vec<PoolDemand> {
+    /// Returns the demand of the requests of this data centre.
+    pub(crate) fn data_centre_demand(&self, now: Instant) -> Vec<PoolDemand> {
         let mut sums: BTreeMap<u32, u64> = BTreeMap::new();
         let members = self.member_demand.values();
         let members = members.filter(|(_, at)| is_recent(*at, now));
--- a/crates/plumgate/src/gateway/exchange/messages.rs
+++ b/crates/plumgate/src/gateway/exchange/messages.rs
@@ -1,4 +1,4 @@
-//! What the nodes send each other.
+//! Messages that the nodes send each other, encoded with postcard.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -9,48 +9,48 @@
 use crate::gateway::servers::ServerEntry;
 use crate::gateway::work::{ServerWork, URGENCIES};
 
-/// Tokens that one unit in a message stands for.
+/// Tokens per unit of [`WorkEntry::pending_prefill`].
 const TOKEN_UNIT: u64 = 64;
 
-/// A server in a message: a digest of its id, which is long, and of its birth. What a node tells of the
-/// incarnation before says nothing of the one that has the id now.
+/// Short key of a server in messages: a digest of its id, which is long, and of its start time. Reports on an
+/// earlier incarnation of the id thus never count for the current one.
 pub(crate) type ServerKey = u32;
 
-/// The work at one server.
+/// Work in flight at one server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct WorkEntry {
     pub(crate) server: ServerKey,
     pub(crate) in_flight: u32,
-    /// Unread tokens by urgency, in units; what follows the last that is not zero is left out.
-    pub(crate) unread: Vec<u32>,
+    /// Tokens of pending prefill by urgency, in units of [`TOKEN_UNIT`]; trailing zeros are left out.
+    pub(crate) pending_prefill: Vec<u32>,
 }
 
-/// One message.
+/// Body of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ExchangeBody {
-    /// What one node has in flight.
+    /// Work that one node has in flight.
     Own(Vec<WorkEntry>),
-    /// What a data centre has in flight.
-    Centre(Vec<WorkEntry>),
-    /// What the whole fleet has in flight.
+    /// Work that the nodes of a data centre have in flight.
+    DataCentre(Vec<WorkEntry>),
+    /// Work that the whole fleet has in flight.
     Total(Vec<WorkEntry>),
-    /// Requests that began at servers.
+    /// Usage report: requests that began at servers.
     Usage(UsageNews),
-    /// A message about the limits of servers, sealed by one key or two.
-    Limits(Vec<Vec<u8>>),
+    /// A message about the statements of servers, sealed with one key or two.
+    Statements(Vec<Vec<u8>>),
 }
 
-/// What a pool's requests bring.
+/// Demand that requests for one pool cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolDemand {
-    /// The digest of the pool's name.
+    /// Digest of the pool's name.
     pub(crate) pool: u32,
-    /// Prompt tokens a second that have to be read.
+    /// Prompt tokens per second that the servers have to prefill.
     pub(crate) tokens_per_second: u64,
 }
 
 impl PoolDemand {
-    /// The demand of a pool.
+    /// Creates the demand of a pool.
     pub fn new(pool: &str, tokens_per_second: u64) -> Self {
         Self {
             pool: pool_key(pool),
@@ -59,25 +59,25 @@
     }
 }
 
-/// The digest of a pool's name.
+/// Returns the digest of a pool's name.
 pub(crate) fn pool_key(pool: &str) -> u32 {
     xxh3_64(pool.as_bytes()) as u32
 }
 
-/// A prompt part that a server other than its home has read.
+/// A prompt part that a server other than its preferred one has prefilled.
 ///
-/// Told to all nodes, since it costs the fleet one more reading: as long as only one node knows,
-/// each of the others would have yet another server read it.
+/// Sent to all nodes, since each such server costs the fleet one more prefill of the part: a node that doesn't
+/// know of it would have yet another server prefill the part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PartPlace {
-    /// The part.
+    /// Id of the part.
     pub part: u64,
-    /// The digest of the server's id and birth.
+    /// Key of the server: a digest of its id and start time.
     pub server: u32,
 }
 
 impl PartPlace {
-    /// A part at a server.
+    /// Creates the location of a part at a server.
     pub fn new(part: u64, server: &ServerEntry) -> Self {
         Self {
             part,
@@ -86,60 +86,60 @@
     }
 }
 
-/// One message.
+/// One message: a body, and what goes along with it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ExchangeMessage {
     pub(crate) node: String,
     pub(crate) data_centre: String,
-    /// The sender's share of processors.
+    /// CPU share of the sender.
     pub(crate) capacity: NodeCapacity,
-    /// Whether the sender can't read the store for others, and somebody else should.
+    /// Whether the sender can't read the store on behalf of others, so that another node should.
     pub(crate) is_behind: bool,
-    /// How many nodes the body tells of.
-    pub(crate) nodes: u32,
+    /// Number of nodes that the body covers.
+    pub(crate) node_count: u32,
     pub(crate) body: ExchangeBody,
-    pub(crate) places: Vec<PartPlace>,
-    /// What the sender tells of requests that end servers, each sealed by itself.
+    pub(crate) locations: Vec<PartPlace>,
+    /// Notices about poison requests, each sealed by itself.
     pub(crate) notices: Vec<Vec<u8>>,
-    /// What the requests bring that the body tells of.
+    /// Demand of the requests that the body covers.
     pub(crate) demand: Vec<PoolDemand>,
-    /// What the sender says of the time of day.
+    /// The sender's report of the time of day.
     pub(crate) clock: Option<ClockNews>,
-    /// What the sender asks of the store's news.
-    pub(crate) question: Option<NewsQuestion>,
-    /// The answer to the receiver's last question.
-    pub(crate) answer: Option<NewsAnswer>,
+    /// The sender's sync request for the state of the store.
+    pub(crate) sync_request: Option<NewsQuestion>,
+    /// Response to the last sync request of the receiver.
+    pub(crate) sync_response: Option<NewsAnswer>,
 }
 
-/// The digest of a server's id and birth.
+/// Returns the key of a server's incarnation.
 pub(crate) fn server_key(server: &ServerEntry) -> ServerKey {
     server.incarnation_key()
 }
 
 impl WorkEntry {
-    /// The work at a server, as it is sent.
+    /// Encodes the work at a server.
     pub(crate) fn new(server: ServerKey, work: &ServerWork) -> Self {
         let units = work.unread.iter().map(|tokens| tokens.div_ceil(TOKEN_UNIT));
-        let mut unread: Vec<u32> = units
+        let mut pending_prefill: Vec<u32> = units
             .map(|units| u32::try_from(units).unwrap_or(u32::MAX))
             .collect();
-        while unread.last() == Some(&0) {
-            unread.pop();
+        while pending_prefill.last() == Some(&0) {
+            pending_prefill.pop();
         }
         Self {
             server,
             in_flight: work.in_flight,
-            unread,
+            pending_prefill,
         }
     }
 
-    /// The work as it was sent.
+    /// Decodes the work at the server.
     pub(crate) fn work(&self) -> ServerWork {
         let mut work = ServerWork {
             in_flight: self.in_flight,
             ..ServerWork::default()
         };
-        let units = self.unread.iter().take(URGENCIES);
+        let units = self.pending_prefill.iter().take(URGENCIES);
         for (tokens, units) in work.unread.iter_mut().zip(units) {
             *tokens = u64::from(*units) * TOKEN_UNIT;
         }
--- a/crates/plumgate/src/gateway/exchange/mod.rs
+++ b/crates/plumgate/src/gateway/exchange/mod.rs
@@ -1,14 +1,14 @@
-//! What the nodes tell each other of their work, and who collects it.
+//! Messages that the nodes exchange about their load, and the choice of the collector that aggregates them.
 
 pub(crate) mod messages;
 
 mod duty_talk;
 mod load_exchange;
 mod nodes;
+mod part_locations;
 mod peer_view;
 mod peers;
-mod places;
-mod told;
+mod reported_work;
 
 pub use duty_talk::{ClockSpeaker, DutyTalk, HeardClock, HeardUsage};
 pub use load_exchange::{ExchangePacket, HeardNotice, LoadExchange, TalkMoment};
--- a/crates/plumgate/src/gateway/exchange/nodes.rs
+++ b/crates/plumgate/src/gateway/exchange/nodes.rs
@@ -1,22 +1,22 @@
-//! A node as it makes itself known to the others.
+//! A node as it registers itself with the others.
 
 use std::net::SocketAddr;
 
 use crate::ids::{DataCentreId, NodeId};
 
-/// A node's share of processors, in thousandths of one; 0 where it is not known.
+/// A node's CPU share, in thousandths of a core; 0 if it is not known.
 pub type NodeCapacity = u32;
 
-/// A node, as it registers itself.
+/// A node's entry in the register of nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeEntry {
-    /// Its name.
+    /// Name of the node.
     pub node: NodeId,
-    /// Its data centre.
+    /// Data centre that the node runs in.
     pub data_centre: DataCentreId,
-    /// Where the other nodes reach it.
+    /// Address on which the node receives messages of the other nodes.
     pub address: SocketAddr,
-    /// How much work it can bear. A collector's grows with the nodes of its data centre, so that the
-    /// roomiest is preferred.
+    /// CPU share of the node. The collector's work grows with the nodes of its data centre, so the node with
+    /// the largest capacity is preferred.
     pub capacity: NodeCapacity,
 }
--- a/crates/plumgate/src/gateway/exchange/peer_view.rs
+++ b/crates/plumgate/src/gateway/exchange/peer_view.rs
@@ -1,4 +1,4 @@
-//! The other nodes, as one node sees them at a moment.
+//! View of the other nodes at one moment, as this node knows them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,39 +6,40 @@
 use super::nodes::NodeEntry;
 use crate::ids::{DataCentreId, NodeId};
 
-/// Another node and where it is reached.
+/// Another node and its address.
 pub(crate) type PeerPlace = (NodeId, SocketAddr);
 
-/// Who the other nodes are, and which of them collect.
+/// The other nodes, and which of them are collectors.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerView {
     /// This node.
     pub(crate) own: NodeEntry,
-    /// The collector of this node's data centre; none where this node is it.
+    /// Collector of this node's data centre; `None` if this node is the collector.
     pub(crate) collector: Option<PeerPlace>,
-    /// The other nodes of this node's data centre, where this one collects.
+    /// Other nodes of this node's data centre; empty unless this node is the collector.
     pub(crate) members: Vec<PeerPlace>,
-    /// The other data centres and the collector of each, where one is heard.
+    /// The other data centres, each with the collector expected there; `None` if all of its nodes are silent.
     pub(crate) foreign: BTreeMap<DataCentreId, Option<PeerPlace>>,
-    /// Nodes of this node's data centre that are known, this one included.
+    /// Number of known nodes of this node's data centre, this one included.
     pub(crate) centre_count: usize,
-    /// Nodes of the fleet that are known, this one included.
+    /// Number of known nodes of the fleet, this one included.
     pub(crate) fleet_count: usize,
-    /// Those of this node's data centre that are not silent for so long that they count as gone.
+    /// Number of nodes of this node's data centre, this one included, that have not been silent for so long
+    /// that they count as gone.
     pub(crate) alive_count: usize,
-    /// Whether this node would collect if all nodes of its data centre were heard.
+    /// Whether this node would be the collector if all nodes of its data centre were reachable.
     pub(crate) is_preferred: bool,
-    /// Whether the register of nodes was read.
+    /// Whether the register of nodes has been read.
     pub(crate) is_complete: bool,
 }
 
-/// A sealed message about what servers said of themselves, as it came.
+/// A sealed message about the statements of servers, as received from another node.
 #[derive(Clone, Debug)]
 pub struct HeardMail {
-    /// The node that sent it.
+    /// Node that sent it.
     pub(crate) node: NodeId,
-    /// Its data centre.
+    /// Data centre of the sender.
     pub(crate) data_centre: DataCentreId,
-    /// The message, sealed by one key or two.
+    /// The message, sealed with one key or two.
     pub(crate) sealed: Vec<Vec<u8>>,
 }
--- a/crates/plumgate/src/gateway/exchange/peers.rs
+++ b/crates/plumgate/src/gateway/exchange/peers.rs
@@ -1,7 +1,8 @@
-//! The other nodes, and which of them collect for their data centres.
+//! The other nodes, and which of them are the collectors of their data centres.
 //!
-//! All nodes prefer the same collector of a data centre without talking: the roomiest VM, among equals
-//! the one that rendezvous hashing names. Whoever is silent is passed over until it is heard again.
+//! All nodes prefer the same collector of a data centre without any agreement: the node with the largest
+//! capacity, and among equals the one that rendezvous hashing selects. A silent node is passed over until a
+//! message of it is received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -10,66 +11,68 @@
 
 use super::nodes::{NodeCapacity, NodeEntry};
 use super::peer_view::PeerView;
-use super::told::ToldWork;
+use super::reported_work::ReportedWork;
 use crate::gateway::news::messages::NewsQuestion;
 use crate::ids::{DataCentreId, NodeId};
 use crate::membership::rendezvous_weight;
 
-/// How long a collector may be silent before the next one is chosen.
+/// Silence of a collector after which the next one is chosen.
 pub(crate) const COLLECTOR_SILENCE: Duration = Duration::from_millis(900);
-/// How long a collector that handed over is passed over: longer than most outages of single nodes, as
-/// each change of the collector has its nodes take all servers anew.
+/// Time for which a collector that handed over is passed over: longer than most outages of single nodes, as
+/// after each change of the collector its nodes load all servers anew.
 const HANDOVER_TIME: Duration = Duration::from_secs(10);
-/// Nodes of a data centre that hand over at the same time. Where several in a row lost the store it
-/// answers nobody, and going on through all nodes would only change the collector again and again.
+/// Maximum number of nodes of a data centre that have handed over at the same time. If several in a row have
+/// lost the store, it answers nobody, and going on through all nodes would only change the collector again and
+/// again.
 const HANDOVERS_MOST: usize = 2;
-/// Collectors of another data centre that get a sum: a second one where the first just went.
+/// Possible collectors of another data centre that get a sum: a second one in case the first has just failed.
 const FOREIGN_COLLECTORS: usize = 2;
 
-/// How long a node must be silent to count as gone, where that is asked for.
+/// Silence after which a node counts as gone, where [`PeerView::alive_count`] is computed.
 const GONE_AFTER: Duration = Duration::from_secs(15);
 
-/// Another node.
+/// State of another node.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberState {
     pub(crate) entry: NodeEntry,
-    pub(crate) told: ToldWork,
+    pub(crate) reported: ReportedWork,
     silent: bool,
-    /// When it was heard last, or met first.
-    heard_at: Option<Instant>,
-    /// Until when it is passed over, as it said that it can't read for others.
+    /// When a message of it was last received, or when it became known.
+    received_at: Option<Instant>,
+    /// Until when it is passed over as a collector, since it reported that it can't read the store for others.
     behind_until: Option<Instant>,
-    /// Since when this node, as a collector, has talked to it as to another one in vain.
+    /// Since when this node, as a collector, has sent to it as the collector of its data centre without a
+    /// response.
     unanswered_since: Option<Instant>,
-    /// Its last question that was not answered yet, and when that came.
-    pub(crate) question: Option<(NewsQuestion, Duration)>,
+    /// Its last sync request that has not been answered yet, and when that was received.
+    pub(crate) sync_request: Option<(NewsQuestion, Duration)>,
 }
 
-/// How much a node is preferred as a collector.
+/// Preference of a node as a collector; higher is preferred.
 type CollectorRank = (NodeCapacity, u64);
 
-/// The other nodes.
+/// Table of the other nodes.
 #[derive(Debug)]
 pub(crate) struct PeerTable {
     own: NodeEntry,
     members: BTreeMap<NodeId, MemberState>,
-    /// Until when this node collects only where no other can.
+    /// Until when this node is the collector only if no other node can be.
     behind_until: Option<Instant>,
-    /// The time as of the last event.
+    /// Time of the last event.
     now: Option<Instant>,
-    /// The other nodes of each data centre, the preferred collector first. Kept from change to change:
-    /// sorted anew for each message, 195 nodes cost a collector more than all else that it does.
+    /// The other nodes of each data centre, the preferred collector first. Updated only when nodes change:
+    /// sorted for each message, 195 nodes cost a collector more than all its other work.
     ranked: BTreeMap<DataCentreId, Vec<(CollectorRank, NodeId)>>,
-    /// How many nodes the collectors of other data centres counted in theirs.
-    counted: BTreeMap<DataCentreId, usize>,
-    /// How many nodes this node's collector counted in the whole fleet.
-    told_count: usize,
-    /// Whether the register was read.
+    /// Number of nodes of the other data centres, as counted by their collectors.
+    node_counts: BTreeMap<DataCentreId, usize>,
+    /// Number of nodes of the whole fleet, as counted by this node's collector.
+    reported_fleet_count: usize,
+    /// Whether the register has been read.
     is_complete: bool,
 }
 
 impl PeerTable {
-    /// A node that knows of no other.
+    /// Creates the table of a node that knows no other.
     pub(crate) fn new(own: NodeEntry) -> Self {
         Self {
             own,
@@ -77,30 +80,30 @@
             behind_until: None,
             now: None,
             ranked: BTreeMap::new(),
-            counted: BTreeMap::new(),
-            told_count: 0,
+            node_counts: BTreeMap::new(),
+            reported_fleet_count: 0,
             is_complete: false,
         }
     }
 
-    /// This node.
+    /// Returns this node's entry.
     pub(crate) fn own(&self) -> &NodeEntry {
         &self.own
     }
 
-    /// Takes over the nodes that have registered.
+    /// Replaces the known nodes by those of the register.
     pub(crate) fn set_nodes(&mut self, entries: Vec<NodeEntry>) {
         let known: BTreeSet<&NodeId> = entries.iter().map(|entry| &entry.node).collect();
         self.members.retain(|node, _| known.contains(node));
         self.is_complete = true;
         self.rank_all();
         for entry in entries {
-            self.meet(entry);
+            self.upsert(entry);
         }
     }
 
-    /// A node was registered or talked.
-    pub(crate) fn meet(&mut self, entry: NodeEntry) {
+    /// Adds or updates a node that was found in the register or sent a message.
+    pub(crate) fn upsert(&mut self, entry: NodeEntry) {
         if entry.node == self.own.node {
             return;
         }
@@ -112,17 +115,17 @@
             }
             None => {
                 let (rank, node) = (collector_rank(&entry), entry.node.clone());
-                let of_centre = self.ranked.entry(entry.data_centre.clone()).or_default();
-                let place = of_centre.partition_point(|(better, _)| *better > rank);
-                of_centre.insert(place, (rank, node.clone()));
+                let nodes = self.ranked.entry(entry.data_centre.clone()).or_default();
+                let position = nodes.partition_point(|(better, _)| *better > rank);
+                nodes.insert(position, (rank, node.clone()));
                 let state = MemberState {
                     entry,
-                    told: ToldWork::default(),
+                    reported: ReportedWork::default(),
                     silent: false,
-                    heard_at: self.now,
+                    received_at: self.now,
                     behind_until: None,
                     unanswered_since: None,
-                    question: None,
+                    sync_request: None,
                 };
                 self.members.insert(node, state);
             }
@@ -133,29 +136,29 @@
         self.ranked.clear();
         for member in self.members.values() {
             let entry = &member.entry;
-            let of_centre = self.ranked.entry(entry.data_centre.clone()).or_default();
-            of_centre.push((collector_rank(entry), entry.node.clone()));
+            let nodes = self.ranked.entry(entry.data_centre.clone()).or_default();
+            nodes.push((collector_rank(entry), entry.node.clone()));
         }
-        for of_centre in self.ranked.values_mut() {
-            of_centre.sort_by(|one, other| other.cmp(one));
+        for nodes in self.ranked.values_mut() {
+            nodes.sort_by(|one, other| other.cmp(one));
         }
     }
 
-    /// Time goes on.
+    /// Sets the current time.
     pub(crate) fn set_now(&mut self, now: Instant) {
         self.now = Some(now);
     }
 
-    /// A node was heard, and may have said that it can't read for others.
-    pub(crate) fn note_heard(&mut self, node: &NodeId, is_behind: bool) {
+    /// Records that a message of a node was received, and whether that node can't read the store for others.
+    pub(crate) fn record_received(&mut self, node: &NodeId, is_behind: bool) {
         let until = self
             .now
             .filter(|_| is_behind)
             .map(|now| now + HANDOVER_TIME);
-        let heard_at = self.now;
+        let received_at = self.now;
         if let Some(member) = self.members.get_mut(node) {
             member.silent = false;
-            member.heard_at = heard_at;
+            member.received_at = received_at;
             member.unanswered_since = None;
             if until.is_some() && !is_before(self.now, member.behind_until) {
                 member.behind_until = until;
@@ -163,102 +166,108 @@
         }
     }
 
-    /// Whether this node collects only where no other can.
+    /// Returns whether this node is the collector only if no other node can be.
     pub(crate) fn is_behind(&self) -> bool {
         is_before(self.now, self.behind_until)
     }
 
-    /// This node can't read for the others: another one collects for some time, unless several tried.
+    /// Lets another node collect for some time, since this one can't read the store for the others; does
+    /// nothing if several nodes have already handed over.
     pub(crate) fn hand_over(&mut self) {
-        let behind = self.own_centre().filter(|member| !self.is_fit(member));
+        let behind = self
+            .own_data_centre_peers()
+            .filter(|member| !self.is_up_to_date(member));
         if behind.count() < HANDOVERS_MOST {
             self.behind_until = self.now.map(|now| now + HANDOVER_TIME);
         }
     }
 
-    fn is_fit(&self, member: &MemberState) -> bool {
+    fn is_up_to_date(&self, member: &MemberState) -> bool {
         !is_before(self.now, member.behind_until)
     }
 
-    /// A node is passed over as a collector until it is heard.
+    /// Passes over a node as a collector until a message of it is received.
     pub(crate) fn pass_over(&mut self, node: &NodeId) {
         if let Some(member) = self.members.get_mut(node) {
             member.silent = true;
         }
     }
 
-    /// Another node.
+    /// Returns the state of another node.
     pub(crate) fn member_mut(&mut self, node: &NodeId) -> Option<&mut MemberState> {
         self.members.get_mut(node)
     }
 
-    /// The other nodes of this node's data centre.
-    pub(crate) fn own_centre(&self) -> impl Iterator<Item = &MemberState> {
-        self.of_centre(&self.own.data_centre)
+    /// Returns the other nodes of this node's data centre.
+    pub(crate) fn own_data_centre_peers(&self) -> impl Iterator<Item = &MemberState> {
+        self.data_centre_peers(&self.own.data_centre)
     }
 
-    fn of_centre(&self, centre: &DataCentreId) -> impl Iterator<Item = &MemberState> {
+    fn data_centre_peers(&self, centre: &DataCentreId) -> impl Iterator<Item = &MemberState> {
         let ranked = self.ranked.get(centre).into_iter().flatten();
         ranked.filter_map(|(_, node)| self.members.get(node))
     }
 
-    /// The other nodes of a data centre that may be its collector, the preferred one first: those that
-    /// handed over come last.
+    /// Returns the other nodes of a data centre that may be its collector, the preferred one first and those
+    /// that handed over last.
     fn eligible(&self, centre: &DataCentreId) -> impl Iterator<Item = &NodeId> {
-        let heard = || self.of_centre(centre).filter(|member| !member.silent);
-        let fit = heard().filter(|member| self.is_fit(member));
-        let behind = heard().filter(|member| !self.is_fit(member));
-        fit.chain(behind).map(|member| &member.entry.node)
+        let reachable = || {
+            self.data_centre_peers(centre)
+                .filter(|member| !member.silent)
+        };
+        let up_to_date = reachable().filter(|member| self.is_up_to_date(member));
+        let behind = reachable().filter(|member| !self.is_up_to_date(member));
+        up_to_date.chain(behind).map(|member| &member.entry.node)
     }
 
-    /// The collector of this node's data centre; `None` where this node is it.
+    /// Returns the collector of this node's data centre; `None` if this node is the collector.
     pub(crate) fn collector(&self) -> Option<&NodeId> {
         let best = self.eligible(&self.own.data_centre).next()?;
         let member = self.members.get(best)?;
-        let preference = |is_fit, entry| (is_fit, collector_rank(entry));
-        let other = preference(self.is_fit(member), &member.entry);
+        let preference = |is_up_to_date, entry| (is_up_to_date, collector_rank(entry));
+        let other = preference(self.is_up_to_date(member), &member.entry);
         (other > preference(!self.is_behind(), &self.own)).then_some(best)
     }
 
-    /// How many nodes come before this one in an order that a seed names: the same at all nodes that know
-    /// the same others.
+    /// Returns how many nodes precede this one in an order that depends on `seed`: the same at all nodes that
+    /// know the same others.
     pub(crate) fn turn(&self, seed: u64) -> usize {
         let rank = |node: &NodeId| xxh3_64_with_seed(node.as_bytes(), seed);
         let own = rank(&self.own.node);
         self.members.keys().filter(|node| rank(node) > own).count()
     }
 
-    /// Whether a node reads the store for the collectors of all data centres: the collector of the one
-    /// whose name comes first. It is one node for all, as what two of them tell doesn't fit together,
-    /// and the order keeps two collectors from each leaving the reading to the other.
-    pub(crate) fn is_reader(&self, node: &NodeId) -> bool {
+    /// Returns whether a node reads the store for the collectors of all data centres: it is the collector of
+    /// the one whose name sorts first. There is a single one, as the sync responses of two nodes don't fit
+    /// together, and the order prevents that two collectors each rely on the other to read.
+    pub(crate) fn is_watcher(&self, node: &NodeId) -> bool {
         let first = self.ranked.iter().find(|(_, nodes)| !nodes.is_empty());
         let first = first.filter(|(centre, _)| **centre < self.own.data_centre);
         first.is_some_and(|(centre, _)| self.eligible(centre).next() == Some(node))
     }
 
-    /// The data centres whose nodes are known, this node's own among them.
+    /// Returns the data centres with known nodes, this node's own included.
     pub(crate) fn data_centres(&self) -> Vec<DataCentreId> {
-        let mut centres = self.foreign_centres();
+        let mut centres = self.foreign_data_centres();
         centres.push(self.own.data_centre.clone());
         centres
     }
 
-    fn foreign_centres(&self) -> Vec<DataCentreId> {
+    fn foreign_data_centres(&self) -> Vec<DataCentreId> {
         let centres = self.ranked.iter().filter(|(_, nodes)| !nodes.is_empty());
         let foreign = centres.filter(|(centre, _)| **centre != self.own.data_centre);
         foreign.map(|(centre, _)| centre.clone()).collect()
     }
 
-    /// Passes over the collectors of other data centres that don't answer, until they are heard
-    /// again. One that is gone for good stays in the register, and would be asked for ever.
+    /// Passes over collectors of other data centres that don't respond, until a message of them is received.
+    /// One that has failed for good stays in the register, and would otherwise be addressed for ever.
     pub(crate) fn watch_foreign(&mut self, now: Instant) {
-        for centre in self.foreign_centres() {
+        for centre in self.foreign_data_centres() {
             let Some(first) = self.eligible(&centre).next().cloned() else {
-                // All were passed over, as behind a cut: begin with the first again.
-                let of_centre = self.members.values_mut();
-                let of_centre = of_centre.filter(|member| member.entry.data_centre == centre);
-                of_centre.for_each(|member| member.silent = false);
+                // All were passed over, as in a network partition: start again with the first.
+                let nodes = self.members.values_mut();
+                let nodes = nodes.filter(|member| member.entry.data_centre == centre);
+                nodes.for_each(|member| member.silent = false);
                 continue;
             };
             let Some(member) = self.members.get_mut(&first) else {
@@ -272,46 +281,46 @@
         }
     }
 
-    /// The collectors of the other data centres, which the sums of this one go to.
+    /// Returns the collectors of the other data centres, which get the sums of this one.
     pub(crate) fn foreign_collectors(&self) -> BTreeSet<NodeId> {
-        let centres = self.foreign_centres().into_iter();
+        let centres = self.foreign_data_centres().into_iter();
         let first = centres.filter_map(|centre| self.eligible(&centre).next().cloned());
         first.collect()
     }
 
-    /// The same with those that may collect there next. The usual collector of each is among them even
-    /// while it is passed over: both sides of a cut pass over each other's, and would otherwise have to
-    /// find them again one by one when it is over.
+    /// Returns the collectors of the other data centres and the nodes that may become collectors there next.
+    /// The preferred collector of each is included even while it is passed over: in a network partition both
+    /// sides pass over each other's collectors, and would afterwards have to find them one by one.
     pub(crate) fn next_foreign_collectors(&self) -> BTreeSet<NodeId> {
         let mut collectors = BTreeSet::new();
-        for centre in self.foreign_centres() {
+        for centre in self.foreign_data_centres() {
             let eligible = self.eligible(&centre).take(FOREIGN_COLLECTORS);
             collectors.extend(eligible.cloned());
-            let usual = self.of_centre(&centre).next();
+            let usual = self.data_centre_peers(&centre).next();
             collectors.extend(usual.map(|member| member.entry.node.clone()));
         }
         collectors
     }
 
-    /// The other nodes as they are seen now.
+    /// Returns the other nodes as they are known now.
     pub(crate) fn view(&self, collecting_since: Option<Instant>) -> PeerView {
-        let place = |node: &NodeId| {
+        let with_address = |node: &NodeId| {
             let member = self.members.get(node)?;
             Some((node.clone(), member.entry.address))
         };
-        let foreign = self.foreign_centres().into_iter().map(|centre| {
-            let collector = self.eligible(&centre).next().and_then(place);
+        let foreign = self.foreign_data_centres().into_iter().map(|centre| {
+            let collector = self.eligible(&centre).next().and_then(with_address);
             (centre, collector)
         });
-        let collector = self.collector().and_then(place);
-        let members = self.own_centre().filter(|_| collector.is_none());
+        let collector = self.collector().and_then(with_address);
+        let members = self.own_data_centre_peers().filter(|_| collector.is_none());
         let members = members.map(|member| {
             let entry = &member.entry;
             (entry.node.clone(), entry.address)
         });
-        let alive = self.own_centre();
+        let alive = self.own_data_centre_peers();
         let alive = alive.filter(|member| !self.is_gone(member, collecting_since));
-        let mut others = self.own_centre();
+        let mut others = self.own_data_centre_peers();
         let own_rank = collector_rank(&self.own);
         PeerView {
             own: self.own.clone(),
@@ -326,52 +335,53 @@
         }
     }
 
-    /// Whether a node has been silent for so long that it counts as gone. Nodes speak to their collector: that this
-    /// one does not hear them means something from when on it collects.
+    /// Returns whether a node has been silent for so long that it counts as gone. Nodes send to their
+    /// collector, so silence means something only since this node became the collector.
     fn is_gone(&self, member: &MemberState, collecting_since: Option<Instant>) -> bool {
-        let (Some(now), Some(heard), Some(since)) = (self.now, member.heard_at, collecting_since)
+        let (Some(now), Some(received), Some(since)) =
+            (self.now, member.received_at, collecting_since)
         else {
             return false;
         };
-        now.saturating_duration_since(heard.max(since)) > GONE_AFTER
+        now.saturating_duration_since(received.max(since)) > GONE_AFTER
     }
 
-    /// A collector counted the nodes of its data centre.
-    pub(crate) fn note_count(&mut self, centre: DataCentreId, count: usize) {
-        self.counted.insert(centre, count);
+    /// Stores the number of nodes of a data centre, as counted by its collector.
+    pub(crate) fn record_count(&mut self, centre: DataCentreId, count: usize) {
+        self.node_counts.insert(centre, count);
     }
 
-    /// This node's collector counted the nodes of the fleet.
-    pub(crate) fn note_fleet(&mut self, count: usize) {
-        self.told_count = count;
+    /// Stores the number of nodes of the fleet, as counted by this node's collector.
+    pub(crate) fn record_fleet_count(&mut self, count: usize) {
+        self.reported_fleet_count = count;
     }
 
-    /// How many nodes of this node's data centre are known, this one included.
+    /// Returns the number of known nodes of this node's data centre, this one included.
     pub(crate) fn centre_count(&self) -> usize {
-        self.known_in(&self.own.data_centre) + 1
+        self.peer_count(&self.own.data_centre) + 1
     }
 
-    /// How many nodes of the fleet are known, this one included. Nodes that came since this one read the
-    /// register are known to their collectors, which tell their number.
+    /// Returns the number of known nodes of the fleet, this one included. Nodes that registered since this one
+    /// read the register are known to their collectors, which report their number.
     pub(crate) fn count(&self) -> usize {
         if self.collector().is_some() {
-            return self.told_count.max(self.members.len() + 1);
+            return self.reported_fleet_count.max(self.members.len() + 1);
         }
         let centres: BTreeSet<&DataCentreId> =
-            self.ranked.keys().chain(self.counted.keys()).collect();
+            self.ranked.keys().chain(self.node_counts.keys()).collect();
         let foreign = centres
             .into_iter()
             .filter(|centre| **centre != self.own.data_centre);
         let foreign: usize = foreign
             .map(|centre| {
-                let told = self.counted.get(centre).copied().unwrap_or_default();
-                told.max(self.known_in(centre))
+                let reported = self.node_counts.get(centre).copied().unwrap_or_default();
+                reported.max(self.peer_count(centre))
             })
             .sum();
         foreign + self.centre_count()
     }
 
-    fn known_in(&self, centre: &DataCentreId) -> usize {
+    fn peer_count(&self, centre: &DataCentreId) -> usize {
         self.ranked.get(centre).map_or(0, Vec::len)
     }
 }
--- a/crates/plumgate/src/gateway/exchange/told.rs
+++ b/crates/plumgate/src/gateway/exchange/reported_work.rs
@@ -1,4 +1,4 @@
-//! What somebody told of its work, until it is forgotten.
+//! Work reported by other nodes, which expires if it is not renewed.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,16 +6,16 @@
 use super::messages::{ServerKey, WorkEntry};
 use crate::gateway::work::ServerWork;
 
-/// How long what somebody told counts: a few rounds, so that a lost message does no harm.
+/// Time for which a report counts: several rounds, so that the loss of a message does no harm.
 const LIFETIME: Duration = Duration::from_secs(1);
 
-/// Work at servers that somebody told, with its time.
+/// Reported work by server, each with the time of the report.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ToldWork(HashMap<ServerKey, (ServerWork, Instant)>);
+pub(crate) struct ReportedWork(HashMap<ServerKey, (ServerWork, Instant)>);
 
-impl ToldWork {
-    /// Takes in what was told.
-    pub(crate) fn tell(&mut self, entries: &[WorkEntry], now: Instant) {
+impl ReportedWork {
+    /// Stores reported entries, and drops those that have expired.
+    pub(crate) fn record(&mut self, entries: &[WorkEntry], now: Instant) {
         self.0
             .retain(|_, (_, at)| now.saturating_duration_since(*at) < LIFETIME);
         for entry in entries {
@@ -23,13 +23,13 @@
         }
     }
 
-    /// Takes over sums in place of all that was told.
+    /// Replaces all entries by the given sums.
     pub(crate) fn replace(&mut self, sums: &HashMap<ServerKey, ServerWork>, now: Instant) {
         let entries = sums.iter().map(|(key, work)| (*key, (*work, now)));
         self.0 = entries.collect();
     }
 
-    /// What was told of a server, unless that is long ago.
+    /// Returns the work reported at a server; none if the report has expired.
     pub(crate) fn fresh(&self, key: ServerKey, now: Instant) -> ServerWork {
         match self.0.get(&key) {
             Some((work, at)) if now.saturating_duration_since(*at) < LIFETIME => *work,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Adds all of it to sums.
+    /// Adds all entries that have not expired to `sums`.
     pub(crate) fn add_to(&self, sums: &mut HashMap<ServerKey, ServerWork>, now: Instant) {
         for key in self.0.keys() {
             let work = self.fresh(*key, now);
-            let held = sums.entry(*key).or_default();
-            *held = held.plus(&work);
+            let sum = sums.entry(*key).or_default();
+            *sum = sum.plus(&work);
         }
     }
 }
