--- a/crates/plumgate/src/gateway/rate_limit/book.rs
+++ b/crates/plumgate/src/gateway/rate_limit/book.rs
@@ -1,4 +1,4 @@
-//! The limits that servers named, by incarnation, and which of them are still to be told.
+//! Table of the limits that servers named, by incarnation, and of the reports that are due.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,74 +8,74 @@
 use super::statement::RequestRate;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// How long a limit is remembered of a server that answers nobody.
-const LIMIT_MEMORY: Duration = Duration::from_secs(600);
-/// How long it is remembered that a limit ended.
-const END_MEMORY: Duration = Duration::from_secs(30);
-/// Servers that are remembered, some 100 bytes each.
-const SERVERS_MOST: usize = 8_192;
-/// Rounds in which a change is told, so that one message arrives.
-const TELL_ROUNDS: u32 = 3;
-/// Time after which a sighting is told anew, for nodes that started since.
-const RETELL: Duration = Duration::from_secs(1);
-/// How long after a sighting it is told anew.
-const TOLD_AGE: Duration = Duration::from_secs(10);
+/// How long a limit is retained while no answer from its server names one.
+const LIMIT_RETENTION: Duration = Duration::from_secs(600);
+/// How long the end of a limit is retained.
+const END_RETENTION: Duration = Duration::from_secs(30);
+/// Maximum number of servers in the table, some 100 bytes each.
+const MAX_SERVERS: usize = 8_192;
+/// Number of rounds in which a change is reported, so that at least one message arrives.
+const REPORT_ROUNDS: u32 = 3;
+/// Interval between repeated reports, for nodes that started in the meantime.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Age of an observation up to which its report is repeated.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 
-/// One server's limit, and how far it has been told.
+/// The limit of one server, and the state of its reports.
 #[derive(Clone, Copy, Debug)]
-struct BookEntry {
+struct LimitEntry {
     limit: ObservedLimit,
-    tell_rounds: u32,
-    told_at: BootTime,
+    rounds_left: u32,
+    reported_at: BootTime,
     /// When the server last answered this node.
     answered_at: Option<BootTime>,
 }
 
-/// All limits that one node knows of.
+/// All limits known to one node.
 #[derive(Debug, Default)]
-pub(crate) struct LimitBook {
-    entries: BTreeMap<ServerKey, BookEntry>,
+pub(crate) struct LimitTable {
+    entries: BTreeMap<ServerKey, LimitEntry>,
 }
 
-impl LimitBook {
-    /// Whether nothing is known of any limit.
+impl LimitTable {
+    /// Returns whether no limit is known.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What is known of a server.
+    /// Returns what is known about a server's limit.
     pub(crate) fn limit(&self, key: ServerKey) -> Option<&ObservedLimit> {
         self.entries.get(&key).map(|entry| &entry.limit)
     }
 
-    /// The limit of a server.
+    /// Returns the current limit of a server.
     pub(crate) fn rate(&self, key: ServerKey) -> Option<RequestRate> {
         self.limit(key)?.rate()
     }
 
-    /// The servers that are limited.
+    /// Returns the servers that are limited.
     pub(crate) fn limited(&self) -> impl Iterator<Item = (ServerKey, RequestRate)> {
         let entries = self.entries.iter();
         entries.filter_map(|(key, entry)| Some((*key, entry.limit.rate()?)))
     }
 
-    /// Folds in a sighting; `tells` where other nodes learn of it from this one.
+    /// Merges an observation; `forwards` says whether this node reports it to others.
     fn apply(
         &mut self,
         key: ServerKey,
         sighting: LimitSighting,
-        tells: bool,
+        forwards: bool,
         now: BootTime,
     ) -> Option<LimitChange> {
-        let is_full = self.entries.len() >= SERVERS_MOST;
+        let is_full = self.entries.len() >= MAX_SERVERS;
         let change = match self.entries.get_mut(&key) {
             Some(entry) => entry.limit.apply(sighting),
             None if sighting.rate.is_none() || is_full => None,
             None => {
-                let entry = BookEntry {
+                let entry = LimitEntry {
                     limit: ObservedLimit::new(sighting, now),
-                    tell_rounds: 0,
-                    told_at: now,
+                    rounds_left: 0,
+                    reported_at: now,
                     answered_at: None,
                 };
                 self.entries.insert(key, entry);
@@ -84,14 +84,14 @@
         };
         if let Some(entry) = self.entries.get_mut(&key)
             && change.is_some()
-            && tells
+            && forwards
         {
-            entry.tell_rounds = TELL_ROUNDS;
+            entry.rounds_left = REPORT_ROUNDS;
         }
         change
     }
 
-    /// The server answered this node.
+    /// Merges the limit from an answer that this node received.
     pub(crate) fn apply_answer(
         &mut self,
         key: ServerKey,
@@ -104,65 +104,65 @@
         change
     }
 
-    /// Folds in what another node told; `tells` where this node passes it on.
+    /// Merges a report from another node; `forwards` says whether this node passes it on.
     pub(crate) fn apply_report(
         &mut self,
         report: &LimitReport,
         sighting: LimitSighting,
-        tells: bool,
+        forwards: bool,
         now: BootTime,
     ) -> Option<LimitChange> {
-        let change = self.apply(report.server, sighting, tells, now);
+        let change = self.apply(report.server, sighting, forwards, now);
         if let Some(entry) = self.entries.get_mut(&report.server) {
-            entry.limit.note_first_named(report.first_named(now));
+            entry.limit.merge_first_named(report.first_named(now));
         }
         change
     }
 
-    /// Forgets what is too old.
+    /// Discards entries that are too old.
     pub(crate) fn forget_old(&mut self, now: BootTime) {
         self.entries.retain(|_, entry| {
-            let memory = match entry.limit.rate() {
-                Some(_) => LIMIT_MEMORY,
-                None => END_MEMORY,
+            let retention = match entry.limit.rate() {
+                Some(_) => LIMIT_RETENTION,
+                None => END_RETENTION,
             };
-            now.saturating_sub(entry.limit.last_named()) < memory
+            now.saturating_sub(entry.limit.last_named()) < retention
         });
     }
 
-    /// What this round tells, the newest changes first. All nodes tell anew what their own answers say, a
-    /// collector tells all that it knows.
-    pub(crate) fn tell(
+    /// Returns the reports that are due in this round, the newest changes first. Every node repeats what the
+    /// answers to its own requests say; a collector repeats all that it knows.
+    pub(crate) fn due_reports(
         &mut self,
-        most: usize,
+        max: usize,
         is_collector: bool,
         now: BootTime,
     ) -> Vec<LimitReport> {
-        let mut telling: Vec<(&ServerKey, &mut BookEntry)> = self
+        let mut due: Vec<(&ServerKey, &mut LimitEntry)> = self
             .entries
             .iter_mut()
             .filter(|(_, entry)| entry.is_due(is_collector, now))
             .collect();
-        telling.sort_by_key(|(_, entry)| (entry.tell_rounds == 0, entry.told_at));
-        telling.truncate(most);
-        let reports = telling.into_iter().map(|(key, entry)| {
-            entry.tell_rounds = entry.tell_rounds.saturating_sub(1);
-            entry.told_at = now;
+        due.sort_by_key(|(_, entry)| (entry.rounds_left == 0, entry.reported_at));
+        due.truncate(max);
+        let reports = due.into_iter().map(|(key, entry)| {
+            entry.rounds_left = entry.rounds_left.saturating_sub(1);
+            entry.reported_at = now;
             LimitReport::new(*key, &entry.limit, now)
         });
         reports.collect()
     }
 }
 
-impl BookEntry {
+impl LimitEntry {
     fn is_due(&self, is_collector: bool, now: BootTime) -> bool {
         let seen = if is_collector {
             Some(self.limit.sighting().seen)
         } else {
             self.answered_at
         };
-        let is_recent = seen.is_some_and(|at| now.saturating_sub(at) < TOLD_AGE);
-        let is_retold = is_recent && now.saturating_sub(self.told_at) >= RETELL;
-        self.tell_rounds > 0 || is_retold
+        let is_recent = seen.is_some_and(|at| now.saturating_sub(at) < MAX_REPORT_AGE);
+        let is_repeat_due = is_recent && now.saturating_sub(self.reported_at) >= REPORT_INTERVAL;
+        self.rounds_left > 0 || is_repeat_due
     }
 }
--- a/crates/plumgate/src/gateway/rate_limit/desk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/desk.rs
@@ -1,25 +1,25 @@
-//! The permits that one node holds or waits for.
+//! Permits that one node holds, and its pending permit requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::messages::{AskId, PermitAnswer, PermitAsk, PermitVerdict};
+use super::messages::{AskId, PermitDecision, PermitRequest, PermitResponse};
 use super::observed::BootTime;
 use super::votes::PERMIT_LIFETIME;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// How long the answer to an ask is waited for.
+/// How long a request waits for the response of the issuer.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after which an ask without an answer is sent again.
+/// Interval after which an unanswered request is sent again.
 pub const ASK_AGAIN: Duration = Duration::from_millis(35);
-/// How long a server is left alone whose issuer did not answer.
-const SILENT_PAUSE: Duration = Duration::from_millis(300);
-/// Asks of one node for one server and urgency that may wait at the same time.
-const ASKS_MOST: usize = 4;
-/// How long a server is left alone for which as many asks wait as may.
+/// How long a server is deferred after its issuer did not respond.
+const NO_RESPONSE_PAUSE: Duration = Duration::from_millis(300);
+/// Maximum number of pending requests of one node for one server and urgency.
+const MAX_PENDING_REQUESTS: usize = 4;
+/// How long a server is deferred after that maximum is reached.
 const BUSY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Allows to send one request to one server.
+/// Permission to send one request to one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendPermit {
     pub(crate) server: ServerKey,
@@ -27,7 +27,7 @@
 }
 
 impl SendPermit {
-    /// A permit that was asked for at some time.
+    /// Creates the permit for a request that was made at `asked`.
     pub(crate) fn new(server: ServerKey, asked: BootTime) -> Self {
         Self {
             server,
@@ -35,162 +35,167 @@
         }
     }
 
-    /// Whether it allows to send to a server now.
+    /// Returns whether the permit covers a request to this server now.
     pub(crate) fn allows(&self, server: ServerKey, now: BootTime) -> bool {
         self.server == server && now < self.until
     }
 }
 
-/// An ask that waits for its answer, or for whoever asked to take it.
+/// A request whose response has not been received, or has not been taken yet.
 #[derive(Clone, Debug)]
-struct OpenAsk {
-    ask: PermitAsk,
+struct PendingRequest {
+    ask: PermitRequest,
     asked: BootTime,
-    verdict: Option<PermitVerdict>,
-    /// Whether nobody waits for it any more.
+    verdict: Option<PermitDecision>,
+    /// Whether nothing waits for the response any more.
     is_abandoned: bool,
 }
 
-impl OpenAsk {
+impl PendingRequest {
     fn server(&self) -> ServerKey {
         self.ask.report.server
     }
 }
 
-/// What one node holds and waits for.
+/// Permits and pending requests of one node.
 #[derive(Debug, Default)]
-pub(crate) struct PermitDesk {
-    asks: BTreeMap<AskId, OpenAsk>,
-    /// Permits that the requests they were for did not use.
+pub(crate) struct PermitRequester {
+    asks: BTreeMap<AskId, PendingRequest>,
+    /// Unused permits, available to later requests.
     spare: Vec<SendPermit>,
-    /// Until when servers are left alone by requests of an urgency and by less urgent ones.
-    held: BTreeMap<(ServerKey, u8), BootTime>,
+    /// Until when a server is deferred for requests of an urgency and for less urgent ones.
+    deferred_until: BTreeMap<(ServerKey, u8), BootTime>,
 }
 
-impl PermitDesk {
-    /// A permit that is left over for a server.
+impl PermitRequester {
+    /// Takes an unused permit for a server, if there is one.
     pub(crate) fn take_spare(&mut self, server: ServerKey, now: BootTime) -> Option<SendPermit> {
         self.spare.retain(|permit| now < permit.until);
-        let place = self
+        let index = self
             .spare
             .iter()
             .position(|permit| permit.server == server)?;
-        Some(self.spare.swap_remove(place))
+        Some(self.spare.swap_remove(index))
     }
 
-    /// A permit was not used.
+    /// Returns an unused permit for use by a later request.
     pub(crate) fn give_back(&mut self, permit: SendPermit) {
         self.spare.push(permit);
     }
 
-    /// How long a server is still to be left alone by requests of some urgency.
+    /// Returns how long a server is still deferred for requests of some urgency.
     pub(crate) fn held_for(
         &self,
         server: ServerKey,
         urgency: u8,
         now: BootTime,
     ) -> Option<Duration> {
-        let holds = self.held.range((server, 0)..=(server, urgency));
-        let until = holds.map(|(_, until)| *until).max()?;
+        let deferrals = self.deferred_until.range((server, 0)..=(server, urgency));
+        let until = deferrals.map(|(_, until)| *until).max()?;
         let left = until.saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Has a server left alone for some time by requests of an urgency and by less urgent ones.
-    pub(crate) fn hold(&mut self, server: ServerKey, urgency: u8, pause: Duration, now: BootTime) {
-        self.held.insert((server, urgency), now + pause);
+    /// Defers a server for requests of an urgency and for less urgent ones.
+    pub(crate) fn defer(&mut self, server: ServerKey, urgency: u8, pause: Duration, now: BootTime) {
+        self.deferred_until.insert((server, urgency), now + pause);
     }
 
-    /// Notes an ask, unless too many wait already.
-    pub(crate) fn open(&mut self, ask: PermitAsk, now: BootTime) -> bool {
+    /// Registers a request. Returns false, and defers the server, if too many requests are pending.
+    pub(crate) fn register(&mut self, ask: PermitRequest, now: BootTime) -> bool {
         let server = ask.report.server;
         let asks = self.asks.values();
         let urgency = ask.urgency;
-        let waiting = asks.filter(|open| {
-            open.server() == server && open.ask.urgency == urgency && open.verdict.is_none()
+        let waiting = asks.filter(|pending| {
+            pending.server() == server
+                && pending.ask.urgency == urgency
+                && pending.verdict.is_none()
         });
-        if waiting.count() >= ASKS_MOST {
-            self.hold(server, urgency, BUSY_PAUSE, now);
+        if waiting.count() >= MAX_PENDING_REQUESTS {
+            self.defer(server, urgency, BUSY_PAUSE, now);
             return false;
         }
         let id = ask.id;
-        let open = OpenAsk {
+        let pending = PendingRequest {
             ask,
             asked: now,
             verdict: None,
             is_abandoned: false,
         };
-        self.asks.insert(id, open);
+        self.asks.insert(id, pending);
         true
     }
 
-    /// An ask that is not answered yet, and when it was made.
-    pub(crate) fn unanswered(&self, id: AskId) -> Option<(&PermitAsk, BootTime)> {
-        let open = self.asks.get(&id).filter(|open| open.verdict.is_none())?;
-        Some((&open.ask, open.asked))
+    /// Returns a request that has no response yet, and when it was made.
+    pub(crate) fn unanswered(&self, id: AskId) -> Option<(&PermitRequest, BootTime)> {
+        let pending = self
+            .asks
+            .get(&id)
+            .filter(|pending| pending.verdict.is_none())?;
+        Some((&pending.ask, pending.asked))
     }
 
-    /// An answer came. One to an ask that is not open counts for nothing.
-    pub(crate) fn answer(&mut self, answer: &PermitAnswer, now: BootTime) {
-        let Some(open) = self.asks.get_mut(&answer.id) else {
+    /// Applies a response. A response to an unknown or already answered request is ignored.
+    pub(crate) fn apply_response(&mut self, response: &PermitResponse, now: BootTime) {
+        let Some(pending) = self.asks.get_mut(&response.id) else {
             return;
         };
-        if open.verdict.is_some() {
+        if pending.verdict.is_some() {
             return;
         }
-        open.verdict = Some(answer.verdict);
-        let (server, urgency) = (open.server(), open.ask.urgency);
-        let is_abandoned = open.is_abandoned;
-        if let PermitVerdict::Denied { pause_ms } = answer.verdict {
+        pending.verdict = Some(response.verdict);
+        let (server, urgency) = (pending.server(), pending.ask.urgency);
+        let is_abandoned = pending.is_abandoned;
+        if let PermitDecision::Denied { pause_ms } = response.verdict {
             let pause = Duration::from_millis(pause_ms.into());
-            self.hold(server, urgency, pause, now);
+            self.defer(server, urgency, pause, now);
         }
         if is_abandoned {
-            self.leave_over(answer.id);
+            self.release_unused(response.id);
         }
     }
 
-    /// Nobody uses the answer to an ask; a permit goes to the next request.
-    fn leave_over(&mut self, id: AskId) {
-        if let Some((PermitVerdict::Granted, permit)) = self.take(id) {
+    /// Removes an answered request that nothing waits for; its permit goes to a later request.
+    fn release_unused(&mut self, id: AskId) {
+        if let Some((PermitDecision::Granted, permit)) = self.take_decision(id) {
             self.give_back(permit);
         }
     }
 
-    /// The urgency of an ask.
+    /// Returns the urgency of a request.
     pub(crate) fn urgency(&self, id: AskId) -> Option<u8> {
-        self.asks.get(&id).map(|open| open.ask.urgency)
+        self.asks.get(&id).map(|pending| pending.ask.urgency)
     }
 
-    /// Takes the answer to an ask, if it came.
-    pub(crate) fn take(&mut self, id: AskId) -> Option<(PermitVerdict, SendPermit)> {
-        let open = self.asks.get(&id)?;
-        let verdict = open.verdict?;
-        let permit = SendPermit::new(open.server(), open.asked);
+    /// Takes the decision on a request, if its response was received.
+    pub(crate) fn take_decision(&mut self, id: AskId) -> Option<(PermitDecision, SendPermit)> {
+        let pending = self.asks.get(&id)?;
+        let verdict = pending.verdict?;
+        let permit = SendPermit::new(pending.server(), pending.asked);
         self.asks.remove(&id);
         Some((verdict, permit))
     }
 
-    /// Nobody waits for an ask any more.
+    /// Marks a request as no longer waited for.
     pub(crate) fn abandon(&mut self, id: AskId, now: BootTime) {
-        let Some(open) = self.asks.get_mut(&id) else {
+        let Some(pending) = self.asks.get_mut(&id) else {
             return;
         };
-        open.is_abandoned = true;
-        let (server, urgency) = (open.server(), open.ask.urgency);
-        let is_silent = now.saturating_sub(open.asked) >= ANSWER_TIMEOUT;
-        match open.verdict {
-            Some(_) => self.leave_over(id),
-            None if is_silent => self.hold(server, urgency, SILENT_PAUSE, now),
+        pending.is_abandoned = true;
+        let (server, urgency) = (pending.server(), pending.ask.urgency);
+        let has_timed_out = now.saturating_sub(pending.asked) >= ANSWER_TIMEOUT;
+        match pending.verdict {
+            Some(_) => self.release_unused(id),
+            None if has_timed_out => self.defer(server, urgency, NO_RESPONSE_PAUSE, now),
             None => {}
         }
     }
 
-    /// Forgets asks that can't be answered any more, and pauses that are over.
+    /// Discards requests whose permits would have expired, expired permits and deferrals that are over.
     pub(crate) fn forget_old(&mut self, now: BootTime) {
         self.asks
             .retain(|_, ask| now.saturating_sub(ask.asked) < PERMIT_LIFETIME);
         self.spare.retain(|permit| now < permit.until);
-        self.held.retain(|_, until| now < *until);
+        self.deferred_until.retain(|_, until| now < *until);
     }
 }
--- a/crates/plumgate/src/gateway/rate_limit/messages.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messages.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other about the limits of servers. All of it is sealed.
+//! Messages between nodes about the limits of servers. All of them are sealed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,88 +10,88 @@
 use crate::gateway::exchange::messages::ServerKey;
 use crate::gateway::statements::LeaveReport;
 
-/// Longest time that a message is expected to be on its way from one node to the next.
+/// Longest expected transit time of a message between two nodes.
 const TRANSIT_MOST: Duration = Duration::from_secs(1);
 
-/// Names one ask among all that its node waits for; drawn at random.
+/// Identifies one permit request among the pending ones of its node; drawn at random.
 pub type AskId = u64;
-/// Names one round of a node that issues permits; drawn at random.
-pub(crate) type RoundStamp = u64;
+/// Identifies one round of a node that issues permits; drawn at random.
+pub(crate) type RoundId = u64;
 
-/// A sighting, told by its ages.
+/// An observed limit, with its times given as ages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LimitReport {
     pub(crate) server: ServerKey,
     rate: Option<RequestRate>,
-    /// Milliseconds since the request left, rounded up.
+    /// Milliseconds since the request was sent, rounded up.
     sent_ms: u32,
-    /// Milliseconds since the answer came, rounded down.
+    /// Milliseconds since the answer was received, rounded down.
     seen_ms: u32,
     /// Milliseconds since the server first named a limit, rounded up.
     named_ms: u32,
 }
 
-/// What goes along in every round in which limits are known.
+/// Contents of the message that a node sends in every round while any limit is known.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct LimitNews {
+pub(crate) struct LimitUpdate {
     pub(crate) reports: Vec<LimitReport>,
-    /// Names the round of a sender that would issue permits.
-    pub(crate) stamp: Option<RoundStamp>,
-    /// The receiver's newest stamp, from a sender that would ask it for permits.
-    pub(crate) vote: Option<RoundStamp>,
-    /// Nodes that follow the sender, itself included.
+    /// Id of this round, from a sender that is a candidate to issue permits.
+    pub(crate) round_id: Option<RoundId>,
+    /// Newest round id of the receiver, from a sender that would request its permits there.
+    pub(crate) vote: Option<RoundId>,
+    /// Number of nodes that follow the sender, including the sender.
     pub(crate) followers: u32,
 }
 
-/// Asks for a permit to send one request.
+/// Request for a permit to send one request to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct PermitAsk {
+pub(crate) struct PermitRequest {
     pub(crate) id: AskId,
-    /// Where the answer goes.
+    /// Address to which the response is sent.
     pub(crate) origin: SocketAddr,
-    /// The data centre whose collector issues the permits of this server.
-    pub(crate) centre: String,
+    /// The data centre whose collector issues the permits for this server.
+    pub(crate) data_centre: String,
     pub(crate) urgency: u8,
-    /// What the asking node knows of the limit.
+    /// The limit as known to the requesting node.
     pub(crate) report: LimitReport,
 }
 
-/// What becomes of an ask.
+/// Decision on a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum PermitVerdict {
+pub(crate) enum PermitDecision {
     /// One request may be sent.
     Granted,
-    /// Not now, and not for some milliseconds.
+    /// No request may be sent for some time.
     Denied {
-        /// How many.
+        /// Length of that time in milliseconds.
         pause_ms: u32,
     },
-    /// The server has ended its limit.
+    /// The server no longer has a limit.
     Unlimited,
 }
 
-/// The answer to an ask.
+/// Response to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct PermitAnswer {
+pub(crate) struct PermitResponse {
     pub(crate) id: AskId,
-    pub(crate) verdict: PermitVerdict,
-    /// What the issuer knows of the limit.
+    pub(crate) verdict: PermitDecision,
+    /// The limit as known to the issuer.
     pub(crate) report: Option<LimitReport>,
 }
 
-/// One message about what servers said of themselves.
+/// A message about what servers stated about themselves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum StatementMessage {
-    News(LimitNews),
-    Ask(PermitAsk),
-    Answer(PermitAnswer),
-    Leaves(Vec<LeaveReport>),
-    /// Asks for all servers that leave, as the sender has just started.
-    LeavesWanted,
+    LimitUpdate(LimitUpdate),
+    PermitRequest(PermitRequest),
+    PermitResponse(PermitResponse),
+    LeaveReports(Vec<LeaveReport>),
+    /// Requests reports of all leaving servers; sent by a node that has just started.
+    LeaveReportsRequest,
 }
 
 impl LimitReport {
-    /// What is known of a server's limit, as of now.
+    /// Describes a server's limit by its ages at `now`.
     pub(crate) fn new(server: ServerKey, limit: &ObservedLimit, now: BootTime) -> Self {
         let age = |at: BootTime, more: u128| {
             let age = now.saturating_sub(at).as_millis() + more;
@@ -107,19 +107,23 @@
         }
     }
 
-    /// When the server first named a limit.
+    /// Returns when the server first named a limit.
     pub(crate) fn first_named(&self, now: BootTime) -> BootTime {
         now.saturating_sub(Duration::from_millis(self.named_ms.into()))
     }
 
-    /// The sighting by the clock of a node that is told at a moment, by a message that may have been on its way
-    /// for some time: the server wrote the answer somewhere between the two ends.
-    pub(crate) fn told(&self, now: BootTime) -> LimitSighting {
-        self.between(now.saturating_sub(TRANSIT_MOST), now)
+    /// Returns the observation by the clock of the receiver, for a message received at `now`. The message may
+    /// have been in transit for some time, so the server wrote the answer somewhere between the two bounds.
+    pub(crate) fn observation_received_at(&self, now: BootTime) -> LimitSighting {
+        self.observation_sent_after(now.saturating_sub(TRANSIT_MOST), now)
     }
 
-    /// The same where it is known when the message was sent at the earliest.
-    pub(crate) fn between(&self, earliest: BootTime, now: BootTime) -> LimitSighting {
+    /// Returns the observation for a message that was sent at `earliest` or later.
+    pub(crate) fn observation_sent_after(
+        &self,
+        earliest: BootTime,
+        now: BootTime,
+    ) -> LimitSighting {
         LimitSighting {
             rate: self.rate,
             sent: earliest.saturating_sub(Duration::from_millis(self.sent_ms.into())),
--- a/crates/plumgate/src/gateway/rate_limit/mod.rs
+++ b/crates/plumgate/src/gateway/rate_limit/mod.rs
@@ -1,8 +1,9 @@
-//! Backend servers that name the rate of requests that they take from all nodes together.
+//! Rate limits that backend servers set for the requests of all nodes together.
 //!
-//! A limit is learnt from the answers of its server, and told to all nodes. One node issues the permits of a
-//! server to all: the collector of the server's data centre, while most nodes there follow it. Each
-//! request to a limited server needs a permit, whatever makes a node send it.
+//! A node learns a limit from the answers of the server and reports it to all nodes. One node issues the
+//! permits for a server to the whole fleet: the collector of the server's data centre, as long as a majority
+//! of the nodes there follow it. Every request to a limited server needs a permit, including retries and
+//! resumed streams.
 
 mod book;
 mod desk;
--- a/crates/plumgate/src/gateway/rate_limit/observed.rs
+++ b/crates/plumgate/src/gateway/rate_limit/observed.rs
@@ -1,36 +1,36 @@
-//! The limit of one server as its answers tell, whatever the order in which they arrive.
+//! The limit of one server, derived from answers that may be received in any order.
 
 use std::time::Duration;
 
 use super::statement::RequestRate;
 
-/// Time since the VM started, suspension included.
+/// Time since the VM started, including suspension.
 pub type BootTime = Duration;
 
-/// What one answer told, and the time in which its server wrote it.
+/// The limit named by one answer, and the interval in which the server wrote that answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitSighting {
-    /// The limit; none where the answer names none.
+    /// The limit; none if the answer names none.
     pub rate: Option<RequestRate>,
-    /// When the request left: the server wrote the answer later.
+    /// When the request was sent: the server wrote the answer after this.
     pub sent: BootTime,
-    /// When the head of the answer came: the server wrote it earlier.
+    /// When the head of the answer was received: the server wrote it before this.
     pub seen: BootTime,
 }
 
-/// How a sighting changed what is known.
+/// How an observation changed the known limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
     /// The server named a limit.
     Named(RequestRate),
     /// The server named another limit.
     Changed(RequestRate),
-    /// The server names no limit any more.
+    /// The server no longer names a limit.
     Ended,
 }
 
 impl LimitChange {
-    /// What it means that one limit follows another.
+    /// Returns the change from one limit to the next; none if they are equal.
     pub(crate) fn between(before: Option<RequestRate>, after: Option<RequestRate>) -> Option<Self> {
         match (before, after) {
             (None, Some(rate)) => Some(Self::Named(rate)),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Named(_) => "named",
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The limit that holds from now on.
+    /// Returns the limit that now applies.
     pub fn rate(self) -> Option<RequestRate> {
         match self {
             Self::Named(rate) | Self::Changed(rate) => Some(rate),
@@ -58,18 +58,18 @@
     }
 }
 
-/// What is known of one server's limit.
+/// What is known about one server's limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservedLimit {
     known: LimitSighting,
-    /// When the server first named a limit, as far as any node that told of it knows.
+    /// When the server first named a limit, as far as any reporting node knows.
     first_named: BootTime,
-    /// When an answer that names a limit came last.
+    /// When an answer that names a limit was last received.
     last_named: BootTime,
 }
 
 impl ObservedLimit {
-    /// A limit that was first named at some time.
+    /// Creates the state of a limit that was first named at `first_named`.
     pub(crate) fn new(sighting: LimitSighting, first_named: BootTime) -> Self {
         Self {
             known: sighting,
@@ -78,35 +78,36 @@
         }
     }
 
-    /// The limit in force.
+    /// Returns the limit in force.
     pub(crate) fn rate(&self) -> Option<RequestRate> {
         self.known.rate
     }
 
-    /// The sighting that is believed.
+    /// Returns the observation that determines the limit.
     pub(crate) fn sighting(&self) -> LimitSighting {
         self.known
     }
 
-    /// When the server first named a limit.
+    /// Returns when the server first named a limit.
     pub(crate) fn first_named(&self) -> BootTime {
         self.first_named
     }
 
-    /// When an answer that names a limit came last.
+    /// Returns when an answer that names a limit was last received.
     pub(crate) fn last_named(&self) -> BootTime {
         self.last_named
     }
 
-    /// Another node has known of a limit since some time.
-    pub(crate) fn note_first_named(&mut self, at: BootTime) {
+    /// Merges the time at which another node first knew the limit.
+    pub(crate) fn merge_first_named(&mut self, at: BootTime) {
         self.first_named = self.first_named.min(at);
     }
 
-    /// Folds in a sighting.
+    /// Merges an observation.
     ///
-    /// Answers overtake each other. One is surely newer only if its request left after the known answer
-    /// had come; of two that may have been written in either order the stricter one holds.
+    /// Answers can overtake each other. An answer is certainly newer only if its request was sent after the
+    /// known answer was received. Of two answers that may have been written in either order, the stricter
+    /// limit applies.
     pub(crate) fn apply(&mut self, sighting: LimitSighting) -> Option<LimitChange> {
         let is_newer = sighting.sent >= self.known.seen;
         let is_older = sighting.seen <= self.known.sent;
@@ -123,7 +124,7 @@
     }
 }
 
-/// Orders limits, the strictest first.
+/// Returns a key that orders limits, the strictest first.
 fn strictness(rate: Option<RequestRate>) -> (bool, Option<RequestRate>) {
     (rate.is_none(), rate)
 }
--- a/crates/plumgate/src/gateway/rate_limit/statement.rs
+++ b/crates/plumgate/src/gateway/rate_limit/statement.rs
@@ -1,33 +1,33 @@
-//! The rate of requests that a backend server names in an answer.
+//! The request rate that a backend server names in an answer.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Millionths of a request in one request.
+/// Millionths of a request per request.
 const MICROS: f64 = 1e6;
 
-/// Requests a second, as a decimal number; kept in millionths, so that equal rates compare equal.
+/// Requests per second, stored in millionths so that equal rates compare equal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestRate(u64);
 
 impl RequestRate {
-    /// No request at all.
+    /// No requests at all.
     pub const ZERO: Self = Self(0);
 
-    /// A rate; none where the number is negative or not finite.
+    /// Creates a rate; none if the number is negative or not finite.
     pub fn new(per_second: f64) -> Option<Self> {
         let is_rate = per_second.is_finite() && per_second >= 0.0;
         is_rate.then(|| Self((per_second * MICROS).round() as u64))
     }
 
-    /// Requests a second.
+    /// Returns the requests per second.
     pub fn per_second(self) -> f64 {
         self.0 as f64 / MICROS
     }
 
-    /// The mean time between two requests; none at a rate of zero.
+    /// Returns the mean interval between two requests; none for a rate of zero.
     pub fn interval(self) -> Option<Duration> {
         (self.0 > 0).then(|| Duration::from_secs_f64(MICROS / self.0 as f64))
     }
@@ -39,14 +39,14 @@
     }
 }
 
-/// What an answer says of the requests that its server takes from all nodes together.
+/// What an answer states about the requests that its server accepts from all nodes together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RateStatement {
-    /// It names no limit.
+    /// The answer names no limit.
     #[default]
     Unlimited,
-    /// It names a limit.
+    /// The answer names this limit.
     Limited(RequestRate),
-    /// It names something that is no limit; nothing follows from it.
+    /// The answer names an invalid limit, which is ignored.
     Malformed,
 }
--- a/crates/plumgate/src/gateway/rate_limit/talk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/talk.rs
@@ -1,11 +1,11 @@
-//! What nodes tell each other about the limits of servers, round by round and ask by ask.
+//! Messages between nodes about the limits of servers: reports and votes in every round, and permit requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::issuer::unelected;
+use super::issuer::not_elected;
 use super::messages::{
-    LimitNews, LimitReport, PermitAnswer, PermitAsk, PermitVerdict, StatementMessage,
+    LimitReport, LimitUpdate, PermitDecision, PermitRequest, PermitResponse, StatementMessage,
 };
 use super::observed::{BootTime, LimitSighting};
 use super::table::{LimitEvent, ServerLimits};
@@ -15,43 +15,46 @@
 use crate::gateway::statements::LeaveReport;
 use crate::ids::DataCentreId;
 
-/// Reports in one message, some 20 bytes each: it is sealed twice and fits into one packet.
-const REPORTS_MOST: usize = 30;
-/// Messages in one round to each node: it is told of a thousand servers a second.
-const MESSAGES_MOST: usize = 4;
-/// How long a node must have stood still to distrust what it then hears: messages may have waited as long.
-const STALL: Duration = Duration::from_millis(700);
-/// How long it distrusts what loosens a limit: until what is sent after the stall has come.
+/// Maximum number of reports per message, some 20 bytes each: a message is sealed twice and fits into one
+/// packet.
+const MAX_REPORTS: usize = 30;
+/// Maximum number of messages to each node per round: enough for reports of a thousand servers per second.
+const MAX_MESSAGES: usize = 4;
+/// Time without activity after which a node distrusts the messages it receives, as they may have been delayed
+/// as long.
+const STALL_THRESHOLD: Duration = Duration::from_millis(700);
+/// How long reports that loosen a limit are ignored after such a time, until messages sent after it have
+/// arrived.
 const DISTRUST_TIME: Duration = Duration::from_secs(1);
 
-/// What became of a message.
+/// Result of handling received messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MailOutcome {
-    /// Whether an ask of this node was answered.
+    /// Whether a request of this node got its response.
     pub is_answer: bool,
-    /// Messages that were forged, too old or malformed.
+    /// Number of messages that were forged, too old or malformed.
     pub refused: u64,
-    /// Servers that leave, as other nodes told.
+    /// Leaving servers reported by other nodes.
     pub(crate) leaves: Vec<LeaveReport>,
-    /// Whether a node asked for those that leave.
+    /// Whether a node requested reports of leaving servers.
     pub(crate) wants_leaves: bool,
 }
 
-/// The time on both clocks that messages need.
+/// The current time on both clocks that messages need.
 #[derive(Clone, Copy, Debug)]
 pub struct MailMoment {
-    /// Time since the VM started, suspension included.
+    /// Time since the VM started, including suspension.
     pub boot: BootTime,
-    /// Milliseconds of the Unix epoch.
+    /// Milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
 impl ServerLimits {
-    /// One round: what this node tells the others. Nothing while no limit is known.
+    /// Runs one round and returns the messages to other nodes; none while no limit is known.
     pub fn talk(&mut self, exchange: &LoadExchange, moment: MailMoment) -> Vec<ExchangePacket> {
         let now = moment.boot;
-        self.note_active(now);
-        self.desk.forget_old(now);
+        self.record_activity(now);
+        self.requester.forget_old(now);
         self.issuer.forget_old(now);
         self.book.forget_old(now);
         if self.book.is_empty() {
@@ -59,130 +62,140 @@
             return Vec::new();
         }
         self.view = Some(exchange.peer_view());
-        self.review_votes(now);
-        self.tell(exchange, moment)
+        self.update_election(now);
+        self.round_packets(exchange, moment)
     }
 
-    /// Messages for the asks since the last call.
+    /// Returns the messages for the permit requests queued since the last call.
     pub fn take_asks(
         &mut self,
         exchange: &LoadExchange,
         moment: MailMoment,
     ) -> Vec<ExchangePacket> {
-        let asks: Vec<PermitAsk> = self.outgoing.drain(..).collect();
+        let asks: Vec<PermitRequest> = self.outgoing.drain(..).collect();
         let packets = asks.into_iter().filter_map(|ask| {
             let to = self.next_hop(&ask)?;
-            self.post(exchange, to, StatementMessage::Ask(ask), moment)
+            self.message_packet(exchange, to, StatementMessage::PermitRequest(ask), moment)
         });
         packets.collect()
     }
 
-    /// Takes in messages, and gives those that answer them or pass them on.
+    /// Handles messages, and returns the packets that answer or forward them.
     pub fn hear(
         &mut self,
         exchange: &LoadExchange,
-        mail: Vec<HeardMail>,
+        messages: Vec<HeardMail>,
         moment: MailMoment,
     ) -> (Vec<ExchangePacket>, MailOutcome) {
         let mut outcome = MailOutcome::default();
         let mut packets = Vec::new();
-        for heard in mail {
-            self.note_active(moment.boot);
-            let Ok(message) = self.open(&heard, moment) else {
+        for received in messages {
+            self.record_activity(moment.boot);
+            let Ok(message) = self.open(&received, moment) else {
                 outcome.refused += 1;
                 continue;
             };
             match message {
-                StatementMessage::News(news) => {
-                    self.hear_news(exchange, &heard, &news, moment.boot)
+                StatementMessage::LimitUpdate(update) => {
+                    self.receive_update(exchange, &received, &update, moment.boot)
                 }
-                StatementMessage::Ask(ask) => packets.extend(self.hear_ask(exchange, ask, moment)),
-                StatementMessage::Leaves(leaves) => outcome.leaves.extend(leaves),
-                StatementMessage::LeavesWanted => outcome.wants_leaves = true,
-                StatementMessage::Answer(answer) => {
-                    outcome.is_answer |= self.hear_answer(&answer, moment.boot);
+                StatementMessage::PermitRequest(ask) => {
+                    packets.extend(self.receive_request(exchange, ask, moment))
+                }
+                StatementMessage::LeaveReports(leaves) => outcome.leaves.extend(leaves),
+                StatementMessage::LeaveReportsRequest => outcome.wants_leaves = true,
+                StatementMessage::PermitResponse(response) => {
+                    outcome.is_answer |= self.receive_response(&response, moment.boot);
                 }
             }
         }
         (packets, outcome)
     }
 
-    /// A node that stood still finds messages that have waited as long, and takes them for new.
-    fn note_active(&mut self, now: BootTime) {
-        if now.saturating_sub(self.active_at) > STALL {
+    /// Records activity. A node that was suspended finds messages that waited as long, and can't tell them
+    /// from new ones.
+    fn record_activity(&mut self, now: BootTime) {
+        if now.saturating_sub(self.active_at) > STALL_THRESHOLD {
             self.distrust_until = now + DISTRUST_TIME;
         }
         self.active_at = now;
     }
 
-    fn tell(&mut self, exchange: &LoadExchange, moment: MailMoment) -> Vec<ExchangePacket> {
+    fn round_packets(
+        &mut self,
+        exchange: &LoadExchange,
+        moment: MailMoment,
+    ) -> Vec<ExchangePacket> {
         let now = moment.boot;
         let Some(view) = &self.view else {
             return Vec::new();
         };
-        let mut outgoing: Vec<(SocketAddr, LimitNews)> = Vec::new();
+        let mut outgoing: Vec<(SocketAddr, LimitUpdate)> = Vec::new();
         let followers = u32::try_from(self.votes.followers()).unwrap_or(u32::MAX);
         let vote = |(node, address): &PeerPlace| {
-            let news = LimitNews {
-                vote: self.stamps.get(node).copied(),
+            let update = LimitUpdate {
+                vote: self.round_ids.get(node).copied(),
                 followers,
-                ..LimitNews::default()
+                ..LimitUpdate::default()
             };
-            (*address, news)
+            (*address, update)
         };
-        let collects = view.collector.is_none();
+        let is_collector = view.collector.is_none();
         match &view.collector {
             Some(collector) => outgoing.push(vote(collector)),
             None => {
                 outgoing.extend(view.foreign.values().flatten().map(vote));
                 let members = view.members.iter();
-                outgoing.extend(members.map(|(_, address)| (*address, LimitNews::default())));
+                outgoing.extend(members.map(|(_, address)| (*address, LimitUpdate::default())));
             }
         }
-        if collects {
-            let stamp = self.rng.u64(..);
-            self.votes.begin_round(stamp, now);
-            for (_, news) in &mut outgoing {
-                news.stamp = Some(stamp);
+        if is_collector {
+            let round_id = self.rng.u64(..);
+            self.votes.begin_round(round_id, now);
+            for (_, update) in &mut outgoing {
+                update.round_id = Some(round_id);
             }
         }
-        let reports = self.book.tell(REPORTS_MOST * MESSAGES_MOST, collects, now);
+        let reports = self
+            .book
+            .due_reports(MAX_REPORTS * MAX_MESSAGES, is_collector, now);
         let packets = outgoing
             .into_iter()
-            .flat_map(|(to, news)| self.post_news(exchange, to, news, &reports, moment));
+            .flat_map(|(to, update)| self.update_packets(exchange, to, update, &reports, moment));
         packets.collect()
     }
 
-    /// The messages of a round to one node.
-    fn post_news(
+    /// Returns the messages of one round to one node.
+    fn update_packets(
         &self,
         exchange: &LoadExchange,
         to: SocketAddr,
-        news: LimitNews,
+        update: LimitUpdate,
         reports: &[LimitReport],
         moment: MailMoment,
     ) -> Vec<ExchangePacket> {
-        let mut parts: Vec<LimitNews> = reports
-            .chunks(REPORTS_MOST)
-            .map(|reports| LimitNews {
+        let mut parts: Vec<LimitUpdate> = reports
+            .chunks(MAX_REPORTS)
+            .map(|reports| LimitUpdate {
                 reports: reports.to_vec(),
-                ..LimitNews::default()
+                ..LimitUpdate::default()
             })
             .collect();
         match parts.first_mut() {
             Some(first) => {
-                first.stamp = news.stamp;
-                first.vote = news.vote;
-                first.followers = news.followers;
+                first.round_id = update.round_id;
+                first.vote = update.vote;
+                first.followers = update.followers;
             }
-            None => parts.push(news),
+            None => parts.push(update),
         }
-        let messages = parts.into_iter().map(StatementMessage::News);
-        let packets = messages.filter_map(|message| self.post(exchange, to, message, moment));
+        let messages = parts.into_iter().map(StatementMessage::LimitUpdate);
+        let packets =
+            messages.filter_map(|message| self.message_packet(exchange, to, message, moment));
         packets.collect()
     }
 
-    pub(crate) fn post(
+    pub(crate) fn message_packet(
         &self,
         exchange: &LoadExchange,
         to: SocketAddr,
@@ -193,9 +206,9 @@
         exchange.mail_packet(to, sealed)
     }
 
-    fn open(&self, heard: &HeardMail, moment: MailMoment) -> Result<StatementMessage> {
+    fn open(&self, received: &HeardMail, moment: MailMoment) -> Result<StatementMessage> {
         let mut opened = Err(Error::MalformedMessage);
-        for sealed in &heard.sealed {
+        for sealed in &received.sealed {
             opened = self.keys.open(sealed, moment.unix_ms);
             if opened.is_ok() {
                 break;
@@ -204,36 +217,41 @@
         opened
     }
 
-    fn hear_news(
+    fn receive_update(
         &mut self,
         exchange: &LoadExchange,
-        heard: &HeardMail,
-        news: &LimitNews,
+        received: &HeardMail,
+        update: &LimitUpdate,
         now: BootTime,
     ) {
-        for report in &news.reports {
-            self.hear_report(report, report.told(now), exchange.is_collector(), now);
+        for report in &update.reports {
+            self.receive_report(
+                report,
+                report.observation_received_at(now),
+                exchange.is_collector(),
+                now,
+            );
         }
-        if let Some(stamp) = news.stamp {
-            self.stamps.insert(heard.node.clone(), stamp);
+        if let Some(round_id) = update.round_id {
+            self.round_ids.insert(received.node.clone(), round_id);
         }
-        if let Some(vote) = news.vote {
-            let is_own = heard.data_centre == exchange.own().data_centre;
+        if let Some(vote) = update.vote {
+            let is_own = received.data_centre == exchange.own().data_centre;
             let voter = if is_own {
-                VoterName::Node(heard.node.clone())
+                VoterName::Node(received.node.clone())
             } else {
-                VoterName::Centre(heard.data_centre.clone())
+                VoterName::DataCentre(received.data_centre.clone())
             };
-            let weight = if is_own { 1 } else { news.followers };
-            self.votes.hear(voter, vote, weight as usize);
+            let weight = if is_own { 1 } else { update.followers };
+            self.votes.record_vote(voter, vote, weight as usize);
         }
     }
 
-    fn hear_report(
+    fn receive_report(
         &mut self,
         report: &LimitReport,
         sighting: LimitSighting,
-        tells: bool,
+        forwards: bool,
         now: BootTime,
     ) {
         let known = self.book.rate(report.server);
@@ -241,17 +259,17 @@
         if is_looser && now < self.distrust_until {
             return;
         }
-        self.apply_report(report, sighting, tells, now);
+        self.apply_report(report, sighting, forwards, now);
     }
 
     fn apply_report(
         &mut self,
         report: &LimitReport,
         sighting: LimitSighting,
-        tells: bool,
+        forwards: bool,
         now: BootTime,
     ) {
-        let change = self.book.apply_report(report, sighting, tells, now);
+        let change = self.book.apply_report(report, sighting, forwards, now);
         let event = change.map(|change| LimitEvent {
             server: report.server,
             change,
@@ -260,35 +278,40 @@
         self.events.extend(event);
     }
 
-    /// Judges an ask, or passes it on towards the node that does.
-    fn hear_ask(
+    /// Decides on a permit request, or forwards it towards the node that does.
+    fn receive_request(
         &mut self,
         exchange: &LoadExchange,
-        ask: PermitAsk,
+        ask: PermitRequest,
         moment: MailMoment,
     ) -> Option<ExchangePacket> {
         let now = moment.boot;
-        self.hear_report(&ask.report, ask.report.told(now), true, now);
+        self.receive_report(
+            &ask.report,
+            ask.report.observation_received_at(now),
+            true,
+            now,
+        );
         self.view.get_or_insert_with(|| exchange.peer_view());
         let view = self.view.as_ref()?;
         if view.collector.is_some() {
             // The sender follows another collector than this node.
-            return self.reply(exchange, &ask, unelected(), moment);
+            return self.reply(exchange, &ask, not_elected(), moment);
         }
-        if *view.own.data_centre != *ask.centre {
+        if *view.own.data_centre != *ask.data_centre {
             let to = self.next_hop(&ask)?;
-            return self.post(exchange, to, StatementMessage::Ask(ask), moment);
+            return self.message_packet(exchange, to, StatementMessage::PermitRequest(ask), moment);
         }
-        let verdict = self.judge_once(&ask, now);
+        let verdict = self.decide_once(&ask, now);
         self.reply(exchange, &ask, verdict, moment)
     }
 
-    /// Judges an ask that may come more than once.
-    fn judge_once(&mut self, ask: &PermitAsk, now: BootTime) -> PermitVerdict {
+    /// Decides on a request that may be received more than once.
+    fn decide_once(&mut self, ask: &PermitRequest, now: BootTime) -> PermitDecision {
         if let Some(verdict) = self.issuer.judged(ask.id) {
             return verdict;
         }
-        let verdict = self.judge(ask.report.server, ask.urgency, now);
+        let verdict = self.decide(ask.report.server, ask.urgency, now);
         self.issuer.note_judged(ask.id, verdict, now);
         verdict
     }
@@ -296,48 +319,49 @@
     fn reply(
         &self,
         exchange: &LoadExchange,
-        ask: &PermitAsk,
-        verdict: PermitVerdict,
+        ask: &PermitRequest,
+        verdict: PermitDecision,
         moment: MailMoment,
     ) -> Option<ExchangePacket> {
         let key = ask.report.server;
         let limit = self.book.limit(key);
-        let answer = PermitAnswer {
+        let response = PermitResponse {
             id: ask.id,
             verdict,
             report: limit.map(|limit| LimitReport::new(key, limit, moment.boot)),
         };
-        self.post(
+        self.message_packet(
             exchange,
             ask.origin,
-            StatementMessage::Answer(answer),
+            StatementMessage::PermitResponse(response),
             moment,
         )
     }
 
-    /// Takes in the answer to an ask of this node; whether it is one.
-    fn hear_answer(&mut self, answer: &PermitAnswer, now: BootTime) -> bool {
-        let Some((ask, asked)) = self.desk.unanswered(answer.id) else {
+    /// Applies the response to a request of this node. Returns whether it belongs to one.
+    fn receive_response(&mut self, response: &PermitResponse, now: BootTime) -> bool {
+        let Some((ask, asked)) = self.requester.unanswered(response.id) else {
             return false;
         };
         let server = ask.report.server;
-        if let Some(report) = answer.report.filter(|report| report.server == server) {
-            // The issuer answered after it was asked: nothing that it knows is older than that.
-            let sighting = report.between(asked, now);
+        if let Some(report) = response.report.filter(|report| report.server == server) {
+            // The issuer responded after it got the request, so its report is no older than the request.
+            let sighting = report.observation_sent_after(asked, now);
             self.apply_report(&report, sighting, false, now);
         }
-        self.desk.answer(answer, now);
+        self.requester.apply_response(response, now);
         true
     }
 
-    /// Where an ask goes next: to the issuer where this node knows it, else to this node's collector.
-    fn next_hop(&self, ask: &PermitAsk) -> Option<SocketAddr> {
+    /// Returns the next hop of a request: this node's collector, or for a collector that of the issuing data
+    /// centre.
+    fn next_hop(&self, ask: &PermitRequest) -> Option<SocketAddr> {
         let view = self.view.as_ref()?;
         if let Some((_, collector)) = &view.collector {
             return Some(*collector);
         }
-        let centre = DataCentreId::from(ask.centre.as_str());
-        let (_, collector) = view.foreign.get(&centre)?.as_ref()?;
+        let data_centre = DataCentreId::from(ask.data_centre.as_str());
+        let (_, collector) = view.foreign.get(&data_centre)?.as_ref()?;
         Some(*collector)
     }
 }
--- a/crates/plumgate/src/gateway/rate_limit/votes.rs
+++ b/crates/plumgate/src/gateway/rate_limit/votes.rs
@@ -1,66 +1,72 @@
-//! Which node issues the permits of a data centre's servers: the collector that most nodes follow.
+//! Election of the node that issues the permits for a data centre's servers: the collector that most nodes
+//! follow.
 //!
-//! Two nodes may collect for one data centre at once, behind a cut or while one takes over. Each would issue
-//! the whole rate. So a node issues only while more than half of its data centre's nodes vote for it, or
-//! half of those that are not long gone and more than half of the fleet's. A node votes by sending back the newest stamp of the
-//! collector that it follows; a collector votes for one of each other data centre, with the weight of the nodes
-//! that follow it. A vote dates from when the stamp was made, whatever time the messages took.
+//! A data centre can have two collectors at once, during a network partition or while one replaces the other.
+//! Each would issue permits at the full rate. A node therefore issues permits only while it has the votes of
+//! more than half of its data centre's nodes, or of at least half of the nodes there that were recently alive
+//! together with more than half of the fleet. A node votes by returning the newest round id of the collector
+//! that it follows. A collector votes for one collector of each other data centre, with the weight of its
+//! followers. A vote counts from the time at which the round id was made, however long the messages took.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use super::messages::RoundStamp;
+use super::messages::RoundId;
 use super::observed::BootTime;
 use crate::gateway::exchange::PeerView;
 use crate::ids::{DataCentreId, NodeId};
 
-/// How long a vote counts.
+/// How long a vote is valid.
 pub(crate) const VOTE_LIFETIME: Duration = Duration::from_millis(800);
-/// How long a permit may be used, from the moment of asking on.
+/// How long a permit is valid, from the time of its request.
 pub(crate) const PERMIT_LIFETIME: Duration = Duration::from_millis(400);
-/// How long a node waits that has become the issuer: votes and permits of the one before are over then.
+/// How long a newly elected issuer waits: after that the votes and permits of its predecessor have expired.
 pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(1_400);
-/// Stamps that are remembered: those of the rounds of a vote's lifetime, and some more.
-const STAMPS_MOST: usize = 16;
+/// Maximum number of remembered round ids: those made within the lifetime of a vote, and some more.
+const MAX_ROUND_IDS: usize = 16;
 
-/// Who votes.
+/// Identity of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum VoterName {
     /// A node of the same data centre.
     Node(NodeId),
     /// The collector of another data centre.
-    Centre(DataCentreId),
+    DataCentre(DataCentreId),
 }
 
-/// One vote.
+/// A vote of one voter.
 #[derive(Clone, Copy, Debug)]
 struct CastVote {
-    /// When the stamp was made that it is for.
+    /// When the round id that the vote refers to was made.
     at: BootTime,
-    /// Nodes that the voter stands for.
+    /// Number of nodes that the voter represents.
     weight: usize,
 }
 
-/// The votes for one node, and since when they suffice.
+/// The votes for this node, and since when they are a majority.
 #[derive(Debug, Default)]
 pub(crate) struct IssuerVotes {
-    stamps: VecDeque<(RoundStamp, BootTime)>,
+    round_ids: VecDeque<(RoundId, BootTime)>,
     votes: BTreeMap<VoterName, CastVote>,
     elected_since: Option<BootTime>,
 }
 
 impl IssuerVotes {
-    /// Begins a round under a stamp.
-    pub(crate) fn begin_round(&mut self, stamp: RoundStamp, now: BootTime) {
-        self.stamps.push_back((stamp, now));
-        if self.stamps.len() > STAMPS_MOST {
-            self.stamps.pop_front();
+    /// Begins a round with the given id.
+    pub(crate) fn begin_round(&mut self, round_id: RoundId, now: BootTime) {
+        self.round_ids.push_back((round_id, now));
+        if self.round_ids.len() > MAX_ROUND_IDS {
+            self.round_ids.pop_front();
         }
     }
 
-    /// A vote came, from a voter that stands for some nodes. One for a stamp that is not known counts for nothing.
-    pub(crate) fn hear(&mut self, voter: VoterName, vote: RoundStamp, weight: usize) {
-        let Some((_, at)) = self.stamps.iter().find(|(stamp, _)| *stamp == vote) else {
+    /// Records a vote of a voter that represents `weight` nodes. A vote for an unknown round id is ignored.
+    pub(crate) fn record_vote(&mut self, voter: VoterName, vote: RoundId, weight: usize) {
+        let Some((_, at)) = self
+            .round_ids
+            .iter()
+            .find(|(round_id, _)| *round_id == vote)
+        else {
             return;
         };
         let cast = CastVote { at: *at, weight };
@@ -70,29 +76,29 @@
         }
     }
 
-    /// Judges anew whether this node is elected.
-    pub(crate) fn review(&mut self, view: &PeerView, now: BootTime) {
+    /// Drops expired votes and updates whether this node is elected.
+    pub(crate) fn update_election(&mut self, view: &PeerView, now: BootTime) {
         self.votes
             .retain(|_, vote| now.saturating_sub(vote.at) < VOTE_LIFETIME);
-        if !self.suffice(view) {
+        if !self.has_majority(view) {
             self.elected_since = None;
         } else if self.elected_since.is_none() {
             self.elected_since = Some(now);
         }
     }
 
-    /// Whether this node is elected.
+    /// Returns whether this node is elected.
     pub(crate) fn is_elected(&self) -> bool {
         self.elected_since.is_some()
     }
 
-    /// Since when nobody who was elected before can still act; none where one may.
+    /// Returns the time from which no previously elected node can act any more; none while one still may.
     pub(crate) fn settled_since(&self, now: BootTime) -> Option<BootTime> {
         let settled = self.elected_since? + SETTLE_TIME;
         (settled <= now).then_some(settled)
     }
 
-    /// Nodes of this node's data centre that follow it, itself included.
+    /// Returns the number of nodes of this data centre that follow this node, including itself.
     pub(crate) fn followers(&self) -> usize {
         self.weight(|voter| matches!(voter, VoterName::Node(_))) + 1
     }
@@ -102,7 +108,7 @@
         votes.map(|(_, vote)| vote.weight).sum()
     }
 
-    fn suffice(&self, view: &PeerView) -> bool {
+    fn has_majority(&self, view: &PeerView) -> bool {
         if !view.is_complete || view.collector.is_some() {
             return false;
         }
@@ -113,7 +119,7 @@
         if view.foreign.is_empty() {
             return view.is_preferred && own * 2 == view.centre_count;
         }
-        let fleet = own + self.weight(|voter| matches!(voter, VoterName::Centre(_)));
+        let fleet = own + self.weight(|voter| matches!(voter, VoterName::DataCentre(_)));
         fleet * 2 > view.fleet_count && own * 2 >= view.alive_count
     }
 }
--- a/crates/plumgate/src/gateway/statements/mod.rs
+++ b/crates/plumgate/src/gateway/statements/mod.rs
@@ -1,5 +1,6 @@
-//! What backend servers say of themselves in their answers: limits, that they leave, and for how long they want no
-//! requests. It binds every request to them, whatever rows of the store or other nodes say.
+//! Statements of backend servers about themselves in their answers: rate limits, that they leave, and for how
+//! long they want no requests. They apply to every request to the server, whatever the store or other nodes
+//! report.
 
 mod notices;
 mod statement;
--- a/crates/plumgate/src/gateway/statements/notices.rs
+++ b/crates/plumgate/src/gateway/statements/notices.rs
@@ -1,4 +1,4 @@
-//! The servers that said that they leave, and those that asked this node for a rest, by incarnation.
+//! Table of the servers that announced that they leave or asked this node for a rest, by incarnation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,84 +7,88 @@
 use crate::gateway::rate_limit::BootTime;
 use crate::gateway::servers::{LifeKey, ServerEntry};
 
-/// How long it is remembered that a server leaves which nobody hears of any more.
-const LEAVE_MEMORY: Duration = Duration::from_secs(600);
-/// Time by which a server's promise to serve on is not used up: a request waits for a connection, and is then on
-/// its way.
+/// How long the leaving of a server is retained after it was last confirmed.
+const LEAVE_RETENTION: Duration = Duration::from_secs(600);
+/// Margin by which a request must precede the end of service that a leaving server promised: it first waits
+/// for a connection, and is then in transit.
 const SERVE_MARGIN: Duration = Duration::from_millis(500);
-/// Rounds in which it is told at once that a server leaves.
+/// Number of consecutive rounds in which a new leaving server is reported.
 const TELL_ROUNDS: u32 = 3;
-/// Time after which it is told anew for the first time; each further time comes after twice the pause.
-const RETELL: Duration = Duration::from_secs(1);
-/// How often the pause doubles: it ends at half a minute.
-const RETELL_DOUBLINGS: u32 = 6;
-/// Servers that are remembered, some 100 bytes each.
-const NOTICES_MOST: usize = 8_192;
+/// Interval before the first repeated report; each further interval is twice as long.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of times that the interval doubles, up to half a minute.
+const MAX_INTERVAL_DOUBLINGS: u32 = 6;
+/// Maximum number of servers in the table, some 100 bytes each.
+const MAX_NOTICES: usize = 8_192;
 
-/// How an answer changed what is known of its server.
+/// How an answer changed what is known about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeChange {
     /// The server leaves.
     Leaves,
-    /// It wants no requests for longer than was known.
+    /// The server wants no requests for longer than was known.
     Rests(RestNotice),
 }
 
 /// A rest that a server asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestNotice {
-    /// When it ends, by the time since the VM started.
+    /// When it ends, as time since the VM started.
     pub until: BootTime,
-    /// Whether it makes an earlier one longer.
+    /// Whether it extends an earlier rest.
     pub is_extended: bool,
 }
 
-/// What follows now from what one server said.
+/// What the notices of a server mean for requests now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerStanding {
-    /// How much longer it serves, where it leaves.
+    /// How much longer the server serves requests, if it leaves.
     pub serves_for: Option<Duration>,
-    /// How much longer it wants no requests, where it rests.
+    /// How much longer the server wants no requests, if it rests.
     pub rest_left: Option<Duration>,
 }
 
-/// What one server said.
+/// Notices of one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerNotice {
-    /// When it was first known here that it leaves.
+    /// When this node first learnt that the server leaves.
     leaving_since: Option<BootTime>,
-    /// When that was last said.
-    leaving_heard: BootTime,
+    /// When that was last confirmed.
+    leaving_confirmed_at: BootTime,
     rest_until: Option<BootTime>,
-    telling: LeaveTelling,
+    announcement: LeaveAnnouncement,
 }
 
-/// How far it has been told to other nodes that a server leaves.
+/// State of this node's reports to others that a server leaves.
 #[derive(Clone, Copy, Debug, Default)]
-struct LeaveTelling {
-    /// Whether this node tells it: it heard the server itself, or collects.
-    is_on: bool,
-    /// How often it was told.
-    times: u32,
+struct LeaveAnnouncement {
+    /// Whether this node reports it: the server told this node itself, or the node is the collector.
+    is_active: bool,
+    /// Number of rounds in which it was reported.
+    sent_count: u32,
     next_at: BootTime,
 }
 
-impl LeaveTelling {
+impl LeaveAnnouncement {
     fn start(&mut self, now: BootTime) {
         *self = Self {
-            is_on: true,
-            times: 0,
+            is_active: true,
+            sent_count: 0,
             next_at: now,
         };
     }
 
-    /// It is told now; first in each round, so that one message arrives, then for nodes that came since.
-    fn note_told(&mut self, now: BootTime) {
-        self.times += 1;
-        let doublings = self.times.saturating_sub(TELL_ROUNDS).min(RETELL_DOUBLINGS);
+    /// Records that the report is sent. It is sent in consecutive rounds at first, so that at least one
+    /// message arrives, and at growing intervals afterwards, for nodes that started in the meantime.
+    fn record_sent(&mut self, now: BootTime) {
+        self.sent_count += 1;
+        let doublings = self
+            .sent_count
+            .saturating_sub(TELL_ROUNDS)
+            .min(MAX_INTERVAL_DOUBLINGS);
         let pause = match doublings {
             0 => Duration::ZERO,
-            doublings => RETELL * (1 << (doublings - 1)),
+            doublings => REPORT_INTERVAL * (1 << (doublings - 1)),
         };
         self.next_at = now + pause;
     }
@@ -96,27 +100,27 @@
         (!left.is_zero()).then_some(left)
     }
 
-    fn matters(&self, now: BootTime) -> bool {
-        let is_remembered = now.saturating_sub(self.leaving_heard) < LEAVE_MEMORY;
+    fn is_relevant(&self, now: BootTime) -> bool {
+        let is_remembered = now.saturating_sub(self.leaving_confirmed_at) < LEAVE_RETENTION;
         self.rest_left(now).is_some() || self.leaving_since.is_some() && is_remembered
     }
 }
 
-/// All that servers said to one node of their leaving and resting.
+/// All notices of leaving and resting servers known to one node.
 ///
-/// Only another incarnation of a server is free of it: neither an older row nor an answer that was on its way
-/// takes it back.
+/// Notices apply until the server starts a new incarnation: neither an older row of the store nor an answer
+/// that was in transit revokes them.
 #[derive(Debug)]
 pub struct NoticeBook {
     notices: BTreeMap<LifeKey, ServerNotice>,
-    /// How long a server serves on once it has said that it leaves.
+    /// How long a server continues to serve after it announced that it leaves.
     drain_time: Duration,
-    /// Notices for which there was no room.
+    /// Number of notices dropped because the table was full.
     dropped: u64,
 }
 
 impl NoticeBook {
-    /// A node that was told nothing yet, of servers that serve on for some time once they leave.
+    /// Creates an empty table; leaving servers continue to serve for `drain_time`.
     pub fn new(drain_time: Duration) -> Self {
         Self {
             notices: BTreeMap::new(),
@@ -125,12 +129,12 @@
         }
     }
 
-    /// Servers that leave serve on for another time.
+    /// Sets how long leaving servers continue to serve.
     pub fn set_drain_time(&mut self, drain_time: Duration) {
         self.drain_time = drain_time;
     }
 
-    /// What follows now from what an incarnation said.
+    /// Returns what the notices of an incarnation mean for requests now.
     pub fn standing(&self, life: LifeKey, now: BootTime) -> ServerStanding {
         let notice = self.notices.get(&life).copied().unwrap_or_default();
         let serves = self.drain_time.saturating_sub(SERVE_MARGIN);
@@ -142,36 +146,42 @@
         }
     }
 
-    /// Whether nothing is known.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.notices.is_empty()
     }
 
-    /// A server said that it leaves; whether that is new.
+    /// Records that a server announced that it leaves. Returns whether that is new.
     pub fn note_leaving(&mut self, life: LifeKey, now: BootTime) -> bool {
-        let Some(notice) = self.notice(life, now) else {
+        let Some(notice) = self.notice_mut(life, now) else {
             return false;
         };
-        notice.leaving_heard = now;
+        notice.leaving_confirmed_at = now;
         let is_new = notice.leaving_since.is_none();
         notice.leaving_since.get_or_insert(now);
-        if !notice.telling.is_on {
-            notice.telling.start(now);
+        if !notice.announcement.is_active {
+            notice.announcement.start(now);
         }
         is_new
     }
 
-    /// Another node told that a server leaves; whether that is new. `tells` where this node passes it on.
-    pub(crate) fn note_told(&mut self, report: &LeaveReport, tells: bool, now: BootTime) -> bool {
-        let Some(notice) = self.notice(report.life, now) else {
+    /// Merges another node's report that a server leaves. Returns whether that is new. `forwards` says whether
+    /// this node passes it on.
+    pub(crate) fn note_told(
+        &mut self,
+        report: &LeaveReport,
+        forwards: bool,
+        now: BootTime,
+    ) -> bool {
+        let Some(notice) = self.notice_mut(report.life, now) else {
             return false;
         };
         let since = now.saturating_sub(report.age());
         let is_new = notice.leaving_since.is_none();
         if is_new {
-            notice.leaving_heard = now;
-            if tells {
-                notice.telling.start(now);
+            notice.leaving_confirmed_at = now;
+            if forwards {
+                notice.announcement.start(now);
             }
         }
         let known = notice.leaving_since.unwrap_or(since);
@@ -179,38 +189,43 @@
         is_new
     }
 
-    /// Tells all again in the next rounds: a node has asked for what others know.
+    /// Restarts the reports of all leaving servers, after a node requested them.
     pub fn tell_again(&mut self, now: BootTime) {
         for notice in self.notices.values_mut() {
             if notice.leaving_since.is_some() {
-                notice.telling.start(now);
+                notice.announcement.start(now);
             }
         }
     }
 
-    /// What this round tells, the newest first. A collector tells all that it knows.
-    pub(crate) fn tell(
+    /// Returns the reports that are due in this round, the newest first. A collector reports all that it
+    /// knows.
+    pub(crate) fn due_reports(
         &mut self,
-        most: usize,
+        max: usize,
         is_collector: bool,
         now: BootTime,
     ) -> Vec<LeaveReport> {
-        let mut telling: Vec<(LifeKey, BootTime, &mut LeaveTelling)> = self
+        let mut due: Vec<(LifeKey, BootTime, &mut LeaveAnnouncement)> = self
             .notices
             .iter_mut()
-            .filter_map(|(life, notice)| Some((*life, notice.leaving_since?, &mut notice.telling)))
-            .filter(|(.., telling)| (telling.is_on || is_collector) && telling.next_at <= now)
+            .filter_map(|(life, notice)| {
+                Some((*life, notice.leaving_since?, &mut notice.announcement))
+            })
+            .filter(|(.., announcement)| {
+                (announcement.is_active || is_collector) && announcement.next_at <= now
+            })
             .collect();
-        telling.sort_by_key(|(.., telling)| telling.times);
-        telling.truncate(most);
-        let reports = telling.into_iter().map(|(life, since, telling)| {
-            telling.note_told(now);
+        due.sort_by_key(|(.., announcement)| announcement.sent_count);
+        due.truncate(max);
+        let reports = due.into_iter().map(|(life, since, announcement)| {
+            announcement.record_sent(now);
             LeaveReport::new(life, since, now)
         });
         reports.collect()
     }
 
-    /// A server asked for a rest. A shorter one that follows a longer one changes nothing.
+    /// Records a rest that a server asked for. A rest that ends before a known one is ignored.
     pub fn note_rest(
         &mut self,
         life: LifeKey,
@@ -218,7 +233,7 @@
         now: BootTime,
     ) -> Option<RestNotice> {
         let until = now.saturating_add(rest);
-        let notice = self.notice(life, now)?;
+        let notice = self.notice_mut(life, now)?;
         let before = notice.rest_until.filter(|before| now < *before);
         if rest.is_zero() || before.is_some_and(|before| until <= before) {
             return None;
@@ -230,10 +245,10 @@
         })
     }
 
-    fn notice(&mut self, life: LifeKey, now: BootTime) -> Option<&mut ServerNotice> {
-        if !self.notices.contains_key(&life) && self.notices.len() >= NOTICES_MOST {
+    fn notice_mut(&mut self, life: LifeKey, now: BootTime) -> Option<&mut ServerNotice> {
+        if !self.notices.contains_key(&life) && self.notices.len() >= MAX_NOTICES {
             self.forget_old(now, |_| false);
-            if self.notices.len() >= NOTICES_MOST {
+            if self.notices.len() >= MAX_NOTICES {
                 self.dropped += 1;
                 return None;
             }
@@ -241,17 +256,17 @@
         Some(self.notices.entry(life).or_default())
     }
 
-    /// Since when a server is known to leave.
+    /// Returns since when a server is known to leave.
     pub fn leaving_since(&self, server: &ServerEntry) -> Option<BootTime> {
         self.notices.get(&server.life_key())?.leaving_since
     }
 
-    /// How long a server still wants no requests.
+    /// Returns how long a server still wants no requests.
     pub fn rest_left(&self, server: &ServerEntry, now: BootTime) -> Option<Duration> {
         self.notices.get(&server.life_key())?.rest_left(now)
     }
 
-    /// Servers that are known to leave.
+    /// Returns the number of servers that are known to leave.
     pub fn leaving_count(&self) -> usize {
         let notices = self.notices.values();
         notices
@@ -259,7 +274,7 @@
             .count()
     }
 
-    /// Servers that rest now.
+    /// Returns the number of servers that rest now.
     pub fn resting_count(&self, now: BootTime) -> usize {
         let notices = self.notices.values();
         notices
@@ -267,18 +282,18 @@
             .count()
     }
 
-    /// Notices for which there was no room since the last call.
+    /// Takes the number of notices dropped since the last call because the table was full.
     pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
 
-    /// Forgets what no longer matters; of servers that are still known nothing is forgotten.
+    /// Discards notices that no longer apply; the leaving of servers that are still known is retained.
     pub fn forget_old(&mut self, now: BootTime, is_known: impl Fn(LifeKey) -> bool) {
         self.notices.retain(|life, notice| {
-            if !notice.matters(now) && notice.leaving_since.is_some() && is_known(*life) {
-                notice.leaving_heard = now;
+            if !notice.is_relevant(now) && notice.leaving_since.is_some() && is_known(*life) {
+                notice.leaving_confirmed_at = now;
             }
-            notice.matters(now)
+            notice.is_relevant(now)
         });
     }
 }
--- a/crates/plumgate/src/gateway/statements/statement.rs
+++ b/crates/plumgate/src/gateway/statements/statement.rs
@@ -1,37 +1,38 @@
-//! What a backend server says of itself in an answer, beside the answer.
+//! What a backend server states about itself in an answer, in addition to the answer.
 
 use std::time::Duration;
 
 use crate::gateway::rate_limit::RateStatement;
 
-/// Whether an answer says that its server leaves.
+/// Whether an answer states that its server leaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaveStatement {
-    /// It does not say so.
+    /// The answer does not say so.
     #[default]
     Stays,
-    /// It says so.
+    /// The server leaves.
     Leaves,
-    /// It says something that means neither; nothing follows from it.
+    /// The value is invalid and is ignored.
     Malformed,
 }
 
-/// For how long an answer asks for no requests of the node that gets it.
+/// For how long an answer asks the receiving node to send no requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RestStatement {
-    /// It does not ask for that.
+    /// The answer asks for no rest.
     #[default]
     None,
-    /// For some time from now on.
+    /// For this time from now on.
     For(Duration),
-    /// Until a moment, in milliseconds of the Unix epoch.
+    /// Until this time, in milliseconds since the Unix epoch.
     Until(u64),
-    /// It names something that is no time; nothing follows from it.
+    /// The value is not a valid time and is ignored.
     Malformed,
 }
 
 impl RestStatement {
-    /// The time from a moment of the Unix epoch on; none where it names none.
+    /// Returns the duration from `unix_ms` on, in milliseconds since the Unix epoch; none if no rest is asked
+    /// for.
     pub fn duration(self, unix_ms: u64) -> Option<Duration> {
         match self {
             Self::For(rest) => Some(rest),
@@ -41,13 +42,13 @@
     }
 }
 
-/// All that an answer says of its server.
+/// All statements of an answer about its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerStatement {
-    /// The requests that the server takes from all nodes together.
+    /// The requests that the server accepts from all nodes together.
     pub rate_limit: RateStatement,
-    /// Whether it leaves.
+    /// Whether the server leaves.
     pub leaving: LeaveStatement,
-    /// For how long it wants no requests of this node.
+    /// For how long the server wants no requests from this node.
     pub rest: RestStatement,
 }
--- a/crates/plumgate/src/gateway/statements/table.rs
+++ b/crates/plumgate/src/gateway/statements/table.rs
@@ -1,4 +1,4 @@
-//! All that servers said of themselves, as one node knows it.
+//! Statements of all servers about themselves, as known to one node.
 
 use std::time::Duration;
 
@@ -8,44 +8,45 @@
 use crate::gateway::rate_limit::{BootTime, SendPermit, ServerLimits};
 use crate::gateway::servers::ServerEntry;
 
-/// Rounds in which a node that started asks for what others know, so that one message arrives.
-const ASK_ROUNDS: u32 = 3;
+/// Number of rounds in which a node that started requests reports from others, so that at least one message
+/// arrives.
+const REQUEST_ROUNDS: u32 = 3;
 
-/// When an answer was made and read.
+/// When a request was sent and its answer received.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerTimes {
-    /// When its request left, by the time since the VM started.
+    /// When the request was sent, as time since the VM started.
     pub sent: BootTime,
-    /// When its head was read.
+    /// When the head of the answer was received, as time since the VM started.
     pub seen: BootTime,
-    /// The same in milliseconds of the Unix epoch.
+    /// The same in milliseconds since the Unix epoch.
     pub seen_unix_ms: u64,
 }
 
-/// A request that is about to leave for a server.
+/// Circumstances of a request that is about to be sent to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct SendMoment<'a> {
-    /// The time since the VM started.
+    /// Time since the VM started.
     pub now: BootTime,
-    /// The permit that the request has, if any.
+    /// The permit that the request holds, if any.
     pub permit: Option<&'a SendPermit>,
-    /// Whether no other server can take it.
+    /// Whether no other server can handle the request.
     pub is_last_resort: bool,
 }
 
-/// Why a request must not leave for a server, by the server's own word.
+/// Why the statements of a server forbid sending it a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendRefusal {
-    /// It named a limit, and the request has no permit.
+    /// The server has a rate limit, and the request holds no permit.
     Limited,
-    /// It leaves.
+    /// The server leaves.
     Leaving,
-    /// It asked this node for a rest.
+    /// The server asked this node for a rest.
     Resting,
 }
 
 impl SendRefusal {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Limited => "server_limit",
@@ -55,35 +56,36 @@
     }
 }
 
-/// What servers said of themselves.
+/// Statements of all servers.
 #[derive(Debug)]
 pub struct ServerStatements {
-    /// The limits that they named.
+    /// The rate limits of servers.
     pub limits: ServerLimits,
-    /// Which of them leave, and which rest.
+    /// Notices of leaving and resting servers.
     pub notices: NoticeBook,
-    /// Rounds in which this node still asks others for servers that leave.
-    pub(super) asks_left: u32,
+    /// Number of rounds in which this node still requests reports of leaving servers.
+    pub(super) requests_left: u32,
 }
 
 impl ServerStatements {
-    /// A node that was told nothing yet; `has_peers` where it talks to others.
+    /// Creates the state of a node that knows no statements; `has_peers` says whether it exchanges messages
+    /// with others.
     ///
-    /// Servers that leave serve on for `drain_time`.
+    /// Leaving servers continue to serve for `drain_time`.
     pub fn new(has_peers: bool, seed: u64, drain_time: Duration) -> Self {
         Self {
             limits: ServerLimits::new(has_peers, seed),
             notices: NoticeBook::new(drain_time),
-            asks_left: ASK_ROUNDS,
+            requests_left: REQUEST_ROUNDS,
         }
     }
 
-    /// A configuration is in force: its keys seal what nodes tell each other.
+    /// Applies a configuration, whose keys seal the messages between nodes.
     pub fn set_config(&mut self, config: &GatewayConfig) {
         self.limits.set_config(config);
     }
 
-    /// A server said in an answer that it leaves, or asked for a rest; what of it was not known.
+    /// Records the leaving and resting that a server states in an answer. Returns what was not known yet.
     pub fn note_notices(
         &mut self,
         server: &ServerEntry,
@@ -104,8 +106,10 @@
         changes
     }
 
-    /// Whether a request may leave for this incarnation of a server now. Every request to a server is asked for
-    /// here, right before it is written.
+    /// Checks whether a request may be sent to this incarnation of a server now. Every request to a server is
+    /// checked here right before it is written.
+    ///
+    /// Returns the reason if it may not be sent.
     pub fn check(&self, server: &ServerEntry, send: SendMoment<'_>) -> Result<(), SendRefusal> {
         let standing = self.notices.standing(server.life_key(), send.now);
         if let Some(serves_for) = standing.serves_for
--- a/crates/plumgate/src/gateway/statements/telling.rs
+++ b/crates/plumgate/src/gateway/statements/telling.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about servers that leave. All of it is sealed.
+//! Messages between nodes about leaving servers. All of them are sealed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,21 +10,22 @@
 use crate::gateway::rate_limit::{BootTime, MailMoment, MailOutcome, StatementMessage};
 use crate::gateway::servers::LifeKey;
 
-/// Reports in one message, some 15 bytes each: it is sealed twice and fits into one packet.
-const REPORTS_MOST: usize = 30;
-/// Messages in one round to each node.
-const MESSAGES_MOST: usize = 4;
+/// Maximum number of reports per message, some 15 bytes each: a message is sealed twice and fits into one
+/// packet.
+const MAX_REPORTS: usize = 30;
+/// Maximum number of messages to each node per round.
+const MAX_MESSAGES: usize = 4;
 
-/// A server that leaves, told by its age.
+/// Report that a server leaves, with the time given as an age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaveReport {
     pub(crate) life: LifeKey,
-    /// Milliseconds since it was first known that it leaves, rounded up.
+    /// Milliseconds since the sender first knew that the server leaves, rounded up.
     age_ms: u32,
 }
 
 impl LeaveReport {
-    /// A server that has been known to leave since a moment.
+    /// Creates the report of a server that has been known to leave since `since`.
     pub(crate) fn new(life: LifeKey, since: BootTime, now: BootTime) -> Self {
         let age = now.saturating_sub(since).as_millis() + 1;
         Self {
@@ -33,66 +34,71 @@
         }
     }
 
-    /// How long ago that became known, by the node that told.
+    /// Returns how long the sender has known it.
     pub(crate) fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms.into())
     }
 }
 
-/// What another node told of a server that leaves, where that was new here.
+/// A leaving server that was learnt from another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaveEvent {
-    /// The name of the server's incarnation.
+    /// Key of the server's incarnation.
     pub life: LifeKey,
-    /// How long ago it became known.
+    /// How long ago the reporting node learnt it.
     pub age: Duration,
 }
 
 impl ServerStatements {
-    /// One round: what this node tells the others.
+    /// Runs one round and returns the messages to other nodes.
     pub fn talk(&mut self, exchange: &LoadExchange, moment: MailMoment) -> Vec<ExchangePacket> {
         let mut packets = self.limits.talk(exchange, moment);
-        packets.extend(self.ask_others(exchange, moment));
+        packets.extend(self.request_reports(exchange, moment));
         let collects = exchange.is_collector();
-        let most = REPORTS_MOST * MESSAGES_MOST;
-        let reports = self.notices.tell(most, collects, moment.boot);
+        let max = MAX_REPORTS * MAX_MESSAGES;
+        let reports = self.notices.due_reports(max, collects, moment.boot);
         if reports.is_empty() {
             return packets;
         }
-        for to in audience(&exchange.peer_view()) {
-            for part in reports.chunks(REPORTS_MOST) {
-                let message = StatementMessage::Leaves(part.to_vec());
-                packets.extend(self.limits.post(exchange, to, message, moment));
+        for to in recipients(&exchange.peer_view()) {
+            for part in reports.chunks(MAX_REPORTS) {
+                let message = StatementMessage::LeaveReports(part.to_vec());
+                packets.extend(self.limits.message_packet(exchange, to, message, moment));
             }
         }
         packets
     }
 
-    /// What a node that has just started asks of the first nodes that it hears: the store's rows don't say what
-    /// servers said to nodes.
-    fn ask_others(&mut self, exchange: &LoadExchange, moment: MailMoment) -> Vec<ExchangePacket> {
-        if self.asks_left == 0 {
+    /// Returns the requests that a node sends after its start to the first nodes it knows: the rows of the
+    /// store don't hold what servers stated to other nodes.
+    fn request_reports(
+        &mut self,
+        exchange: &LoadExchange,
+        moment: MailMoment,
+    ) -> Vec<ExchangePacket> {
+        if self.requests_left == 0 {
             return Vec::new();
         }
-        let message = || StatementMessage::LeavesWanted;
-        let to = audience(&exchange.peer_view()).into_iter();
+        let message = || StatementMessage::LeaveReportsRequest;
+        let to = recipients(&exchange.peer_view()).into_iter();
         let packets: Vec<ExchangePacket> = to
-            .filter_map(|to| self.limits.post(exchange, to, message(), moment))
+            .filter_map(|to| self.limits.message_packet(exchange, to, message(), moment))
             .collect();
         if !packets.is_empty() {
-            self.asks_left -= 1;
+            self.requests_left -= 1;
         }
         packets
     }
 
-    /// Takes in messages, and gives those that answer them or pass them on.
+    /// Handles received messages. Returns the packets that answer or forward them, the outcome and new leaving
+    /// servers.
     pub fn hear(
         &mut self,
         exchange: &mut LoadExchange,
         moment: MailMoment,
     ) -> (Vec<ExchangePacket>, MailOutcome, Vec<LeaveEvent>) {
-        let mail = exchange.take_mail();
-        let (packets, mut outcome) = self.limits.hear(exchange, mail, moment);
+        let messages = exchange.take_mail();
+        let (packets, mut outcome) = self.limits.hear(exchange, messages, moment);
         if outcome.wants_leaves {
             self.notices.tell_again(moment.boot);
         }
@@ -110,8 +116,9 @@
     }
 }
 
-/// Whom a node tells: its collector; a collector tells its data centre and the collectors of the others.
-fn audience(view: &PeerView) -> Vec<SocketAddr> {
+/// Returns the recipients of a node's reports: its collector, or for a collector the nodes of its data centre
+/// and the collectors of the others.
+fn recipients(view: &PeerView) -> Vec<SocketAddr> {
     if let Some((_, collector)) = &view.collector {
         return vec![*collector];
     }
