--- a/crates/plumgate/src/gateway/quarantine/answers.rs
+++ b/crates/plumgate/src/gateway/quarantine/answers.rs
@@ -1,47 +1,47 @@
-//! Requests that were answered lately: they don't end the servers that run them.
+//! Recently answered requests, which are taken as harmless.
 
 use std::time::{Duration, Instant};
 
 use super::identity::RequestIdentity;
 
-/// Requests that are remembered, 48 bytes each. A popular one is noted again and again; which of two that share a
-/// place is remembered does not matter, as what is forgotten counts as unknown.
-const PLACES: usize = 1_024;
-/// How long an answer speaks for a request. A text that ends servers since their last update was perhaps answered
-/// before it.
-const SPEAKS_FOR: Duration = Duration::from_secs(10);
+/// Requests that are remembered, 48 bytes each. A popular request is recorded again and again. Of two
+/// requests that share a slot either may be forgotten, as a forgotten one just counts as unknown.
+const SLOT_COUNT: usize = 1_024;
+/// How long an answer counts in a request's favour. It is short, as a request that crashes servers only since
+/// their last update may have been answered before the update.
+const ANSWER_LIFETIME: Duration = Duration::from_secs(10);
 
-/// A request and when it was answered last.
-type AnswerPlace = Option<(RequestIdentity, Instant)>;
+/// Request and the time of its last answer.
+type AnswerSlot = Option<(RequestIdentity, Instant)>;
 
-/// Requests that were answered lately.
+/// Recently answered requests.
 ///
-/// A popular read runs wherever servers end, under whatever request, and all that ran there looks the same at the
-/// end. Where three servers of a small pool end within a second, no answer comes in between; but there
-/// were answers before.
+/// A popular request runs on most servers, so it is cut by crashes that other requests cause, and looks like
+/// them as all runs on a crashed server look the same. Where three servers of a small pool crash within a
+/// second, no answer arrives in between; but answers arrived before.
 #[derive(Debug, Default)]
 pub(crate) struct RecentAnswers {
-    places: Vec<AnswerPlace>,
+    slots: Vec<AnswerSlot>,
 }
 
 impl RecentAnswers {
-    /// A request was answered.
-    pub(crate) fn note(&mut self, identity: RequestIdentity, now: Instant) {
-        if self.places.is_empty() {
-            self.places.resize(PLACES, None);
+    /// Records that a request was answered.
+    pub(crate) fn record(&mut self, identity: RequestIdentity, now: Instant) {
+        if self.slots.is_empty() {
+            self.slots.resize(SLOT_COUNT, None);
         }
-        self.places[place(identity)] = Some((identity, now));
+        self.slots[slot_index(identity)] = Some((identity, now));
     }
 
-    /// Whether a request was answered lately.
-    pub(crate) fn speak_for(&self, identity: RequestIdentity, now: Instant) -> bool {
-        let answered = self.places.get(place(identity)).copied().flatten();
-        answered.is_some_and(|(held, at)| {
-            held == identity && now.saturating_duration_since(at) < SPEAKS_FOR
+    /// Returns whether a request was answered recently.
+    pub(crate) fn contains(&self, identity: RequestIdentity, now: Instant) -> bool {
+        let answered = self.slots.get(slot_index(identity)).copied().flatten();
+        answered.is_some_and(|(known, at)| {
+            known == identity && now.saturating_duration_since(at) < ANSWER_LIFETIME
         })
     }
 }
 
-fn place(identity: RequestIdentity) -> usize {
-    identity.rank_seed() as usize % PLACES
+fn slot_index(identity: RequestIdentity) -> usize {
+    identity.rank_seed() as usize % SLOT_COUNT
 }
--- a/crates/plumgate/src/gateway/quarantine/doubts.rs
+++ b/crates/plumgate/src/gateway/quarantine/doubts.rs
@@ -1,9 +1,9 @@
-//! Runs that ended without a whole answer, until it shows whether their servers ended.
+//! In-doubt runs: those that ended without a whole answer, until it is known whether their servers crashed.
 //!
-//! A connection that breaks, or that stays silent, is no end of a server: a bad release or a proxy may break
-//! each connection of servers that live, and callers leave all the time. Held back for that, a popular
-//! read would be out of service for minutes after a fault of seconds. Each run waits here until the server's
-//! machine refuses a connection, or its entry lapses, or until it answers.
+//! A broken or silent connection does not prove a crash: a faulty release or a proxy may break the
+//! connections of servers that are alive, and callers disconnect all the time. If such a connection counted
+//! as a crash, a popular request would be blocked for minutes after a fault of seconds. So each run waits
+//! here until the server's machine refuses a connection, the server's entry lapses, or the server responds.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -13,162 +13,164 @@
 use crate::gateway::exchange::messages::ServerKey;
 
 /// Runs that are remembered.
-const RUNS_MOST: usize = 256;
-/// Servers that are remembered as gone, or that are being asked.
-const SERVERS_MOST: usize = 256;
-/// How long each is: entries of servers that went dark lapse within three seconds.
-const MEMORY: Duration = Duration::from_secs(8);
-/// How long a server that is being asked is not asked again: longer than a connection may take.
-const ASKING: Duration = Duration::from_millis(400);
-
-/// A run whose server may have ended.
+const MAX_RUNS: usize = 256;
+/// Servers that are remembered as gone, and servers that are remembered as being probed.
+const MAX_SERVERS: usize = 256;
+/// How long runs and servers are remembered. Entries of servers that stop responding lapse within three
+/// seconds.
+const RETENTION: Duration = Duration::from_secs(8);
+/// How long a probed server is not probed again; longer than it may take to connect.
+const PROBE_DURATION: Duration = Duration::from_millis(400);
+
+/// Run whose server may have crashed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct DoubtfulRun {
+pub(crate) struct InDoubtRun {
     pub(crate) identity: RequestIdentity,
     pub(crate) server: ServerKey,
     pub(crate) began: Instant,
     pub(crate) ended: Instant,
 }
 
-/// A server that is gone.
+/// Server that is gone.
 #[derive(Clone, Copy, Debug)]
 struct GoneServer {
     server: ServerKey,
-    /// By what that showed.
+    /// Sign by which the server is known to be gone.
     sign: EndSign,
     at: Instant,
 }
 
-/// A server that is being asked whether it lives.
+/// Server that is being probed.
 #[derive(Clone, Copy, Debug)]
-struct AskedServer {
+struct ProbedServer {
     server: ServerKey,
     at: Instant,
 }
 
-/// Runs in doubt, and servers that are gone, until one explains the other.
+/// In-doubt runs and servers that are gone, to be matched with each other.
 #[derive(Debug, Default)]
-pub(crate) struct DoubtQueue {
-    runs: VecDeque<DoubtfulRun>,
+pub(crate) struct InDoubtQueue {
+    runs: VecDeque<InDoubtRun>,
     gone: VecDeque<GoneServer>,
-    asked: VecDeque<AskedServer>,
+    probed: VecDeque<ProbedServer>,
 }
 
-impl DoubtQueue {
-    /// A run ended in doubt. Tells by what its server showed to be gone already, where it did.
-    pub(crate) fn note_run(&mut self, run: DoubtfulRun, now: Instant) -> Option<EndSign> {
-        self.forget(now);
+impl InDoubtQueue {
+    /// Adds a run. Returns the sign by which its server is already known to be gone, if it is.
+    pub(crate) fn add_run(&mut self, run: InDoubtRun, now: Instant) -> Option<EndSign> {
+        self.expire(now);
         if let Some(gone) = self.gone.iter().find(|gone| gone.server == run.server) {
             return Some(gone.sign);
         }
-        if self.runs.len() >= RUNS_MOST {
-            self.drop_run(run.identity);
+        if self.runs.len() >= MAX_RUNS {
+            self.evict_run(run.identity);
         }
         self.runs.push_back(run);
         None
     }
 
-    /// Drops the oldest run of the workspace that has most of them, or one that leaves many requests
-    /// unanswered would hide what others' show.
-    fn drop_run(&mut self, newest: RequestIdentity) {
+    /// Evicts the oldest run, or the oldest of the workspace if that holds more than a quarter of the queue:
+    /// a workspace that leaves many requests unanswered must not displace the runs of others.
+    fn evict_run(&mut self, newest: RequestIdentity) {
         let of_workspace = self
             .runs
             .iter()
             .filter(|run| run.identity.is_of_workspace(&newest));
-        let crowds = of_workspace.count() * 4 > RUNS_MOST;
+        let is_over_share = of_workspace.count() * 4 > MAX_RUNS;
         let oldest = self
             .runs
             .iter()
-            .position(|run| !crowds || run.identity.is_of_workspace(&newest));
+            .position(|run| !is_over_share || run.identity.is_of_workspace(&newest));
         if let Some(oldest) = oldest {
             self.runs.remove(oldest);
         }
     }
 
-    /// Whether a server should be asked now whether it lives: many runs break at once where one ends.
-    pub(crate) fn ask(&mut self, server: ServerKey, now: Instant) -> bool {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < ASKING;
-        let mut asked = self.asked.iter();
-        if asked.any(|asked| asked.server == server && is_recent(asked.at)) {
+    /// Returns whether a server should be probed now, and records the probe. One crash breaks many runs at
+    /// once, and one probe is enough for them.
+    pub(crate) fn start_probe(&mut self, server: ServerKey, now: Instant) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < PROBE_DURATION;
+        let mut probed = self.probed.iter();
+        if probed.any(|probed| probed.server == server && is_recent(probed.at)) {
             return false;
         }
-        push(&mut self.asked, AskedServer { server, at: now });
+        push_bounded(&mut self.probed, ProbedServer { server, at: now });
         true
     }
 
-    /// Whether a server is being asked that a request ran at.
-    pub(crate) fn is_asking(&self, identity: RequestIdentity, now: Instant) -> bool {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < ASKING;
+    /// Returns whether a server is being probed at which the request ran.
+    pub(crate) fn is_probing(&self, identity: RequestIdentity, now: Instant) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < PROBE_DURATION;
         let mut runs = self.runs.iter().filter(|run| run.identity == identity);
         runs.any(|run| {
-            let mut asked = self.asked.iter();
-            asked.any(|asked| asked.server == run.server && is_recent(asked.at))
+            let mut probed = self.probed.iter();
+            probed.any(|probed| probed.server == run.server && is_recent(probed.at))
         })
     }
 
-    /// A server gave no answer whether it lives.
-    pub(crate) fn note_unanswered(&mut self, server: ServerKey) {
-        self.asked.retain(|asked| asked.server != server);
+    /// Handles a probe that got no response.
+    pub(crate) fn on_probe_unanswered(&mut self, server: ServerKey) {
+        self.probed.retain(|probed| probed.server != server);
     }
 
-    /// A server is gone; gives back the runs that it explains.
-    pub(crate) fn note_gone(
+    /// Handles a server that is gone; returns the runs that this explains.
+    pub(crate) fn on_server_gone(
         &mut self,
         server: ServerKey,
         sign: EndSign,
         now: Instant,
-    ) -> Vec<DoubtfulRun> {
-        self.forget(now);
-        self.note_unanswered(server);
+    ) -> Vec<InDoubtRun> {
+        self.expire(now);
+        self.on_probe_unanswered(server);
         if !self.gone.iter().any(|gone| gone.server == server) {
             let at = now;
-            push(&mut self.gone, GoneServer { server, sign, at });
+            push_bounded(&mut self.gone, GoneServer { server, sign, at });
         }
-        self.take_runs(|run| run.server == server)
+        self.remove_runs(|run| run.server == server)
     }
 
-    /// A server's entry is there again.
-    pub(crate) fn note_back(&mut self, server: ServerKey) {
+    /// Handles a server whose entry is listed again.
+    pub(crate) fn on_server_back(&mut self, server: ServerKey) {
         self.gone.retain(|gone| gone.server != server);
     }
 
-    /// A server lives that took something at a moment: what ended before that was not its end. Gives back the
-    /// runs that this explains.
-    pub(crate) fn note_alive(&mut self, server: ServerKey, began: Instant) -> Vec<DoubtfulRun> {
+    /// Handles a response of a server to something sent at `began`: runs that ended before were not cut by a
+    /// crash. Returns these runs.
+    pub(crate) fn on_server_alive(&mut self, server: ServerKey, began: Instant) -> Vec<InDoubtRun> {
         if !self.gone.is_empty() {
-            self.note_back(server);
+            self.on_server_back(server);
         }
-        if !self.asked.is_empty() {
-            self.note_unanswered(server);
+        if !self.probed.is_empty() {
+            self.on_probe_unanswered(server);
         }
         if self.runs.is_empty() {
             return Vec::new();
         }
-        self.take_runs(|run| run.server == server && run.ended <= began)
+        self.remove_runs(|run| run.server == server && run.ended <= began)
     }
 
-    fn take_runs(&mut self, is_meant: impl Fn(&DoubtfulRun) -> bool) -> Vec<DoubtfulRun> {
-        let (taken, kept): (VecDeque<_>, _) = self.runs.drain(..).partition(is_meant);
-        self.runs = kept;
-        taken.into()
+    fn remove_runs(&mut self, is_selected: impl Fn(&InDoubtRun) -> bool) -> Vec<InDoubtRun> {
+        let (removed, remaining): (VecDeque<_>, _) = self.runs.drain(..).partition(is_selected);
+        self.runs = remaining;
+        removed.into()
     }
 
-    fn forget(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) > MEMORY;
+    fn expire(&mut self, now: Instant) {
+        let is_old = |at: Instant| now.saturating_duration_since(at) > RETENTION;
         while self.runs.front().is_some_and(|run| is_old(run.ended)) {
             self.runs.pop_front();
         }
         while self.gone.front().is_some_and(|gone| is_old(gone.at)) {
             self.gone.pop_front();
         }
-        while self.asked.front().is_some_and(|asked| is_old(asked.at)) {
-            self.asked.pop_front();
+        while self.probed.front().is_some_and(|probed| is_old(probed.at)) {
+            self.probed.pop_front();
         }
     }
 }
 
-fn push<T>(servers: &mut VecDeque<T>, server: T) {
-    if servers.len() >= SERVERS_MOST {
+fn push_bounded<T>(servers: &mut VecDeque<T>, server: T) {
+    if servers.len() >= MAX_SERVERS {
         servers.pop_front();
     }
     servers.push_back(server);
--- a/crates/plumgate/src/gateway/quarantine/evidence.rs
+++ b/crates/plumgate/src/gateway/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! What speaks for it that a backend server ended under a request.
+//! Evidence that backend servers crashed while they ran a request.
 
 use std::time::{Duration, Instant};
 
@@ -6,28 +6,28 @@
 
 use crate::gateway::exchange::messages::ServerKey;
 
-/// Ends that are kept of one request: more than any verdict needs, so that a few that turn out untrue
-/// leave enough.
-const ENDS_MOST: usize = 8;
+/// Crashes kept of one request: more than any verdict needs, so that enough remain when a few are refuted.
+const MAX_CRASHES: usize = 8;
 
-/// How long after the end of one server a run must begin to come in turn. A node's own retry follows within a few
-/// milliseconds, also that of an innocent request that runs beside a deadly one, and the servers of a rack may
-/// end that far apart; a run that ends its server lasts longer, so that the next but one counts.
+/// Least time between the end of one run and the begin of the next for the two to be consecutive. A node's
+/// own retry follows within a few milliseconds, also that of an innocent request that ran beside a poison
+/// request, and the servers of a rack may crash that far apart. A run that crashes its server lasts longer
+/// than this gap, so that the next run but one counts.
 const TURN_GAP: Duration = Duration::from_millis(100);
 
-/// Why a server is believed to have ended.
+/// Sign by which a server's crash is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EndSign {
     /// The answer broke off or did not come, and the server's machine refused the next connection.
     Refused,
-    /// The same, and the server's entry lapsed without its having drained.
+    /// The answer broke off or did not come, and the server's entry lapsed without its having drained.
     Lapsed,
     /// The server's entry was written by a later start.
     Restarted,
 }
 
 impl EndSign {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Refused => "refused",
@@ -37,129 +37,131 @@
     }
 }
 
-/// A server that is believed to have ended while it ran a request.
+/// Crash of a server that is believed to have happened while the server ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct EndEvidence {
-    /// The incarnation of the server.
+pub(crate) struct CrashEvidence {
+    /// Incarnation of the server.
     pub(crate) server: ServerKey,
-    /// Why it is believed.
+    /// Sign by which the crash is believed.
     pub(crate) sign: EndSign,
     /// When the request was sent.
     pub(crate) began: Instant,
-    /// When its run ended.
+    /// When the run ended.
     pub(crate) ended: Instant,
-    /// Whether it turned out that the server lives, or that the request does no harm. Kept, or what
-    /// other nodes still tell would bring the evidence back.
+    /// Whether the server turned out to be alive, or the request to be harmless. Refuted evidence is
+    /// retained, as otherwise reports still on their way from other nodes would restore it.
     pub(crate) is_refuted: bool,
 }
 
-/// Whence evidence comes.
+/// Where evidence comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EvidenceSource {
-    /// This node saw it.
-    Own,
-    /// Another node told it, and this one tells it on.
-    ToldOn,
-    /// Another node told it.
-    Told,
-    /// The store kept it.
+    /// Observed by this node.
+    Local,
+    /// Received from another node, and relayed by this one.
+    Relayed,
+    /// Received from another node.
+    Received,
+    /// Read from the store.
     Store,
 }
 
-/// The ends of servers under one request.
+/// Crashes of servers under one request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EndHistory {
-    ends: Vec<EndEvidence>,
+pub(crate) struct CrashHistory {
+    crashes: Vec<CrashEvidence>,
 }
 
-/// What a history comes to.
+/// Totals of a crash history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndCount {
-    /// Servers that ended.
+    /// Crashed servers.
     pub servers: usize,
-    /// How many of the runs came one after another: each began a while after the one before had ended.
+    /// Consecutive crashes: each run began a while after the run before had ended.
     pub in_turn: usize,
 }
 
-impl EndHistory {
-    /// The ends, those that were refuted included.
-    pub(crate) fn ends(&self) -> &[EndEvidence] {
-        &self.ends
+impl CrashHistory {
+    /// Returns all crashes, also the refuted ones.
+    pub(crate) fn crashes(&self) -> &[CrashEvidence] {
+        &self.crashes
     }
 
-    /// Takes in evidence, and tells whether it was news. Told again it changes nothing, and what was
-    /// refuted stays so.
-    pub(crate) fn add(&mut self, evidence: EndEvidence) -> bool {
+    /// Adds evidence and returns whether it was new. Repeated evidence changes nothing, and refuted evidence
+    /// stays refuted.
+    pub(crate) fn add(&mut self, evidence: CrashEvidence) -> bool {
         let known = self
-            .ends
+            .crashes
             .iter_mut()
-            .find(|end| end.server == evidence.server);
+            .find(|crash| crash.server == evidence.server);
         if let Some(end) = known {
-            let is_news = evidence.is_refuted && !end.is_refuted;
+            let is_new = evidence.is_refuted && !end.is_refuted;
             end.is_refuted |= evidence.is_refuted;
-            return is_news;
+            return is_new;
         }
-        if self.ends.len() >= ENDS_MOST && !self.drop_one() {
+        if self.crashes.len() >= MAX_CRASHES && !self.evict_one() {
             return false;
         }
-        self.ends.push(evidence);
+        self.crashes.push(evidence);
         true
     }
 
-    /// Makes room for one more end, unless what is there is enough for any verdict: what was refuted
-    /// first goes first, then the newest. Many runs at once may fill the history, and the next one shows
-    /// whether they were a coincidence.
-    fn drop_one(&mut self) -> bool {
+    /// Makes room for one more crash, and returns false if the crashes at hand suffice for any verdict.
+    /// Refuted crashes are evicted first, then the newest one: many simultaneous runs may fill the history,
+    /// and the next crash shows whether they were a coincidence.
+    fn evict_one(&mut self) -> bool {
         if self.count().in_turn > 1 {
             return false;
         }
-        let refuted = self.ends.iter().position(|end| end.is_refuted);
-        let newest = (0..self.ends.len()).max_by_key(|at| self.ends[*at].ended);
+        let refuted = self.crashes.iter().position(|crash| crash.is_refuted);
+        let newest = (0..self.crashes.len()).max_by_key(|at| self.crashes[*at].ended);
         if let Some(at) = refuted.or(newest) {
-            self.ends.remove(at);
+            self.crashes.remove(at);
         }
         true
     }
 
-    /// The servers that ended are not this request's doing.
+    /// Refutes all crashes, as the request turned out to be harmless; returns whether that was new.
     pub(crate) fn refute_all(&mut self) -> bool {
-        self.refute(|_| true)
+        self.refute_where(|_| true)
     }
 
-    /// A server lives that was believed to have ended.
+    /// Refutes the crash of a server that turned out to be alive; returns whether that was new.
     pub(crate) fn refute_server(&mut self, server: ServerKey) -> bool {
-        self.refute(|end| end.server == server)
+        self.refute_where(|crash| crash.server == server)
     }
 
-    fn refute(&mut self, is_meant: impl Fn(&EndEvidence) -> bool) -> bool {
-        let mut is_news = false;
-        for end in self.ends.iter_mut().filter(|end| is_meant(end)) {
-            is_news |= !end.is_refuted;
-            end.is_refuted = true;
+    fn refute_where(&mut self, is_selected: impl Fn(&CrashEvidence) -> bool) -> bool {
+        let mut is_new = false;
+        for crash in self.crashes.iter_mut().filter(|crash| is_selected(crash)) {
+            is_new |= !crash.is_refuted;
+            crash.is_refuted = true;
         }
-        is_news
+        is_new
     }
 
-    /// When the last run ended that ended its server.
-    pub(crate) fn last_end(&self) -> Option<Instant> {
-        self.believed().map(|end| end.ended).max()
+    /// Returns when the last run ended whose server crashed.
+    pub(crate) fn last_crash(&self) -> Option<Instant> {
+        self.unrefuted().map(|crash| crash.ended).max()
     }
 
-    /// When anything was last noted.
+    /// Returns the end of the last run in the history, refuted or not.
     pub(crate) fn last_change(&self) -> Option<Instant> {
-        self.ends.iter().map(|end| end.ended).max()
+        self.crashes.iter().map(|crash| crash.ended).max()
     }
 
-    fn believed(&self) -> impl Iterator<Item = &EndEvidence> {
-        self.ends.iter().filter(|end| !end.is_refuted)
+    fn unrefuted(&self) -> impl Iterator<Item = &CrashEvidence> {
+        self.crashes.iter().filter(|crash| !crash.is_refuted)
     }
 
-    /// What the history comes to.
+    /// Computes the totals, without the refuted crashes.
     pub(crate) fn count(&self) -> EndCount {
-        let mut runs: Vec<(Instant, Instant)> =
-            self.believed().map(|end| (end.ended, end.began)).collect();
+        let mut runs: Vec<(Instant, Instant)> = self
+            .unrefuted()
+            .map(|crash| (crash.ended, crash.began))
+            .collect();
         runs.sort();
-        // Taking the earliest end that fits next gives the longest row of runs that don't overlap.
+        // Greedy choice by the earliest end gives the longest sequence of runs that don't overlap.
         let mut in_turn = 0;
         let mut last: Option<Instant> = None;
         for (ended, began) in &runs {
@@ -175,14 +177,14 @@
     }
 }
 
-/// A moment as others are told of it: how long ago it was, in microseconds.
+/// Returns how long ago an instant was, in microseconds; nodes exchange instants as ages.
 pub(crate) fn age_us(at: Instant, now: Instant) -> u64 {
     let age = now.saturating_duration_since(at);
     u64::try_from(age.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The moment that somebody told of by its age.
-pub(crate) fn moment_of(age_us: u64, now: Instant) -> Instant {
+/// Converts an age in microseconds back into an instant of the local clock.
+pub(crate) fn instant_from_age(age_us: u64, now: Instant) -> Instant {
     let age = Duration::from_micros(age_us);
     now.checked_sub(age).unwrap_or(now)
 }
--- a/crates/plumgate/src/gateway/quarantine/flights.rs
+++ b/crates/plumgate/src/gateway/quarantine/flights.rs
@@ -1,45 +1,46 @@
-//! Runs that are under way, by their servers.
+//! In-flight runs, by server.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::doubts::DoubtfulRun;
+use super::doubts::InDoubtRun;
 use super::identity::RequestIdentity;
 use super::verdict::RunTicket;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// How long a run has been under way that may have ended its server: one that began later was sent to a server
-/// whose silence had begun already.
-const SHORTEST: Duration = Duration::from_secs(1);
+/// Least duration of a run that may have crashed its server. A shorter run was sent to a server that had
+/// already gone silent.
+const MIN_RUN: Duration = Duration::from_secs(1);
 
-/// A run under way.
+/// In-flight run.
 #[derive(Clone, Copy, Debug)]
-struct FlyingRun {
+struct InFlightRun {
     identity: RequestIdentity,
     began: Instant,
-    /// Since when its server may have ended; none where that is not known.
-    since: Option<Instant>,
+    /// Earliest time of a crash that explains a run without any response; none if unknown.
+    earliest_crash: Option<Instant>,
 }
 
-/// Runs under way. A server has as many as it has slots for this node, so that looking one up costs little.
+/// In-flight runs by server. A server has at most as many as it has slots for this node, so a linear search
+/// is cheap.
 #[derive(Debug, Default)]
-pub(crate) struct FlightTable {
-    runs: HashMap<ServerKey, Vec<FlyingRun>>,
+pub(crate) struct InFlightTable {
+    runs: HashMap<ServerKey, Vec<InFlightRun>>,
 }
 
-impl FlightTable {
-    /// A run begins.
-    pub(crate) fn begin(&mut self, ticket: &RunTicket) {
+impl InFlightTable {
+    /// Adds a run.
+    pub(crate) fn insert(&mut self, ticket: &RunTicket) {
         let runs = self.runs.entry(ticket.server).or_default();
-        runs.push(FlyingRun {
+        runs.push(InFlightRun {
             identity: ticket.identity,
             began: ticket.began,
-            since: ticket.silent_since,
+            earliest_crash: ticket.earliest_silent_crash,
         });
     }
 
-    /// A run has ended.
-    pub(crate) fn end(&mut self, server: ServerKey, identity: RequestIdentity, began: Instant) {
+    /// Removes a run that has ended.
+    pub(crate) fn remove(&mut self, server: ServerKey, identity: RequestIdentity, began: Instant) {
         let Some(runs) = self.runs.get_mut(&server) else {
             return;
         };
@@ -54,18 +55,18 @@
         }
     }
 
-    /// The runs under way at a server that may have ended it.
-    pub(crate) fn at(&self, server: ServerKey, now: Instant) -> Vec<DoubtfulRun> {
+    /// Returns the in-flight runs that may have crashed the server, as runs in doubt.
+    pub(crate) fn runs_at(&self, server: ServerKey, now: Instant) -> Vec<InDoubtRun> {
         let runs = self.runs.get(&server).into_iter().flatten();
-        let long = runs.filter(|run| now.saturating_duration_since(run.began) >= SHORTEST);
-        let doubtful = long.filter_map(|run| {
-            Some(DoubtfulRun {
+        let long = runs.filter(|run| now.saturating_duration_since(run.began) >= MIN_RUN);
+        let in_doubt = long.filter_map(|run| {
+            Some(InDoubtRun {
                 identity: run.identity,
                 server,
-                began: run.since?,
+                began: run.earliest_crash?,
                 ended: now,
             })
         });
-        doubtful.collect()
+        in_doubt.collect()
     }
 }
--- a/crates/plumgate/src/gateway/quarantine/identity.rs
+++ b/crates/plumgate/src/gateway/quarantine/identity.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one, sent again.
+//! Identity of a request, by which a retry is recognised.
 
 use std::fmt;
 
@@ -7,43 +7,43 @@
 
 use crate::ids::WorkspaceId;
 
-/// Separates the parts of a head in the digest, so that no two heads run together alike.
+/// Separates the parts of a head in the digest, so that different heads don't concatenate to the same bytes.
 const SEPARATOR: &[u8] = b"\n";
 
-/// Names a request by what it says, not by the id of its attempt, which is another one each time that it
-/// is sent.
+/// Identifies a request by its content. The id of the attempt is of no use for this, as it differs at each
+/// retry.
 ///
-/// The workspace is kept apart from the content: whoever finds two contents with one digest has found
-/// two requests of its own, and can't pass for another workspace.
+/// The workspace has a digest of its own: a caller that constructs a collision of the content digest only
+/// confuses two requests of its own workspace and can't impersonate another workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestIdentity {
-    /// The digest of the workspace's id; of nothing where the route asks for no key.
+    /// Digest of the workspace's id; of the empty string where the route asks for no key.
     workspace: u64,
-    /// The digest of method, host, path and body.
+    /// Digest of method, host, path and body.
     content: u128,
 }
 
-/// The head of a request, as far as it is part of its identity.
+/// Head of a request, as far as it is part of the identity.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestHead<'a> {
-    /// The workspace that sent it, where that is known.
+    /// Workspace that sent the request, if known.
     pub workspace: Option<&'a WorkspaceId>,
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that it names, without a port.
+    /// Host named by the request, without a port.
     pub host: &'a str,
-    /// The path with its query.
+    /// Path with the query.
     pub path: &'a str,
 }
 
-/// Works out a request's identity while its body comes in, so that the body is read only once.
+/// Computes a request's identity while the body arrives, so that the body is read only once.
 pub struct IdentityHasher {
     workspace: u64,
     content: Xxh3,
 }
 
 impl IdentityHasher {
-    /// A request whose head has come.
+    /// Creates a hasher for a request whose head has arrived.
     pub fn new(head: RequestHead<'_>) -> Self {
         let workspace = head.workspace.map_or(&[][..], |id| id.as_bytes());
         let mut content = Xxh3::new();
@@ -58,12 +58,12 @@
         }
     }
 
-    /// The next bytes of the body.
+    /// Adds the next bytes of the body.
     pub fn update(&mut self, bytes: &[u8]) {
         self.content.update(bytes);
     }
 
-    /// The identity, once the whole body has come.
+    /// Returns the identity, once the whole body has been added.
     pub fn finish(&self) -> RequestIdentity {
         RequestIdentity {
             workspace: self.workspace,
@@ -73,24 +73,24 @@
 }
 
 impl RequestIdentity {
-    /// Whether two requests are of one workspace.
+    /// Returns whether two requests are of the same workspace.
     pub(crate) fn is_of_workspace(&self, other: &Self) -> bool {
         self.workspace == other.workspace
     }
 
-    /// The whole of it as a text, by which it is kept.
+    /// Returns the full identity in hexadecimal, which names the request's verdict in the store.
     pub(crate) fn name(&self) -> String {
         format!("{:016x}{:032x}", self.workspace, self.content)
     }
 
-    /// A number by which nodes are ranked for it.
+    /// Returns the seed by which nodes are ranked for the request.
     pub(crate) fn rank_seed(&self) -> u64 {
         self.content as u64
     }
 }
 
 impl fmt::Display for RequestIdentity {
-    /// The part that logs show and operators name it by.
+    /// Writes the digest by which logs show the request and operators name it.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}", self.content as u64)
     }
--- a/crates/plumgate/src/gateway/quarantine/keeping.rs
+++ b/crates/plumgate/src/gateway/quarantine/keeping.rs
@@ -1,4 +1,5 @@
-//! Verdicts that outlive the nodes: all of them may end at once, and what ended servers goes on coming.
+//! Storage of verdicts outside the nodes: all nodes may stop at once while clients go on sending a poison
+//! request.
 
 use std::time::{Duration, Instant};
 
@@ -11,23 +12,24 @@
 use crate::errors::Result;
 use crate::gateway::notice_keys::{DatedNotice, pack, unpack};
 
-/// Changes that wait to be written.
-const CHANGES_MOST: usize = 64;
+/// Bound of the changes that wait to be written.
+const MAX_PENDING_CHANGES: usize = 64;
 
 impl QuarantineTable {
-    /// Notes a change for the store. One that finds no room is lost for nodes that start, not for this one.
-    pub(crate) fn note_change(&mut self, change: KeepChange) {
-        if self.changes.len() < CHANGES_MOST {
+    /// Queues a change for the store. A change beyond the bound is dropped: nodes that start later miss it,
+    /// this node doesn't.
+    pub(crate) fn push_change(&mut self, change: KeepChange) {
+        if self.changes.len() < MAX_PENDING_CHANGES {
             self.changes.push(change);
         }
     }
 
-    /// What is to be changed in the store since the last call.
+    /// Drains the changes to be written to the store.
     pub fn take_changes(&mut self) -> Vec<KeepChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// A verdict for the store; none where it no longer holds.
+    /// Returns the verdict on a request for the store; none if there is no verdict any more.
     pub fn kept(
         &self,
         identity: RequestIdentity,
@@ -35,25 +37,26 @@
         unix_ms: u64,
     ) -> Option<KeptVerdict> {
         let record = self.records.get(&identity)?;
-        let report = SuspectReport::new(identity, record.history.ends(), now);
+        let report = SuspectReport::new(identity, record.history.crashes(), now);
         Some(KeptVerdict {
             name: identity.name(),
             bytes: pack(vec![report], unix_ms).ok()?,
         })
     }
 
-    /// Takes over a verdict from the store. Tells whether it still holds; what is too old is for
-    /// removal.
+    /// Applies a verdict from the store. Returns whether it still holds; an expired one is to be removed.
+    ///
+    /// Fails if the verdict can't be decoded.
     pub fn take_kept(&mut self, verdict: &KeptVerdict, now: Instant, unix_ms: u64) -> Result<bool> {
         let body: DatedNotice<Vec<SuspectReport>> = unpack(&verdict.bytes)?;
-        // The clocks of two VMs differ by less than what this is about.
+        // The clocks of two VMs differ by much less than `HOLD_TIME`.
         let age = Duration::from_millis(unix_ms.saturating_sub(body.sent_ms));
         let Some(written) = now.checked_sub(age).filter(|_| age < HOLD_TIME) else {
             return Ok(false);
         };
         for report in body.content {
-            for evidence in report.ends(written) {
-                self.take_evidence(report.identity, evidence, EvidenceSource::Store, now);
+            for evidence in report.crashes(written) {
+                self.merge_evidence(report.identity, evidence, EvidenceSource::Store, now);
             }
         }
         Ok(true)
--- a/crates/plumgate/src/gateway/quarantine/life_signs.rs
+++ b/crates/plumgate/src/gateway/quarantine/life_signs.rs
@@ -1,36 +1,36 @@
-//! When each backend server last answered this node.
+//! Times at which each backend server last responded to this node.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::gateway::exchange::messages::ServerKey;
 
-/// How long a server may be silent before its entry lapses: three times its status report's interval, and a
-/// little. One that is still listed went silent no earlier than that.
-const SILENCE_MOST: Duration = Duration::from_secs(4);
+/// How long a server may be silent before its entry lapses: three times the interval of its status reports,
+/// and a margin. A server that is still listed has not been silent for longer.
+const MAX_SILENCE: Duration = Duration::from_secs(4);
 
-/// When servers last answered: one moment a server, dropped once it says no more than the entry does.
+/// Last response time of each server; dropped once it is no more recent than the entry implies.
 #[derive(Debug, Default)]
-pub(crate) struct LifeSigns {
+pub(crate) struct ResponseTimes {
     answered: HashMap<ServerKey, Instant>,
 }
 
-impl LifeSigns {
-    /// A server answered.
-    pub(crate) fn note(&mut self, server: ServerKey, now: Instant) {
+impl ResponseTimes {
+    /// Records that a server responded.
+    pub(crate) fn record(&mut self, server: ServerKey, now: Instant) {
         self.answered.insert(server, now);
     }
 
-    /// Since when a server that is listed at a moment may have been silent.
-    pub(crate) fn last_before(&self, server: ServerKey, now: Instant) -> Instant {
-        let listed = now.checked_sub(SILENCE_MOST).unwrap_or(now);
+    /// Returns the earliest time since when a server that is listed at `now` may have been silent.
+    pub(crate) fn earliest_silence(&self, server: ServerKey, now: Instant) -> Instant {
+        let listed = now.checked_sub(MAX_SILENCE).unwrap_or(now);
         let answered = self.answered.get(&server).copied();
         answered.map_or(listed, |answered| answered.max(listed))
     }
 
-    /// Time goes on: what is old is forgotten.
+    /// Drops entries that are too old to matter.
     pub(crate) fn tick(&mut self, now: Instant) {
-        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < SILENCE_MOST;
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < MAX_SILENCE;
         self.answered.retain(|_, at| is_recent(at));
     }
 }
--- a/crates/plumgate/src/gateway/quarantine/mod.rs
+++ b/crates/plumgate/src/gateway/quarantine/mod.rs
@@ -1,10 +1,10 @@
-//! Requests that end the backend servers that run them (queries of death): what tells them apart, what
-//! speaks against them, and when no server gets them any more.
+//! Quarantine of poison requests (queries of death): requests that crash the backend servers that run them.
 //!
-//! A run that breaks off or stays silent leaves a doubt; that its server ended shows by a connection that its
-//! machine refuses, by its entry that lapses, or by its next start. What a node learns it tells the others beside its load, sealed; each node judges
-//! by itself, and all that know the same come to the same verdict. An answer to the request, or a
-//! sign of life of a server, takes evidence back.
+//! A run that breaks off or gets no answer is in doubt. A crash of its server is confirmed by a refused
+//! connection to the server's machine, by the lapse of the server's store entry, or by a restart. Nodes
+//! exchange this evidence in sealed notices beside their load reports. Each node decides on its own, and
+//! nodes with the same evidence reach the same verdict. An answer to the request, or a later response of a
+//! server, refutes evidence.
 
 mod answers;
 mod doubts;
--- a/crates/plumgate/src/gateway/quarantine/notice.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice.rs
@@ -1,85 +1,85 @@
-//! What nodes tell each other of requests that end servers.
+//! Notices by which nodes report poison requests to each other.
 
 use std::time::Instant;
 
 use serde::{Deserialize, Serialize};
 
-use super::evidence::{EndEvidence, EndSign, age_us, moment_of};
+use super::evidence::{CrashEvidence, EndSign, age_us, instant_from_age};
 use super::identity::RequestIdentity;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// Bytes of the reports in one notice. Two notices, sealed by two keys, fit into a datagram beside load, places
-/// and news of the store; one that is too long would be lost whole, with all of these.
+/// Bytes of the reports in one notice. Two notices, sealed by two keys, fit into a datagram beside load
+/// reports, prompt locations and store sync; a longer datagram would be lost with all of these.
 const NOTICE_BYTES: usize = 1_000;
-/// Bytes of a report without its ends, and of one end, at most.
+/// Upper bounds, in bytes, of a report without its crashes and of one crash.
 const REPORT_BYTES: usize = 32;
-const END_BYTES: usize = 17;
-/// Rounds in which news are told, so that one message arrives.
-pub(crate) const TELL_ROUNDS: u32 = 3;
-/// Ends in one report that are taken in.
-const ENDS_TAKEN: usize = 8;
-/// An end, as it is told.
+const CRASH_BYTES: usize = 17;
+/// Rounds in which a change is sent, so that at least one message arrives.
+pub(crate) const SEND_ROUNDS: u32 = 3;
+/// Crashes read from one report; the rest is ignored.
+const MAX_REPORT_CRASHES: usize = 8;
+/// Crash as it is sent to other nodes. The order of the fields is the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct ToldEnd {
+struct ReportedCrash {
     server: ServerKey,
     sign: EndSign,
-    /// Microseconds since the request was sent, rounded up: told, a run must not look shorter than it was, or
-    /// runs that came at once would look as if they came one after another.
+    /// Microseconds since the request was sent, rounded up. A run must not look shorter than it was, or
+    /// simultaneous runs would look consecutive.
     began_us: u64,
-    /// Microseconds since its run ended, rounded down.
+    /// Microseconds since the run ended, rounded down.
     ended_us: u64,
     is_refuted: bool,
 }
 
-/// What one node knows of one request.
+/// Crashes that one node knows of one request. The order of the fields is the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SuspectReport {
     pub(crate) identity: RequestIdentity,
-    ends: Vec<ToldEnd>,
+    crashes: Vec<ReportedCrash>,
 }
 
 impl SuspectReport {
-    /// What is known of a request, as of now.
-    pub(crate) fn new(identity: RequestIdentity, ends: &[EndEvidence], now: Instant) -> Self {
-        let told = ends.iter().map(|end| ToldEnd {
-            server: end.server,
-            sign: end.sign,
-            began_us: age_us(end.began, now).saturating_add(1),
-            ended_us: age_us(end.ended, now),
-            is_refuted: end.is_refuted,
+    /// Creates a report with the ages of the crashes at `now`.
+    pub(crate) fn new(identity: RequestIdentity, crashes: &[CrashEvidence], now: Instant) -> Self {
+        let reported = crashes.iter().map(|crash| ReportedCrash {
+            server: crash.server,
+            sign: crash.sign,
+            began_us: age_us(crash.began, now).saturating_add(1),
+            ended_us: age_us(crash.ended, now),
+            is_refuted: crash.is_refuted,
         });
         Self {
             identity,
-            ends: told.collect(),
+            crashes: reported.collect(),
         }
     }
 
-    /// How many bytes it takes at most.
+    /// Returns the largest encoded size in bytes.
     fn size(&self) -> usize {
-        REPORT_BYTES + END_BYTES * self.ends.len()
+        REPORT_BYTES + CRASH_BYTES * self.crashes.len()
     }
 
-    /// The ends, by the clock of whoever was told.
-    pub(crate) fn ends(&self, now: Instant) -> impl Iterator<Item = EndEvidence> {
-        self.ends
+    /// Returns the crashes in the receiver's clock, where `now` is the time of receipt.
+    pub(crate) fn crashes(&self, now: Instant) -> impl Iterator<Item = CrashEvidence> {
+        self.crashes
             .iter()
-            .take(ENDS_TAKEN)
-            .map(move |end| EndEvidence {
-                server: end.server,
-                sign: end.sign,
-                began: moment_of(end.began_us.max(end.ended_us), now),
-                ended: moment_of(end.ended_us, now),
-                is_refuted: end.is_refuted,
+            .take(MAX_REPORT_CRASHES)
+            .map(move |crash| CrashEvidence {
+                server: crash.server,
+                sign: crash.sign,
+                began: instant_from_age(crash.began_us.max(crash.ended_us), now),
+                ended: instant_from_age(crash.ended_us, now),
+                is_refuted: crash.is_refuted,
             })
     }
 }
 
-/// The reports that fit into one notice, from the first on.
-pub(crate) fn fitting(reports: impl Iterator<Item = SuspectReport>) -> Vec<SuspectReport> {
+/// Returns the leading reports that fit into one notice.
+pub(crate) fn fit_notice(reports: impl Iterator<Item = SuspectReport>) -> Vec<SuspectReport> {
     let mut size = 0;
-    let fitting = reports.take_while(|report| {
+    let fit_notice = reports.take_while(|report| {
         size += report.size();
         size <= NOTICE_BYTES
     });
-    fitting.collect()
+    fit_notice.collect()
 }
--- a/crates/plumgate/src/gateway/quarantine/rule.rs
+++ b/crates/plumgate/src/gateway/quarantine/rule.rs
@@ -1,70 +1,74 @@
-//! The rule by which a request is held back.
+//! Rule that decides when a request is quarantined.
 //!
-//! A request that ends its server takes down all that runs there with it: eleven streams at one end in a
-//! fleet of 18 engines. What an end says of one request is little, as all that were cut with it have the
-//! same said of them. What they don't share is the next end. So ends count by server, and they count
-//! for more where the request was sent anew after the server before had ended: a rack that goes dark, or a
-//! service of which all copies crash, ends many runs of one popular read at once, but not one after another.
+//! A crash cuts every run on the server: eleven streams at one crash in a fleet of 18 engines. A single crash
+//! is therefore weak evidence, as it counts against all requests that were cut with it; an innocent request
+//! is unlikely to be part of the next crash too. The rule counts crashed servers, and also the consecutive
+//! crashes: those of runs that each began after the crash before. A rack that loses power, or a service whose
+//! replicas all crash, cuts many runs of one popular request at once, but not one after another.
 
 use std::time::Duration;
 
 use super::evidence::EndCount;
 
-/// Servers that may end under a request, as the operators allow it.
+/// Crashed servers from which on a request is suspected; the operators accept this many.
 const SERVERS_MOST: usize = 3;
-/// Runs in a row, each begun after the last had ended its server, that tell a cause from a coincidence.
+/// Consecutive crashes from which on a coincidence is unlikely.
 const IN_TURN: usize = 2;
 
-/// How long a request is held back after the last end, and how long any end is remembered: longer than
-/// callers go on sending one text, and short enough that a wrong verdict, or one that an update of the
-/// servers made obsolete, ends without an operator.
+/// How long a request is blocked after the last crash, and how long any crash is remembered. Longer than
+/// clients go on retrying one request; short enough that a wrong verdict, or one that a server update made
+/// obsolete, expires without an operator.
 pub const HOLD_TIME: Duration = Duration::from_secs(600);
-/// How long a node's turn lasts with a request that goes one by one: within it a server that ends shows
-/// that (200 ms in the median, a second behind a queue), and all nodes are told (300 ms over three hops).
-pub(crate) const TURN: Duration = Duration::from_secs(1);
-/// Nodes of a fleet for each that has its turn at the same time. One would do in a small fleet; in a large
-/// one a popular text would wait for minutes until it meets the node whose turn it is.
-const NODES_A_TURN: usize = 100;
+/// Length of a node's turn with a request that is sent one by one. Within it a crash is detected (200 ms in
+/// the median, a second behind a queue) and reported to all nodes (300 ms over three hops).
+pub(crate) const TURN_DURATION: Duration = Duration::from_secs(1);
+/// Nodes of the fleet for each node that has its turn at the same time. One node at a time is enough in a
+/// small fleet; in a large one the callers of a popular request would wait for minutes until it reaches the
+/// node whose turn it is.
+const NODES_PER_TURN: usize = 100;
 
-/// Whether a node may send a request that goes one by one, by its place among so many nodes and the time since
-/// the last end. Each has its turn again and again, so that none that is gone keeps the others waiting; and
-/// never all at once, or a burst after a pause would end as many servers as there are nodes.
-pub(crate) fn has_turn(place: usize, nodes: usize, since_end: Duration) -> bool {
+/// Returns whether a node may send a request that is sent one by one, by the node's position among `nodes`
+/// and the time since the last crash.
+///
+/// Turns rotate, so that a node that is gone doesn't make the others wait for ever. The nodes never all have
+/// their turn at once, as a burst after a pause would crash as many servers as there are nodes.
+pub(crate) fn has_turn(place: usize, nodes: usize, since_crash: Duration) -> bool {
     let nodes = nodes.max(1);
-    let at_once = nodes.div_ceil(NODES_A_TURN);
+    let at_once = nodes.div_ceil(NODES_PER_TURN);
     let groups = nodes.div_ceil(at_once);
-    let turn = since_end.as_millis() / TURN.as_millis();
+    let turn = since_crash.as_millis() / TURN_DURATION.as_millis();
     let turn = usize::try_from(turn).unwrap_or(usize::MAX);
     place / at_once == turn % groups
 }
 
-/// What is done with a request under which servers ended, the least first.
+/// How a request is handled because of the crashes under it, in the order of severity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SuspectState {
-    /// It is sent like any other.
+    /// Sent like any other request.
     #[default]
     Free,
-    /// It is sent by one node at a time, to the server with the least work, until it is answered or ends
-    /// one more.
+    /// Sent by one node at a time, to the server with the least work, until it is answered or crashes one
+    /// more server.
     OneByOne,
-    /// It is not sent.
+    /// Not sent.
     HeldBack,
 }
 
 impl SuspectState {
-    /// What follows from the ends.
-    pub(crate) fn judge(count: EndCount) -> Self {
+    /// Derives the state from the crash counts.
+    pub(crate) fn from_count(count: EndCount) -> Self {
         if count.servers >= SERVERS_MOST && count.in_turn >= IN_TURN {
             return Self::HeldBack;
         }
-        // Either is a coincidence seldom enough to go on with care, and often enough not to stop.
+        // One of the two alone is a rare coincidence, so the request goes on with care, but too frequent to
+        // block it.
         if count.servers >= SERVERS_MOST || count.in_turn >= IN_TURN {
             return Self::OneByOne;
         }
         Self::Free
     }
 
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Free => "free",
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -1,25 +1,25 @@
-//! What may be done with a request, and what operators are told of it.
+//! Verdicts on requests, and the events that report them to operators.
 
 use std::time::{Duration, Instant};
 
-use super::doubts::DoubtfulRun;
+use super::doubts::InDoubtRun;
 use super::evidence::{EndCount, EndSign};
 use super::identity::RequestIdentity;
 use super::rule::SuspectState;
 use crate::gateway::exchange::messages::ServerKey;
 use crate::gateway::work::WorkEnd;
 
-/// Why a request is not sent.
+/// Reason for which a request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
-    /// It ended too many servers.
+    /// The request crashed too many servers.
     Quarantined,
-    /// It goes one by one, and it is another node's or another caller's turn.
+    /// The request is sent one by one, and it is the turn of another node or caller.
     AwaitsTurn,
 }
 
 impl HoldReason {
-    /// The name used in logs, metrics and answers.
+    /// Returns the name used in logs, metrics and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Quarantined => "quarantined",
@@ -28,12 +28,12 @@
     }
 }
 
-/// That a request is not sent.
+/// Refusal to send a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHold {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: HoldReason,
-    /// When it may be worth to send it again.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
@@ -42,95 +42,96 @@
 pub enum RequestVerdict {
     /// Send it.
     Send,
-    /// Send it where the fewest others run.
+    /// Send it to the server with the fewest other runs.
     SendApart,
     /// Don't send it.
     Hold(RequestHold),
 }
 
-/// One request at a server, to be given back when it ends.
+/// Run of a request at a server; passed to `QuarantineTable::finish` when the run ends.
 #[derive(Clone, Debug)]
 pub struct RunTicket {
     pub(crate) identity: RequestIdentity,
     pub(crate) server: ServerKey,
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) began: Instant,
-    /// Since when its server may have ended if the connection breaks; none where that is not known.
-    pub(crate) since: Option<Instant>,
-    /// The same if nothing comes back at all.
-    pub(crate) silent_since: Option<Instant>,
+    /// Earliest time of a crash of the server that explains a broken connection; none if unknown.
+    pub(crate) earliest_crash: Option<Instant>,
+    /// Earliest time of a crash that explains a run without any response; none if unknown.
+    pub(crate) earliest_silent_crash: Option<Instant>,
 }
 
-/// What the end of a run leaves to do.
+/// Result of a finished run, which the caller acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunFinding {
-    /// Nothing.
+    /// Nothing to do.
     Nothing,
-    /// The connection broke: whether the server takes another one shows whether it ended.
+    /// The connection broke; a new connection to the server shows whether the server crashed.
     AskServer,
-    /// The server ended under the request.
+    /// The server crashed under the request.
     ServerEnded(EndSign),
 }
 
 impl RunTicket {
-    /// The run, as it ended in doubt. By a kept connection it counts from the server's last answer on: the server
-    /// may have ended at any time since, and runs that it might have had in common must not look as if they came
-    /// one after another. So does a run without any answer by a fresh connection, as the machine of a server
-    /// that hangs still takes connections.
-    pub(crate) fn run(&self, end: WorkEnd, now: Instant) -> Option<DoubtfulRun> {
+    /// Returns the run as one in doubt, if the earliest time of a crash is known.
+    ///
+    /// On a reused connection the run counts from the server's last answer on, as the server may have crashed
+    /// at any time since; otherwise runs that one crash cut would look consecutive. The same holds for a run
+    /// without any response on a new connection, as the machine of a hung server still accepts connections.
+    pub(crate) fn in_doubt_run(&self, end: WorkEnd, now: Instant) -> Option<InDoubtRun> {
         let is_silent = matches!(end, WorkEnd::Silent | WorkEnd::Unjudged);
-        let since = if is_silent {
-            self.silent_since
+        let earliest_crash = if is_silent {
+            self.earliest_silent_crash
         } else {
-            self.since
+            self.earliest_crash
         };
-        Some(DoubtfulRun {
+        Some(InDoubtRun {
             identity: self.identity,
             server: self.server,
-            began: since?,
+            began: earliest_crash?,
             ended: now,
         })
     }
 
-    /// The request that runs.
+    /// Returns the request's identity.
     pub fn identity(&self) -> RequestIdentity {
         self.identity
     }
 
-    /// The server surely has the request: its answer begins.
+    /// Records that the server has the request, as its answer begins.
     pub fn note_reached(&mut self) {
-        self.since = Some(self.began);
-        self.silent_since = Some(self.began);
+        self.earliest_crash = Some(self.began);
+        self.earliest_silent_crash = Some(self.began);
     }
 }
 
-/// How a request reaches a server.
+/// Kind of the connection by which a request reaches a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkAge {
-    /// By one that was just opened: the server's machine took it.
+    /// Newly opened: the server's machine accepted it.
     Fresh,
-    /// By one that was kept: the server may have ended before the request was sent.
+    /// Reused: the server may have crashed before the request was sent.
     Kept {
         /// When the server last answered this node.
         answered: Option<Instant>,
     },
 }
 
-/// Why a request is no longer held back.
+/// Reason for which the restrictions on a request were eased.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReleaseReason {
-    /// It was answered, so it does not end servers.
+    /// The request was answered, so it does not crash servers.
     Answered,
-    /// Servers live that were believed to have ended.
+    /// Servers that were believed to have crashed are alive.
     Refuted,
-    /// Its time is over.
+    /// The crashes are too old.
     Expired,
-    /// An operator lifted it.
+    /// An operator lifted the quarantine.
     Lifted,
 }
 
 impl ReleaseReason {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -141,35 +142,35 @@
     }
 }
 
-/// Something that operators want to know.
+/// Change of a request's state, for logs and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectEvent {
-    /// The request.
+    /// Identity of the request.
     pub identity: RequestIdentity,
-    /// What is done with it from now on.
+    /// New state.
     pub state: SuspectState,
-    /// Why, where less is done than before.
+    /// Reason, where the new state is less restrictive.
     pub release: Option<ReleaseReason>,
-    /// What is believed.
+    /// Crash totals behind the state.
     pub count: EndCount,
-    /// The evidence: a server's digest, the sign, milliseconds since the end.
+    /// Evidence: key of the server's incarnation, sign, milliseconds since the crash.
     pub evidence: Vec<(ServerKey, EndSign, u64)>,
 }
 
-/// A verdict, as the fleet's store keeps it.
+/// Verdict as it is stored in the fleet's store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeptVerdict {
-    /// Names the request.
+    /// Name of the request's row.
     pub name: String,
-    /// What is known of it, with the time of day. Not sealed: whoever may write to the store is trusted.
+    /// Encoded evidence with the time of day. Not sealed, as whoever may write to the store is trusted.
     pub bytes: Vec<u8>,
 }
 
-/// What is to be changed in the store.
+/// Change to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeepChange {
-    /// A request is held back.
+    /// Store the verdict on a request that is now blocked.
     Keep(RequestIdentity),
-    /// It no longer is.
+    /// Remove the verdict with this name.
     Forget(String),
 }
