--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -155,7 +155,7 @@
     fn probe_centres(&self, now: Instant) {
         let (probes, cut) = {
             let mut loads = self.shared.loads();
-            (loads.probes(now), loads.cut_centres())
+            (loads.probes(now), loads.cut_off_data_centres())
         };
         self.note_cut_centres(cut);
         for server in probes {
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -48,7 +48,7 @@
 
     /// Whether nothing that this node observed speaks against a server.
     fn seems_usable(&self, load: &ServerLoad, now: Instant) -> bool {
-        load.is_healthy(self.options.switches, now) && !self.is_cut(&load.entry)
+        load.is_healthy(self.options.switches, now) && !self.is_cut_off(&load.entry)
     }
 
     /// Sends a server no requests of this urgency or a less urgent one from this node until the given time,
--- a/crates/plumgate/src/gateway/placement/centres.rs
+++ b/crates/plumgate/src/gateway/placement/data_centres.rs
@@ -7,19 +7,19 @@
 
 /// Number of servers of a data centre whose connections must go unanswered before the data centre counts as
 /// cut off. A single one may be down by itself.
-const SILENT_SERVERS: usize = 2;
+const UNANSWERED_SERVERS: usize = 2;
 /// Time within which these connections must have gone unanswered.
-const SILENCE_WINDOW: Duration = Duration::from_secs(2);
+const UNANSWERED_WINDOW: Duration = Duration::from_secs(2);
 /// Time between two probes of a data centre that is cut off.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Unanswered connections to one data centre.
 #[derive(Clone, Debug, Default)]
 struct DataCentreState {
-    silent: BTreeSet<ServerId>,
+    unanswered: BTreeSet<ServerId>,
     since: Option<Instant>,
     probed_at: Option<Instant>,
-    is_cut: bool,
+    is_cut_off: bool,
 }
 
 /// Reachability of the data centres, as seen from this node.
@@ -29,47 +29,55 @@
 /// unanswered and none answers, requests go elsewhere at once, and probe connections find out when the
 /// partition is over.
 #[derive(Clone, Debug, Default)]
-pub struct CentreTable {
+pub struct DataCentreTable {
     data_centres: BTreeMap<DataCentreId, DataCentreState>,
 }
 
-impl CentreTable {
+impl DataCentreTable {
     /// Creates a table in which all data centres are reachable.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Records that a server of the data centre answered.
-    pub fn note_answer(&mut self, data_centre: &DataCentreId) {
+    pub fn record_answer(&mut self, data_centre: &DataCentreId) {
         self.data_centres.remove(data_centre);
     }
 
     /// Records that a connection to a server went unanswered.
-    pub fn note_silence(&mut self, data_centre: &DataCentreId, server: &ServerId, now: Instant) {
+    pub fn record_unanswered(
+        &mut self,
+        data_centre: &DataCentreId,
+        server: &ServerId,
+        now: Instant,
+    ) {
         let state = self.data_centres.entry(data_centre.clone()).or_default();
         let is_expired = state
             .since
-            .is_some_and(|since| now.saturating_duration_since(since) > SILENCE_WINDOW);
-        if is_expired && !state.is_cut {
+            .is_some_and(|since| now.saturating_duration_since(since) > UNANSWERED_WINDOW);
+        if is_expired && !state.is_cut_off {
             *state = DataCentreState::default();
         }
         state.since.get_or_insert(now);
-        state.silent.insert(server.clone());
-        if state.silent.len() >= SILENT_SERVERS {
-            state.is_cut = true;
+        state.unanswered.insert(server.clone());
+        if state.unanswered.len() >= UNANSWERED_SERVERS {
+            state.is_cut_off = true;
         }
     }
 
     /// Whether the data centre seems cut off.
-    pub fn is_cut(&self, data_centre: &DataCentreId) -> bool {
+    pub fn is_cut_off(&self, data_centre: &DataCentreId) -> bool {
         self.data_centres
             .get(data_centre)
-            .is_some_and(|state| state.is_cut)
+            .is_some_and(|state| state.is_cut_off)
     }
 
     /// Returns the data centres that seem cut off.
-    pub fn cut(&self) -> Vec<DataCentreId> {
-        let cut = self.data_centres.iter().filter(|(_, state)| state.is_cut);
+    pub fn cut_off(&self) -> Vec<DataCentreId> {
+        let cut = self
+            .data_centres
+            .iter()
+            .filter(|(_, state)| state.is_cut_off);
         cut.map(|(data_centre, _)| data_centre.clone()).collect()
     }
 
@@ -80,7 +88,7 @@
             let waits = state
                 .probed_at
                 .is_some_and(|at| now.saturating_duration_since(at) < PROBE_INTERVAL);
-            if state.is_cut && !waits {
+            if state.is_cut_off && !waits {
                 state.probed_at = Some(now);
                 due.push(data_centre.clone());
             }
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use super::centres::CentreTable;
 use super::choice::{PlacementOptions, PlacementPolicy, PlacementRequest, ServerPick};
+use super::data_centres::DataCentreTable;
 use super::demand::DemandMeter;
 use super::groups::{GroupShares, ServerGroups};
 use super::homes::PreferredServers;
@@ -39,7 +39,7 @@
     pub(super) options: PlacementOptions,
     rng: fastrand::Rng,
     pub(super) servers: BTreeMap<ServerId, ServerLoad>,
-    data_centres: CentreTable,
+    data_centres: DataCentreTable,
     /// Prefill speed of each pool's servers.
     speeds: PrefillSpeeds,
     /// Share of each pool's servers that is reserved for interactive streams.
@@ -58,7 +58,7 @@
             options,
             rng,
             servers: BTreeMap::new(),
-            data_centres: CentreTable::new(),
+            data_centres: DataCentreTable::new(),
             speeds: PrefillSpeeds::default(),
             shares: GroupShares::default(),
             new_locations: Vec::new(),
@@ -299,8 +299,8 @@
     }
 
     /// Whether the data centre of a server seems cut off.
-    pub(super) fn is_cut(&self, server: &ServerEntry) -> bool {
-        self.has(PolicyPart::CutCentres) && self.data_centres.is_cut(&server.data_centre)
+    pub(super) fn is_cut_off(&self, server: &ServerEntry) -> bool {
+        self.has(PolicyPart::CutCentres) && self.data_centres.is_cut_off(&server.data_centre)
     }
 
     /// Finds the server from which another one may copy a prompt's shared parts.
@@ -386,7 +386,7 @@
         let Some(load) = ticket_load(&mut self.servers, ticket) else {
             return;
         };
-        load.note_answer(now);
+        load.record_answer(now);
         load.own.unread[ticket.urgency] = load.own.unread[ticket.urgency].saturating_sub(tokens);
         if learns && tokens > 0 {
             let took = now.saturating_duration_since(ticket.started);
@@ -407,11 +407,11 @@
         let data_centre = &load.entry.data_centre;
         match end {
             WorkEnd::Answered | WorkEnd::Full | WorkEnd::Refused => {
-                self.data_centres.note_answer(data_centre)
+                self.data_centres.record_answer(data_centre)
             }
             WorkEnd::Unreachable => {
                 self.data_centres
-                    .note_silence(data_centre, &load.entry.id, now);
+                    .record_unanswered(data_centre, &load.entry.id, now);
             }
             WorkEnd::Failed
             | WorkEnd::Broken
@@ -436,7 +436,7 @@
             match self.rng.choice(&entries) {
                 Some(entry) => probes.push((*entry).clone()),
                 // A data centre without servers can't be probed, and nothing is sent there.
-                None => self.data_centres.note_answer(&data_centre),
+                None => self.data_centres.record_answer(&data_centre),
             }
         }
         probes
@@ -444,12 +444,12 @@
 
     /// Records that a probe connection to a server was established, or was refused by its machine.
     pub fn note_reached(&mut self, server: &ServerEntry) {
-        self.data_centres.note_answer(&server.data_centre);
+        self.data_centres.record_answer(&server.data_centre);
     }
 
     /// Returns the data centres that seem cut off from this node.
-    pub fn cut_centres(&self) -> Vec<DataCentreId> {
-        self.data_centres.cut()
+    pub fn cut_off_data_centres(&self) -> Vec<DataCentreId> {
+        self.data_centres.cut_off()
     }
 }
 
--- a/crates/plumgate/src/gateway/placement/mod.rs
+++ b/crates/plumgate/src/gateway/placement/mod.rs
@@ -1,7 +1,7 @@
 //! Placement of requests on backend servers, and the state of the servers as known to one node.
 
 mod candidates;
-pub mod centres;
+pub mod data_centres;
 
 mod choice;
 mod demand;
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -319,7 +319,7 @@
     }
 
     /// Records that it answers this node.
-    pub(crate) fn note_answer(&mut self, now: Instant) {
+    pub(crate) fn record_answer(&mut self, now: Instant) {
         self.answered_at = Some(now);
     }
 
@@ -334,7 +334,7 @@
         let failed = match end {
             WorkEnd::Answered => {
                 self.breaker.record_success();
-                self.note_answer(now);
+                self.record_answer(now);
                 0.0
             }
             WorkEnd::Failed | WorkEnd::Broken | WorkEnd::Silent => 1.0,
--- a/crates/plumgate/tests/gateway_servers.rs
+++ b/crates/plumgate/tests/gateway_servers.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use plumgate::gateway::placement::centres::CentreTable;
+use plumgate::gateway::placement::data_centres::DataCentreTable;
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{ServerEntry, ServerState, ServerTable};
 use plumgate::ids::ServerId;
@@ -71,28 +71,31 @@
 #[test]
 fn two_silent_servers_mean_their_data_centre() {
     let now = Instant::now();
-    let mut table = CentreTable::new();
+    let mut table = DataCentreTable::new();
     let hall = "hall-a".into();
-    table.note_silence(&hall, &"a".into(), now);
-    table.note_silence(&hall, &"a".into(), now);
-    assert!(!table.is_cut(&hall), "one server may be down by itself");
-    table.note_silence(&hall, &"b".into(), now);
-    assert!(table.is_cut(&hall));
-    assert!(!table.is_cut(&"hall-b".into()));
+    table.record_unanswered(&hall, &"a".into(), now);
+    table.record_unanswered(&hall, &"a".into(), now);
+    assert!(!table.is_cut_off(&hall), "one server may be down by itself");
+    table.record_unanswered(&hall, &"b".into(), now);
+    assert!(table.is_cut_off(&hall));
+    assert!(!table.is_cut_off(&"hall-b".into()));
     assert_eq!(table.due_probes(now), std::slice::from_ref(&hall));
     assert!(table.due_probes(now).is_empty(), "probes come at a pace");
-    table.note_answer(&hall);
-    assert!(!table.is_cut(&hall), "a probe that gets through ends it");
+    table.record_answer(&hall);
+    assert!(
+        !table.is_cut_off(&hall),
+        "a probe that gets through ends it"
+    );
 }
 
 #[test]
 fn silences_far_apart_are_servers_of_their_own() {
     let now = Instant::now();
-    let mut table = CentreTable::new();
+    let mut table = DataCentreTable::new();
     let hall = "hall-a".into();
-    table.note_silence(&hall, &"a".into(), now);
-    table.note_silence(&hall, &"b".into(), now + Duration::from_secs(10));
-    assert!(!table.is_cut(&hall));
+    table.record_unanswered(&hall, &"a".into(), now);
+    table.record_unanswered(&hall, &"b".into(), now + Duration::from_secs(10));
+    assert!(!table.is_cut_off(&hall));
 }
 
 #[test]
