--- a/crates/plumgate-node/src/gateway/relay_report.rs
+++ b/crates/plumgate-node/src/gateway/relay_report.rs
@@ -63,7 +63,7 @@
                 "copy_from",
                 pick.copy_from.as_ref().map(|server| &server.id),
             )
-            .with("home", pick.home)
+            .with("home", pick.affinity)
             .with("attempt", self.tried.len() + 1)
             .with("held_ms", waited.as_millis())
             .with("config", self.request.config)
--- a/crates/plumgate/src/gateway/placement/keepers.rs
+++ b/crates/plumgate/src/gateway/placement/cache_holder.rs
@@ -21,8 +21,8 @@
         prompt: &PromptShape,
         now: Instant,
     ) -> Self {
-        let lacking = servers.map(|load| (load.uncached(prompt, now), &load.entry.id));
-        let best = lacking.min_by_key(|(uncached, _)| *uncached);
+        let holders = servers.map(|load| (load.uncached(prompt, now), &load.entry.id));
+        let best = holders.min_by_key(|(uncached, _)| *uncached);
         Self {
             best: best.map(|(uncached, id)| (uncached, id.clone())),
         }
@@ -41,14 +41,14 @@
     pub(crate) fn source<'a>(
         &'a self,
         chosen: &ServerId,
-        lacks: u64,
+        missing: u64,
         preferred: Option<&'a ServerId>,
     ) -> Option<&'a ServerId> {
         let (uncached, best) = self.best.as_ref()?;
-        if lacks < u64::from(SMALL_PART) {
+        if missing < u64::from(SMALL_PART) {
             return None;
         }
-        if *uncached < lacks {
+        if *uncached < missing {
             return Some(best);
         }
         preferred.filter(|first| *first != chosen)
--- a/crates/plumgate/src/gateway/placement/choice.rs
+++ b/crates/plumgate/src/gateway/placement/choice.rs
@@ -110,7 +110,7 @@
     /// A server that caches shared parts which the chosen one lacks and may copy from there.
     pub copy_from: Option<ServerEntry>,
     /// Affinity rank of the server for the prompt's shared parts, for the log.
-    pub home: &'static str,
+    pub affinity: &'static str,
     /// The second best server and its cost, for the log.
     pub runner_up: Option<(ServerId, Duration)>,
 }
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
+use super::affinity::PreferredServers;
+use super::cache_holder::CacheHolder;
 use super::choice::{PlacementOptions, PlacementPolicy, PlacementRequest, ServerPick};
 use super::data_centres::DataCentreTable;
 use super::demand::DemandMeter;
 use super::groups::{GroupShares, ServerGroups};
-use super::homes::PreferredServers;
-use super::keepers::CacheHolder;
 use super::reading::PrefillSpeeds;
 use super::server_load::{CostPrediction, ServerLoad, TokenCosts};
 use crate::duty::{PoolLoad, ServerKind};
@@ -293,7 +293,7 @@
             shared_unread: prediction.shared_unread,
             ahead_tokens: prediction.ahead,
             copy_from: source.map(|id| self.servers[id].entry.clone()),
-            home: preferred.rank(id).as_str(),
+            affinity: preferred.rank(id).as_str(),
             runner_up,
         })
     }
--- a/crates/plumgate/src/gateway/placement/mod.rs
+++ b/crates/plumgate/src/gateway/placement/mod.rs
@@ -3,11 +3,11 @@
 mod candidates;
 pub mod data_centres;
 
+mod affinity;
+mod cache_holder;
 mod choice;
 mod demand;
 mod groups;
-mod homes;
-mod keepers;
 mod load;
 mod reading;
 mod server_load;
