--- a/crates/plumgate-node/src/gateway/relay_report.rs
+++ b/crates/plumgate-node/src/gateway/relay_report.rs
@@ -57,8 +57,8 @@
             .with("server", &pick.server.id)
             .with("wait_ms", pick.wait.as_millis())
             .with_some("output_hint", self.request.facts.output_hint)
-            .with("unread_tokens", pick.unread_tokens)
-            .with("shared_unread", pick.shared_unread)
+            .with("unread_tokens", pick.prefill_tokens)
+            .with("shared_unread", pick.shared_prefill)
             .with_some(
                 "copy_from",
                 pick.copy_from.as_ref().map(|server| &server.id),
--- a/crates/plumgate/src/gateway/placement/choice.rs
+++ b/crates/plumgate/src/gateway/placement/choice.rs
@@ -102,9 +102,9 @@
     /// Predicted time until the answer begins.
     pub wait: Duration,
     /// Prompt tokens that the server has to prefill.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// Those of them that belong to shared parts.
-    pub shared_unread: u64,
+    pub shared_prefill: u64,
     /// Prompt tokens of other requests that the server prefills first.
     pub ahead_tokens: u64,
     /// A server that caches shared parts which the chosen one lacks and may copy from there.
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -10,7 +10,7 @@
 use super::data_centres::DataCentreTable;
 use super::demand::DemandMeter;
 use super::groups::{GroupShares, ServerGroups};
-use super::reading::PrefillSpeeds;
+use super::prefill_speed::PrefillSpeeds;
 use super::server_load::{CostPrediction, ServerLoad, TokenCosts};
 use crate::duty::{PoolLoad, ServerKind};
 use crate::gateway::config::StreamClass;
@@ -162,7 +162,7 @@
     /// Records the demand of a request for which a server was chosen, whether the request is then sent or
     /// refused.
     pub fn note_demand(&mut self, pool: &PoolId, pick: &ServerPick, now: Instant) {
-        let tokens = pick.unread_tokens.saturating_sub(pick.shared_unread);
+        let tokens = pick.prefill_tokens.saturating_sub(pick.shared_prefill);
         self.demand.record(pool, tokens, now);
     }
 
@@ -282,15 +282,15 @@
         let runner_up = costs
             .get(1)
             .map(|(cost, _, id)| (id.clone(), Duration::from_secs_f64(*cost)));
-        let source = cache_holder.source(id, prediction.shared_unread, preferred.first.as_ref());
+        let source = cache_holder.source(id, prediction.shared_prefill, preferred.first.as_ref());
         let source = source.filter(|id| self.servers[*id].limit.is_none());
         Some(ServerPick {
             server: self.servers[id].entry.clone(),
             is_last_resort: self.servers[id].is_leaving(),
             queue: Duration::from_secs_f64(prediction.queue),
             wait: Duration::from_secs_f64(prediction.wait),
-            unread_tokens: prediction.unread,
-            shared_unread: prediction.shared_unread,
+            prefill_tokens: prediction.prefill,
+            shared_prefill: prediction.shared_prefill,
             ahead_tokens: prediction.ahead,
             copy_from: source.map(|id| self.servers[id].entry.clone()),
             affinity: preferred.rank(id).as_str(),
@@ -360,8 +360,8 @@
             server: pick.server.id.clone(),
             born: pick.server.born,
             urgency: usize::from(request.urgency).min(URGENCIES - 1),
-            unread_tokens: pick.unread_tokens,
-            read_tokens: pick.ahead_tokens + pick.unread_tokens,
+            unread_tokens: pick.prefill_tokens,
+            read_tokens: pick.ahead_tokens + pick.prefill_tokens,
             started: now,
         };
         if let Some(load) = ticket_load(&mut self.servers, &ticket) {
--- a/crates/plumgate/src/gateway/placement/mod.rs
+++ b/crates/plumgate/src/gateway/placement/mod.rs
@@ -9,7 +9,7 @@
 mod demand;
 mod groups;
 mod load;
-mod reading;
+mod prefill_speed;
 mod server_load;
 
 pub use choice::{PlacementOptions, PlacementPolicy, PlacementRequest, ServerPick};
--- a/crates/plumgate/src/gateway/placement/reading.rs
+++ b/crates/plumgate/src/gateway/placement/prefill_speed.rs
@@ -53,12 +53,12 @@
 impl PrefillSpeeds {
     /// Returns the tokens per second that a server of the pool prefills.
     pub(crate) fn speed(&self, pool: &PoolId, now: Instant) -> f64 {
-        let Some(seen) = self.pools.get(pool) else {
+        let Some(history) = self.pools.get(pool) else {
             return PRIOR_SPEED;
         };
-        let left = seen.remaining_weight(now);
-        let tokens = PRIOR_SPEED * PRIOR_SECONDS + seen.tokens * left;
-        let seconds = PRIOR_SECONDS + seen.seconds * left;
+        let weight = history.remaining_weight(now);
+        let tokens = PRIOR_SPEED * PRIOR_SECONDS + history.tokens * weight;
+        let seconds = PRIOR_SECONDS + history.seconds * weight;
         let (least, most) = SPEED_BOUNDS;
         (tokens / seconds).clamp(PRIOR_SPEED * least, PRIOR_SPEED * most)
     }
@@ -68,14 +68,14 @@
         if tokens < MIN_TOKENS {
             return;
         }
-        let seen = self.pools.entry(pool.clone()).or_insert(PrefillHistory {
+        let history = self.pools.entry(pool.clone()).or_insert(PrefillHistory {
             tokens: 0.0,
             seconds: 0.0,
             updated_at: now,
         });
-        let left = seen.remaining_weight(now);
-        seen.tokens = seen.tokens * left + tokens as f64;
-        seen.seconds = seen.seconds * left + took.as_secs_f64();
-        seen.updated_at = now;
+        let weight = history.remaining_weight(now);
+        history.tokens = history.tokens * weight + tokens as f64;
+        history.seconds = history.seconds * weight + took.as_secs_f64();
+        history.updated_at = now;
     }
 }
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -108,9 +108,9 @@
     /// Seconds until it begins to answer.
     pub(crate) wait: f64,
     /// Prompt tokens that it has to prefill.
-    pub(crate) unread: u64,
+    pub(crate) prefill: u64,
     /// Shared tokens that it does not cache, whether it prefills or copies them.
-    pub(crate) shared_unread: u64,
+    pub(crate) shared_prefill: u64,
     /// Prompt tokens of other requests that it prefills first.
     pub(crate) ahead: u64,
 }
@@ -233,8 +233,8 @@
                 cost: cost + wait,
                 queue: wait,
                 wait,
-                unread: 0,
-                shared_unread: 0,
+                prefill: 0,
+                shared_prefill: 0,
                 ahead: 0,
             };
         };
@@ -247,10 +247,10 @@
         let own_tokens = prompt.parts.last().map_or(0, |part| u64::from(part.tokens));
         let uncopied = uncached.min(tokens.cached_nowhere);
         let copied = uncached - uncopied;
-        let unread = uncopied + own_tokens + (copied as f64 * COPY_SHARE) as u64;
+        let prefill = uncopied + own_tokens + (copied as f64 * COPY_SHARE) as u64;
         let speed = tokens.speed;
         let queue = ahead as f64 / speed + slot_wait(in_flight, self.entry.slots);
-        let wait = queue + unread as f64 / speed;
+        let wait = queue + prefill as f64 / speed;
         let shared = uncopied as f64 * tokens.prefill_weight + copied as f64 * tokens.copy_weight;
         cost += wait + shared / speed + f64::from(in_flight) * STEP_COST;
         if request.class == StreamClass::Interactive {
@@ -261,8 +261,8 @@
             cost,
             queue,
             wait,
-            unread,
-            shared_unread: uncached,
+            prefill,
+            shared_prefill: uncached,
             ahead,
         }
     }
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -118,7 +118,7 @@
     assert_eq!(copy_from(&again), None, "it keeps the document itself");
     let other = bench.pick(&asked, std::slice::from_ref(&first));
     assert_eq!(copy_from(&other), Some(&first));
-    let unread = other.unread_tokens;
+    let unread = other.prefill_tokens;
     assert!(unread < 900 + 13_300 / 5, "{unread} tokens");
 }
 
@@ -160,7 +160,7 @@
     let first = bench.serve(&asked).server.id;
     let other = bench.pick(&asked, &[first]);
     assert_eq!(copy_from(&other), None);
-    assert_eq!(other.unread_tokens, 900 + 13_300);
+    assert_eq!(other.prefill_tokens, 900 + 13_300);
 }
 
 // All callers of a fleet wait longer: as copying is cheap, documents move to whichever server has least to do,
