--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -104,7 +104,7 @@
     async fn await_server(&mut self) -> Result<(), CallerError> {
         let now = self.shared.clock.now();
         let placement = self.request.placement(&self.tried, false);
-        let Some(hold) = self.shared.loads().held_until(&placement, now) else {
+        let Some(hold) = self.shared.loads().deferred_until(&placement, now) else {
             return Ok(());
         };
         let held_for = hold.until.saturating_duration_since(now);
@@ -137,7 +137,12 @@
         let pick = self.shared.loads().pick(&placement, now);
         let spread = self.shared.random_share();
         let Some(pick) = pick else {
-            if self.shared.loads().held_until(&placement, now).is_some() {
+            if self
+                .shared
+                .loads()
+                .deferred_until(&placement, now)
+                .is_some()
+            {
                 return Ok(None);
             }
             let is_left = self.shared.loads().has_only_leaving(&self.request.pool);
--- a/crates/plumgate-node/src/gateway/server_limits.rs
+++ b/crates/plumgate-node/src/gateway/server_limits.rs
@@ -131,7 +131,8 @@
     /// A request is not sent to a server for its limit.
     pub(crate) fn note_held(&self, request: &RelayRequest, server: &ServerEntry, pause: Duration) {
         let until = self.clock.now() + pause;
-        self.loads().hold_back(&server.id, request.urgency, until);
+        self.loads()
+            .defer_requests(&server.id, request.urgency, until);
         self.metrics.limit_holds.inc();
         LogLine::new("server_limit_hold")
             .with("request", &request.id)
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -17,7 +17,7 @@
     pub(super) fn candidates(&self, request: &PlacementRequest<'_>, now: Instant) -> Vec<ServerId> {
         let available: Vec<&ServerLoad> = self
             .of_pool(request)
-            .filter(|load| load.stays() && load.held_until(request.urgency, now).is_none())
+            .filter(|load| load.stays() && load.deferred_until(request.urgency, now).is_none())
             .collect();
         let has_available = !available.is_empty();
         let mut usable: Vec<&ServerLoad> = available;
@@ -25,7 +25,8 @@
             usable = self
                 .of_pool(request)
                 .filter(|load| {
-                    load.accepts_last_resort(now) && load.held_until(request.urgency, now).is_none()
+                    load.accepts_last_resort(now)
+                        && load.deferred_until(request.urgency, now).is_none()
                 })
                 .collect();
         }
@@ -53,21 +54,25 @@
 
     /// Sends a server no requests of this urgency or a less urgent one from this node until the given time,
     /// because it named a rate limit.
-    pub fn hold_back(&mut self, server: &ServerId, urgency: u8, until: Instant) {
+    pub fn defer_requests(&mut self, server: &ServerId, urgency: u8, until: Instant) {
         if let Some(load) = self.servers.get_mut(server) {
-            load.hold_back(urgency, until);
+            load.defer_requests(urgency, until);
         }
     }
 
     /// Returns the earliest time at which one of the servers that could take the request is no longer
     /// deferred, or `None` where none is deferred.
-    pub fn held_until(&self, request: &PlacementRequest<'_>, now: Instant) -> Option<SendDeferral> {
+    pub fn deferred_until(
+        &self,
+        request: &PlacementRequest<'_>,
+        now: Instant,
+    ) -> Option<SendDeferral> {
         let untried = self
             .of_pool(request)
             .filter(|load| load.stays() && !request.avoid.contains(&load.entry.id));
         untried
-            .filter_map(|load| load.held_until(request.urgency, now))
-            .min_by_key(|hold| hold.until)
+            .filter_map(|load| load.deferred_until(request.urgency, now))
+            .min_by_key(|deferral| deferral.until)
     }
 
     /// Whether the pool has known servers and all of them are leaving.
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -82,7 +82,7 @@
     pub(crate) limit: Option<RequestRate>,
     /// For each urgency, the time until which this node sends it no requests of that urgency or a less
     /// urgent one, because it named a limit.
-    held_until: Vec<(u8, Instant)>,
+    deferred_until: Vec<(u8, Instant)>,
     parts: HashMap<u64, Instant>,
     part_order: VecDeque<u64>,
 }
@@ -132,7 +132,7 @@
             full_until: None,
             unreachable_until: None,
             limit: None,
-            held_until: Vec::new(),
+            deferred_until: Vec::new(),
             parts: HashMap::new(),
             part_order: VecDeque::new(),
         }
@@ -184,16 +184,17 @@
     }
 
     /// Defers requests of this urgency or a less urgent one until the given time.
-    pub(crate) fn hold_back(&mut self, urgency: u8, until: Instant) {
-        self.held_until.retain(|(held, _)| *held != urgency);
-        self.held_until.push((urgency, until));
+    pub(crate) fn defer_requests(&mut self, urgency: u8, until: Instant) {
+        self.deferred_until
+            .retain(|(deferred, _)| *deferred != urgency);
+        self.deferred_until.push((urgency, until));
     }
 
     /// Returns until when requests of this urgency are deferred, and why, or `None` where they are not.
-    pub(crate) fn held_until(&self, urgency: u8, now: Instant) -> Option<SendDeferral> {
-        let holds = self.held_until.iter();
-        let holds = holds.filter(|(held, until)| *held <= urgency && now < *until);
-        let limited = holds.map(|(_, until)| SendDeferral {
+    pub(crate) fn deferred_until(&self, urgency: u8, now: Instant) -> Option<SendDeferral> {
+        let deferrals = self.deferred_until.iter();
+        let deferrals = deferrals.filter(|(deferred, until)| *deferred <= urgency && now < *until);
+        let limited = deferrals.map(|(_, until)| SendDeferral {
             until: *until,
             cause: SendRefusal::Limited,
         });
@@ -202,7 +203,7 @@
             until,
             cause: SendRefusal::Resting,
         });
-        limited.chain(rest).max_by_key(|hold| hold.until)
+        limited.chain(rest).max_by_key(|deferral| deferral.until)
     }
 
     /// Whether it rests at its own request.
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -317,7 +317,7 @@
         };
         let node = &mut self.nodes[index];
         let Some(pick) = node.table.pick(&request, at) else {
-            let hold = node.table.held_until(&request, at);
+            let hold = node.table.deferred_until(&request, at);
             let held_for = hold.map(|hold| hold.until.saturating_duration_since(at));
             self.await_engine(wish, held_for, now);
             return;
