--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -170,7 +170,7 @@
                     .with("reached", reached)
                     .info(&shared.log);
                 if reached {
-                    shared.loads().note_reached(&server);
+                    shared.loads().record_reached(&server);
                 }
             };
             self.shared.executor.spawn(probing).detach();
--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -98,7 +98,7 @@
     }
 
     /// Takes over what others told, and tells what they should know; for each round of the nodes' talk.
-    pub(crate) fn swap_news(&self, exchange: &mut LoadExchange) {
+    pub(crate) fn sync_with(&self, exchange: &mut LoadExchange) {
         let now = self.shared.clock.now();
         let boot = self.shared.clock.boot_time();
         let is_collector = exchange.is_collector();
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -227,16 +227,16 @@
             let packets = {
                 let mut loads = self.shared.loads();
                 let mut exchange = self.exchange.borrow_mut();
-                loads.swap_news(&mut exchange, moment.now);
+                loads.sync_with(&mut exchange, moment.now);
                 let unix_ms = self.shared.clock.unix_ms();
                 let mut quarantine = self.shared.quarantine();
-                let refused = quarantine.swap_news(&mut exchange, moment.now, unix_ms);
+                let refused = quarantine.sync_with(&mut exchange, moment.now, unix_ms);
                 self.shared.metrics.peer_refused.inc_by(refused);
                 let changes = quarantine.take_changes();
                 drop(quarantine);
                 self.verdicts.note(changes);
                 if let Some(duties) = &self.duties {
-                    duties.swap_news(&mut exchange);
+                    duties.sync_with(&mut exchange);
                 }
                 let mut packets = exchange.tick(loads.own_work(), &mut self.view.news(), moment);
                 let mut statements = self.shared.statements();
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -146,10 +146,10 @@
     }
 
     /// The server began to answer.
-    pub(crate) fn first_answer(&mut self) {
+    pub(crate) fn record_first_byte(&mut self) {
         if let Some(ticket) = &mut self.ticket {
             let now = self.shared.clock.now();
-            self.shared.loads().first_answer(ticket, now);
+            self.shared.loads().record_first_byte(ticket, now);
         }
     }
 
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -156,7 +156,7 @@
         };
         if !std::mem::replace(&mut self.is_demand_noted, true) {
             let mut loads = self.shared.loads();
-            loads.note_demand(&self.request.pool, &pick, now);
+            loads.record_demand(&self.request.pool, &pick, now);
         }
         let wait = QueuePrediction {
             queue: pick.queue,
@@ -214,7 +214,7 @@
     async fn take_whole(&mut self, mut answer: ServerAnswer<C, W>) -> NextTry {
         self.apply(AttemptEvent::HeadReceived);
         self.note_began(self.ran_for().unwrap_or_default());
-        answer.work.first_answer();
+        answer.work.record_first_byte();
         let deadline = self.request.due + WHOLE_RESERVE;
         let reading = read_whole(&mut answer.link, &mut answer.body, LARGEST_WHOLE);
         let life = answer.work.life();
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -193,7 +193,7 @@
         match self.last_piece {
             None => {
                 if let Some(source) = &mut self.source {
-                    source.work.first_answer();
+                    source.work.record_first_byte();
                 }
                 self.first_piece = Some(now);
                 self.run.observe_first_byte();
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -17,7 +17,9 @@
     pub(super) fn candidates(&self, request: &PlacementRequest<'_>, now: Instant) -> Vec<ServerId> {
         let available: Vec<&ServerLoad> = self
             .of_pool(request)
-            .filter(|load| load.stays() && load.deferred_until(request.urgency, now).is_none())
+            .filter(|load| {
+                load.accepts_work() && load.deferred_until(request.urgency, now).is_none()
+            })
             .collect();
         let has_available = !available.is_empty();
         let mut usable: Vec<&ServerLoad> = available;
@@ -69,7 +71,7 @@
     ) -> Option<SendDeferral> {
         let untried = self
             .of_pool(request)
-            .filter(|load| load.stays() && !request.avoid.contains(&load.entry.id));
+            .filter(|load| load.accepts_work() && !request.avoid.contains(&load.entry.id));
         untried
             .filter_map(|load| load.deferred_until(request.urgency, now))
             .min_by_key(|deferral| deferral.until)
@@ -82,7 +84,7 @@
                 .values()
                 .filter(|load| load.entry.pool == *pool)
         };
-        of_pool().any(ServerLoad::is_leaving) && !of_pool().any(ServerLoad::stays)
+        of_pool().any(ServerLoad::is_leaving) && !of_pool().any(ServerLoad::accepts_work)
     }
 
     /// Applies what a server reported of itself. A report of another incarnation is ignored.
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -103,7 +103,7 @@
     }
 
     /// Applies what the other nodes reported, and passes on what this node has to report.
-    pub fn swap_news(&mut self, exchange: &mut LoadExchange, now: Instant) {
+    pub fn sync_with(&mut self, exchange: &mut LoadExchange, now: Instant) {
         self.adapt_shares(now);
         exchange.tell_places(self.new_locations.drain(..));
         let rates = self.demand.rates(now);
@@ -161,7 +161,7 @@
 
     /// Records the demand of a request for which a server was chosen, whether the request is then sent or
     /// refused.
-    pub fn note_demand(&mut self, pool: &PoolId, pick: &ServerPick, now: Instant) {
+    pub fn record_demand(&mut self, pool: &PoolId, pick: &ServerPick, now: Instant) {
         let tokens = pick.prefill_tokens.saturating_sub(pick.shared_prefill);
         self.demand.record(pool, tokens, now);
     }
@@ -183,7 +183,7 @@
                 .sites
                 .entry(server.entry.data_centre.clone())
                 .or_default();
-            if server.stays() {
+            if server.accepts_work() {
                 match server.entry.kind {
                     ServerKind::Lasting => site.lasting += 1,
                     ServerKind::Reclaimable => site.reclaimable += 1,
@@ -312,7 +312,7 @@
             load.entry.pool == *request.pool
                 && load.limit.is_none()
                 && !load.is_leaving()
-                && !load.rests(now)
+                && !load.is_resting(now)
                 && load.is_healthy(self.options.switches, now)
         });
         CacheHolder::find(of_pool, prompt, now)
@@ -333,7 +333,7 @@
         let of_pool = self
             .servers
             .values()
-            .filter(|load| load.entry.pool == *pool && load.stays());
+            .filter(|load| load.entry.pool == *pool && load.accepts_work());
         let share = if self.has(PolicyPart::Groups) {
             self.shares.share(pool)
         } else {
@@ -380,7 +380,7 @@
     }
 
     /// Records that the answer began, which means that the server has prefilled the prompt.
-    pub fn first_answer(&mut self, ticket: &mut WorkTicket, now: Instant) {
+    pub fn record_first_byte(&mut self, ticket: &mut WorkTicket, now: Instant) {
         let tokens = std::mem::take(&mut ticket.unread_tokens);
         let learns = self.has(PolicyPart::LearntSpeed);
         let Some(load) = ticket_load(&mut self.servers, ticket) else {
@@ -443,7 +443,7 @@
     }
 
     /// Records that a probe connection to a server was established, or was refused by its machine.
-    pub fn note_reached(&mut self, server: &ServerEntry) {
+    pub fn record_reached(&mut self, server: &ServerEntry) {
         self.data_centres.record_answer(&server.data_centre);
     }
 
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -52,7 +52,7 @@
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(400);
 /// Longest rest that is told apart from longer ones, so that its end is a moment that the clock can
 /// represent.
-const FARTHEST_END: Duration = Duration::from_secs(365 * 86_400);
+const MAX_REST: Duration = Duration::from_secs(365 * 86_400);
 
 /// State of one server as known to one node.
 #[derive(Clone, Debug)]
@@ -152,7 +152,7 @@
     /// Applies what the server reported of itself.
     pub(crate) fn set_standing(&mut self, standing: ServerStanding, now: Instant) {
         self.serves_until = standing.serves_for.map(|serves| now + serves);
-        let rest = standing.rest_left.map(|left| left.min(FARTHEST_END));
+        let rest = standing.rest_left.map(|left| left.min(MAX_REST));
         self.resting_until = rest.map(|left| now + left);
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Whether it accepts new work by its own reports.
-    pub(crate) fn stays(&self) -> bool {
+    pub(crate) fn accepts_work(&self) -> bool {
         self.entry.state == ServerState::Ready && !self.is_leaving()
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Whether it rests at its own request.
-    pub(crate) fn rests(&self, now: Instant) -> bool {
+    pub(crate) fn is_resting(&self, now: Instant) -> bool {
         self.resting_until.is_some_and(|until| now < until)
     }
 
--- a/crates/plumgate/tests/gateway_apart.rs
+++ b/crates/plumgate/tests/gateway_apart.rs
@@ -43,7 +43,7 @@
         } else {
             // Those that live have work under way, and answer now and then.
             now += Duration::from_millis(1_500);
-            table.first_answer(&mut ticket, now);
+            table.record_first_byte(&mut ticket, now);
         }
     }
     now += Duration::from_millis(900);
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -52,7 +52,7 @@
         let request = request(&pool, shape, &[]);
         let mut ticket = self.table.start(&pick, &request, self.now);
         self.now += Duration::from_millis(300);
-        self.table.first_answer(&mut ticket, self.now);
+        self.table.record_first_byte(&mut ticket, self.now);
         self.table.finish(ticket, WorkEnd::Answered, self.now);
         pick
     }
--- a/crates/plumgate/tests/gateway_reading.rs
+++ b/crates/plumgate/tests/gateway_reading.rs
@@ -58,7 +58,7 @@
         let request = request(&self.pool, &self.prompt);
         let mut ticket = self.table.start(&pick, &request, self.now);
         self.now += took;
-        self.table.first_answer(&mut ticket, self.now);
+        self.table.record_first_byte(&mut ticket, self.now);
         self.table.finish(ticket, WorkEnd::Answered, self.now);
     }
 }
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -41,10 +41,10 @@
         avoid: &[],
     };
     let pick = table.pick(&request, now).expect("a server");
-    table.note_demand(&pool, &pick, now);
+    table.record_demand(&pool, &pick, now);
     now += Duration::from_secs(2);
     let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
-    table.swap_news(&mut exchange, now);
+    table.sync_with(&mut exchange, now);
     let sighting = LimitSighting {
         rate: RequestRate::new(rate),
         sent: Duration::from_secs(1),
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -407,7 +407,7 @@
                 if caller.tokens == 1 {
                     caller.is_late |= now - caller.came > kind.target;
                     if let Some(ticket) = &mut caller.ticket {
-                        self.nodes[caller.node].table.first_answer(ticket, at);
+                        self.nodes[caller.node].table.record_first_byte(ticket, at);
                     }
                 }
                 if caller.tokens % EVENT_TOKENS == 1 {
@@ -477,7 +477,7 @@
             taken.expect("a message");
         }
         for node in &mut self.nodes {
-            node.table.swap_news(&mut node.exchange, at);
+            node.table.sync_with(&mut node.exchange, at);
         }
     }
 }
--- a/crates/plumgate/tests/notices/mod.rs
+++ b/crates/plumgate/tests/notices/mod.rs
@@ -185,7 +185,7 @@
     pub(crate) fn finish(&mut self, mut sent: SentRequest, end: WorkEnd) {
         let now = self.now();
         if end == WorkEnd::Answered {
-            self.table.first_answer(&mut sent.ticket, now);
+            self.table.record_first_byte(&mut sent.ticket, now);
         }
         self.table.finish(sent.ticket, end, now);
     }
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -161,7 +161,7 @@
             if node.is_down {
                 continue;
             }
-            node.table.swap_news(&mut node.exchange, now, unix_ms);
+            node.table.sync_with(&mut node.exchange, now, unix_ms);
             let moment = TalkMoment { now, boot };
             let work = std::iter::empty();
             let packets = node.exchange.tick(work, &mut node.desk, moment);
@@ -339,7 +339,7 @@
     /// What the node tells in its next round, sealed.
     pub(crate) fn told(&mut self, now: Instant, unix_ms: u64) -> Vec<Vec<u8>> {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
-        self.table.swap_news(&mut exchange, now, unix_ms);
+        self.table.sync_with(&mut exchange, now, unix_ms);
         exchange.telling().to_vec()
     }
 
@@ -347,7 +347,7 @@
     pub(crate) fn hear_at(&mut self, notice: &[u8], now: Instant, unix_ms: u64) -> u64 {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
         exchange.hear_notices([notice.to_vec()], now);
-        self.table.swap_news(&mut exchange, now, unix_ms)
+        self.table.sync_with(&mut exchange, now, unix_ms)
     }
 }
 
