--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -128,12 +128,12 @@
         if left.is_zero() {
             return Err(self.give_up("timeout", Duration::ZERO));
         }
-        let apart = match self.verdict() {
+        let is_isolated = match self.verdict() {
             RequestVerdict::Send => false,
             RequestVerdict::SendApart => true,
             RequestVerdict::Hold(hold) => return Err(self.hold_back(hold)),
         };
-        let placement = self.request.placement(&self.tried, apart);
+        let placement = self.request.placement(&self.tried, is_isolated);
         let pick = self.shared.loads().pick(&placement, now);
         let spread = self.shared.random_share();
         let Some(pick) = pick else {
--- a/crates/plumgate-node/src/gateway/request.rs
+++ b/crates/plumgate-node/src/gateway/request.rs
@@ -56,18 +56,18 @@
 }
 
 impl RelayRequest {
-    /// What a server is chosen for; `apart` where the request may end it.
+    /// What a server is chosen for; `is_isolated` where the request may end it.
     pub(crate) fn placement<'a>(
         &'a self,
         avoid: &'a [ServerId],
-        apart: bool,
+        is_isolated: bool,
     ) -> PlacementRequest<'a> {
         PlacementRequest {
             pool: &self.pool,
             prompt: self.facts.prompt.as_ref(),
             urgency: self.urgency,
             class: self.class,
-            apart,
+            is_isolated,
             avoid,
         }
     }
--- a/crates/plumgate/src/gateway/placement/choice.rs
+++ b/crates/plumgate/src/gateway/placement/choice.rs
@@ -85,7 +85,7 @@
     /// How sensitive its stream is to pauses.
     pub class: StreamClass,
     /// Whether the request may crash its server, so that the server with the least work is best.
-    pub apart: bool,
+    pub is_isolated: bool,
     /// Servers that were tried already.
     pub avoid: &'a [ServerId],
 }
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -224,7 +224,7 @@
     /// Chooses the server of a request, or returns `None` where no server accepts it.
     pub fn pick(&mut self, request: &PlacementRequest<'_>, now: Instant) -> Option<ServerPick> {
         let mut candidates = self.candidates(request, now);
-        if request.apart {
+        if request.is_isolated {
             candidates = self.recently_answering(candidates, now);
         }
         let mut costs: Vec<(f64, CostPrediction, ServerId)> = Vec::with_capacity(candidates.len());
@@ -239,11 +239,12 @@
             });
         let cache_holder = self.cache_holder(request, now);
         let has_no_affinity = request.prompt.is_some() && preferred.first.is_none();
-        let candidates = if has_no_affinity && !request.apart && self.has(PolicyPart::Sampling) {
-            self.sample(&members, &candidates)
-        } else {
-            candidates
-        };
+        let candidates =
+            if has_no_affinity && !request.is_isolated && self.has(PolicyPart::Sampling) {
+                self.sample(&members, &candidates)
+            } else {
+                candidates
+            };
         let speed = self.speeds.speed(request.pool, now);
         for id in candidates {
             let load = &self.servers[&id];
@@ -268,7 +269,7 @@
             let is_divided = request.prompt.is_some() && self.has(PolicyPart::Groups);
             let overflow = if is_divided { overflow } else { 0.0 };
             let cost = match self.options.policy {
-                _ if request.apart => f64::from(load.own.in_flight + load.peers.in_flight),
+                _ if request.is_isolated => f64::from(load.own.in_flight + load.peers.in_flight),
                 PlacementPolicy::PredictedCost => prediction.cost + overflow,
                 PlacementPolicy::LeastInFlight => f64::from(load.own.in_flight),
                 PlacementPolicy::Random => 0.0,
--- a/crates/plumgate/tests/gateway_apart.rs
+++ b/crates/plumgate/tests/gateway_apart.rs
@@ -10,13 +10,13 @@
 
 use entries::server_entry;
 
-fn request<'a>(pool: &'a PoolId, apart: bool, avoid: &'a [ServerId]) -> PlacementRequest<'a> {
+fn request<'a>(pool: &'a PoolId, is_isolated: bool, avoid: &'a [ServerId]) -> PlacementRequest<'a> {
     PlacementRequest {
         pool,
         prompt: None,
         urgency: 0,
         class: StreamClass::Interactive,
-        apart,
+        is_isolated,
         avoid,
     }
 }
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -88,7 +88,7 @@
         prompt: Some(shape),
         urgency: 2,
         class: StreamClass::Batch,
-        apart: false,
+        is_isolated: false,
         avoid,
     }
 }
--- a/crates/plumgate/tests/gateway_reading.rs
+++ b/crates/plumgate/tests/gateway_reading.rs
@@ -69,7 +69,7 @@
         prompt: Some(prompt),
         urgency: 0,
         class: StreamClass::Interactive,
-        apart: false,
+        is_isolated: false,
         avoid: &[],
     }
 }
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -37,7 +37,7 @@
         prompt: Some(&shape),
         urgency: 0,
         class: StreamClass::Batch,
-        apart: false,
+        is_isolated: false,
         avoid: &[],
     };
     let pick = table.pick(&request, now).expect("a server");
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -271,7 +271,7 @@
         *sums = (sums.0 + usual, sums.1 + apart, sums.2 + 1);
     }
 
-    fn beside(&mut self, kind: usize, prompt: &PromptShape, apart: bool, now: f64) -> u64 {
+    fn beside(&mut self, kind: usize, prompt: &PromptShape, is_isolated: bool, now: f64) -> u64 {
         let at = self.at(now);
         let index = self.rng.usize(0..self.nodes.len());
         let pool = "models".into();
@@ -280,7 +280,7 @@
             prompt: Some(prompt),
             urgency: self.plan.kinds[kind].urgency,
             class: self.plan.kinds[kind].class,
-            apart,
+            is_isolated,
             avoid: &[],
         };
         let pick = self.nodes[index].table.pick(&request, at);
@@ -312,7 +312,7 @@
             prompt: Some(&wish.prompt),
             urgency: traffic.urgency,
             class: traffic.class,
-            apart: false,
+            is_isolated: false,
             avoid: &wish.tried,
         };
         let node = &mut self.nodes[index];
--- a/crates/plumgate/tests/notices/mod.rs
+++ b/crates/plumgate/tests/notices/mod.rs
@@ -133,7 +133,7 @@
             prompt: None,
             urgency,
             class: StreamClass::Batch,
-            apart: false,
+            is_isolated: false,
             avoid,
         }
     }
