--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -8,7 +8,7 @@
 use plumgate::RunOutcome;
 use plumgate::attempt::AttemptEvent;
 use plumgate::gateway::{
-    AdmissionPolicy, AdmissionVerdict, QueuePrediction, RepeatKind, RequestHold, RequestVerdict,
+    AdmissionDecision, AdmissionPolicy, QueuePrediction, RepeatKind, RequestHold, RequestVerdict,
     SendPermit, SendRefusal, ServerPick, WorkEnd,
 };
 
@@ -117,7 +117,7 @@
             return Ok(());
         }
         let spread = self.shared.random_share();
-        let pause = self.admission().return_after(held_for, self.left(), spread);
+        let pause = self.admission().retry_delay(held_for, self.left(), spread);
         Err(self.give_up(hold.cause.as_str(), pause))
     }
 
@@ -151,7 +151,7 @@
             } else {
                 ("no_server", NO_SERVER_PAUSE)
             };
-            let pause = self.admission().return_after(pause, left, spread);
+            let pause = self.admission().retry_delay(pause, left, spread);
             return Err(self.give_up(reason, pause));
         };
         if !std::mem::replace(&mut self.is_demand_noted, true) {
@@ -166,7 +166,8 @@
         };
         if self.tried.is_empty()
             && self.request.facts.prompt.is_some()
-            && let AdmissionVerdict::Refuse { retry_after } = self.admission().judge(&wait, spread)
+            && let AdmissionDecision::Refuse { retry_after } =
+                self.admission().decide(&wait, spread)
         {
             return Err(self.give_up("overloaded", retry_after));
         }
@@ -271,7 +272,7 @@
         }
         let left = self.left();
         let spread = self.shared.random_share();
-        let pause = self.admission().return_after(REFUSED_PAUSE, left, spread);
+        let pause = self.admission().retry_delay(REFUSED_PAUSE, left, spread);
         NextTry::Fail(self.give_up(reason, pause))
     }
 
--- a/crates/plumgate/src/gateway/admission/mod.rs
+++ b/crates/plumgate/src/gateway/admission/mod.rs
@@ -7,4 +7,4 @@
 
 pub use budget::WindowBudget;
 pub use freshness::FreshnessLease;
-pub use policy::{AdmissionPolicy, AdmissionVerdict, QueuePrediction};
+pub use policy::{AdmissionDecision, AdmissionPolicy, QueuePrediction};
--- a/crates/plumgate/src/gateway/admission/policy.rs
+++ b/crates/plumgate/src/gateway/admission/policy.rs
@@ -24,7 +24,7 @@
 
 /// Decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdmissionVerdict {
+pub enum AdmissionDecision {
     /// Send it to the server.
     Send,
     /// Refuse it; it was not run.
@@ -68,20 +68,20 @@
 
     /// Decides about a request. `spread`, from 0 to 1, is a random number that keeps refused callers from
     /// coming back all at once.
-    pub fn judge(&self, prediction: &QueuePrediction, spread: f64) -> AdmissionVerdict {
+    pub fn decide(&self, prediction: &QueuePrediction, spread: f64) -> AdmissionDecision {
         let max_queue = prediction.target_left.mul_f64(QUEUE_SHARE);
         let max_wait = prediction.left.mul_f64(START_SHARE);
         let refuses = self.switches.has(PolicyPart::Refusing);
         if !refuses || prediction.queue <= max_queue && prediction.wait <= max_wait {
-            return AdmissionVerdict::Send;
+            return AdmissionDecision::Send;
         }
-        AdmissionVerdict::Refuse {
-            retry_after: self.return_after(prediction.queue, prediction.left, spread),
+        AdmissionDecision::Refuse {
+            retry_after: self.retry_delay(prediction.queue, prediction.left, spread),
         }
     }
 
     /// Returns the delay after which a caller should come back; `spread` is as for the decision.
-    pub fn return_after(&self, wait: Duration, left: Duration, spread: f64) -> Duration {
+    pub fn retry_delay(&self, wait: Duration, left: Duration, spread: f64) -> Duration {
         let longest = left.mul_f64(RETRY_DELAY_SHARE).min(MAX_RETRY_DELAY);
         let spread = if self.switches.has(PolicyPart::ReturnSpread) {
             spread
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -20,7 +20,7 @@
 pub mod work;
 
 pub use admission::{
-    AdmissionPolicy, AdmissionVerdict, FreshnessLease, QueuePrediction, WindowBudget,
+    AdmissionDecision, AdmissionPolicy, FreshnessLease, QueuePrediction, WindowBudget,
 };
 pub use config::{
     CallerLimits, GatewayConfig, GatewayRoute, PoolSplit, RepeatKind, RouteMatch, StreamClass,
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -11,7 +11,7 @@
 use plumgate::duty::ServerKind;
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
-    AdmissionPolicy, AdmissionVerdict, LoadExchange, LoadTable, NewsDesk, NodeEntry,
+    AdmissionDecision, AdmissionPolicy, LoadExchange, LoadTable, NewsDesk, NodeEntry,
     PlacementOptions, PlacementPolicy, PolicySwitches, PromptShape, QueuePrediction, ServerEntry,
     ServerState, ServerStatements, StreamClass, TalkMoment,
 };
@@ -329,8 +329,8 @@
             target_left: Duration::from_secs_f64(traffic.target),
             left: Duration::from_secs_f64(left),
         };
-        let verdict = AdmissionPolicy::new().judge(&prediction, self.rng.f64());
-        if let AdmissionVerdict::Refuse { retry_after } = verdict
+        let decision = AdmissionPolicy::new().decide(&prediction, self.rng.f64());
+        if let AdmissionDecision::Refuse { retry_after } = decision
             && self.plan.admits
         {
             self.refuse(wish, retry_after, now);
--- a/crates/plumgate/tests/load/shedding.rs
+++ b/crates/plumgate/tests/load/shedding.rs
@@ -119,7 +119,7 @@
     fn send_back(&mut self, wish: CallerWish, pause: Duration, now: f64) {
         let left = wish.came + self.plan.kinds[wish.kind].patience - now;
         let left = Duration::from_secs_f64(left.max(0.0));
-        let retry_after = AdmissionPolicy::new().return_after(pause, left, self.rng.f64());
+        let retry_after = AdmissionPolicy::new().retry_delay(pause, left, self.rng.f64());
         self.refuse(wish, retry_after, now);
     }
 }
