--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -137,7 +137,7 @@
     pub(crate) fn set_bounds(&self, bounds: GatewayBounds) {
         self.budget()
             .set_bounds(bounds.retry_window, bounds.retry_ratio, bounds.retry_extra);
-        self.lease().set_longest(bounds.key_age);
+        self.lease().set_max_age(bounds.key_age);
         self.statements().notices.set_drain_time(bounds.drain);
         self.bounds.store(Arc::new(bounds));
     }
--- a/crates/plumgate/src/gateway/admission/freshness.rs
+++ b/crates/plumgate/src/gateway/admission/freshness.rs
@@ -17,22 +17,22 @@
 /// suspended would keep accepting a key that was revoked meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct FreshnessLease {
-    longest: Duration,
+    max_age: Duration,
     known_at: Option<Duration>,
 }
 
 impl FreshnessLease {
     /// Creates a lease for the age after which a revoked key must not work any more.
-    pub fn new(longest: Duration) -> Self {
+    pub fn new(max_age: Duration) -> Self {
         Self {
-            longest,
+            max_age,
             known_at: None,
         }
     }
 
     /// Replaces that age.
-    pub fn set_longest(&mut self, longest: Duration) {
-        self.longest = longest;
+    pub fn set_max_age(&mut self, max_age: Duration) {
+        self.max_age = max_age;
     }
 
     /// Records that the store answered a read sent at `asked_at`, and that its result is in force.
@@ -62,6 +62,6 @@
 
     fn is_within(&self, now: Duration, share: f64) -> bool {
         self.age(now)
-            .is_some_and(|age| age < self.longest.mul_f64(share))
+            .is_some_and(|age| age < self.max_age.mul_f64(share))
     }
 }
