--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -10,7 +10,7 @@
     AgreedClock, DutyIdentity, DutySeat, DutyTimes, FollowLoad, HolderEvent, OrderBook,
     ReportTimes, SeatMoment, SeatOptions, UsageBook, UsageCounts, WindowId,
 };
-use plumgate::gateway::{ClockSpeaker, LoadExchange};
+use plumgate::gateway::{ClockScope, LoadExchange};
 use plumgate::ids::{DataCentreId, PoolId};
 
 use super::options::DutyOptions;
@@ -105,11 +105,11 @@
         self.hear_clocks(exchange, is_collector, boot);
         self.note_time();
         exchange
-            .duty_talk()
-            .tell_clock(self.clock.borrow().news(boot));
-        for heard in exchange.duty_talk().take_usage() {
+            .duty_messages()
+            .set_clock(self.clock.borrow().news(boot));
+        for heard in exchange.duty_messages().take_usage() {
             let mut book = self.book.borrow_mut();
-            book.hear(&heard.node, heard.news, heard.came_at);
+            book.hear(&heard.node, heard.report, heard.received_at);
         }
         self.tell_usage(exchange, is_collector);
         self.wanted.set(exchange.leads(now));
@@ -121,16 +121,16 @@
 
     fn hear_clocks(&self, exchange: &mut LoadExchange, is_collector: bool, boot: Duration) {
         let mut clock = self.clock.borrow_mut();
-        for heard in exchange.duty_talk().take_clocks() {
-            match heard.speaker {
-                ClockSpeaker::Member => clock.hear(&heard.node, &heard.news, heard.came_at),
-                ClockSpeaker::Centre(nodes) => {
-                    clock.hear_centre(&heard.node, &heard.news, nodes, heard.came_at);
+        for heard in exchange.duty_messages().take_clocks() {
+            match heard.scope {
+                ClockScope::Member => clock.hear(&heard.node, &heard.report, heard.received_at),
+                ClockScope::DataCentre(nodes) => {
+                    clock.hear_centre(&heard.node, &heard.report, nodes, heard.received_at);
                 }
-                ClockSpeaker::Collector if !is_collector => {
-                    clock.follow(&heard.news, heard.came_at);
+                ClockScope::Collector if !is_collector => {
+                    clock.follow(&heard.report, heard.received_at);
                 }
-                ClockSpeaker::Collector => {}
+                ClockScope::Collector => {}
             }
         }
         if is_collector {
@@ -145,7 +145,7 @@
         let mut tally = self.shared.usage();
         let mut book = self.book.borrow_mut();
         book.tick(&mut tally, moment.unix);
-        if exchange.duty_talk().take_new_listener() {
+        if exchange.duty_messages().take_has_new_receiver() {
             book.tell_all();
         }
         let news = if is_collector {
@@ -154,7 +154,7 @@
         } else {
             book.own_news(&tally, moment.unix, moment.boot)
         };
-        exchange.duty_talk().tell_usage(news);
+        exchange.duty_messages().set_usage(news);
     }
 
     fn note_demand(&self, exchange: &mut LoadExchange) {
@@ -165,7 +165,7 @@
         };
         let pools = config.scaling().map(|(pool, _)| pool.clone());
         let demand = pools.map(|pool| {
-            let rate = exchange.duty_talk().demand(&pool, now);
+            let rate = exchange.duty_messages().demand(&pool, now);
             (pool, rate)
         });
         *self.demand.borrow_mut() = demand.collect();
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -8,7 +8,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use plumgate::gateway::{ExchangePacket, LoadExchange, MailMoment, NodeEntry, TalkMoment};
+use plumgate::gateway::{ExchangeMoment, ExchangePacket, LoadExchange, MailMoment, NodeEntry};
 use plumgate::ids::NodeId;
 
 use super::duties::DutyState;
@@ -213,8 +213,8 @@
         }
     }
 
-    fn moment(&self) -> TalkMoment {
-        TalkMoment {
+    fn moment(&self) -> ExchangeMoment {
+        ExchangeMoment {
             now: self.shared.clock.now(),
             boot: self.shared.clock.boot_time(),
         }
--- a/crates/plumgate/examples/limit_costs.rs
+++ b/crates/plumgate/examples/limit_costs.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangePacket, GatewayConfig, LimitSighting, LoadExchange, MailMoment, NewsDesk, NodeEntry,
-    RequestRate, SendClaim, ServerLimits, TalkMoment,
+    ExchangeMoment, ExchangePacket, GatewayConfig, LimitSighting, LoadExchange, MailMoment,
+    NewsDesk, NodeEntry, RequestRate, SendClaim, ServerLimits,
 };
 
 use entries::{node_entries, server_entry};
@@ -74,8 +74,8 @@
         packets
     }
 
-    fn moment(&self, millis: u64) -> TalkMoment {
-        TalkMoment {
+    fn moment(&self, millis: u64) -> ExchangeMoment {
+        ExchangeMoment {
             now: self.start + Duration::from_millis(millis),
             boot: Duration::from_millis(millis),
         }
--- a/crates/plumgate/src/gateway/exchange/duty_talk.rs
+++ b/crates/plumgate/src/gateway/exchange/duty_messages.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-use super::load_exchange::TalkMoment;
+use super::load_exchange::ExchangeMoment;
 use super::messages::{PoolDemand, pool_key};
 use crate::duty::{ClockNews, UsageNews};
 use crate::ids::{DataCentreId, NodeId};
@@ -18,37 +18,37 @@
 
 /// Another node's report of the time of day.
 #[derive(Clone, Debug)]
-pub struct HeardClock {
+pub struct ReceivedClock {
     /// Node that sent the report.
     pub node: NodeId,
     /// Nodes that the report covers.
-    pub speaker: ClockSpeaker,
+    pub scope: ClockScope,
     /// The report.
-    pub news: ClockNews,
+    pub report: ClockNews,
     /// Time since the VM started, suspension included, at which the report was received.
-    pub came_at: Duration,
+    pub received_at: Duration,
 }
 
 /// Nodes on whose behalf a node reports the time of day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClockSpeaker {
+pub enum ClockScope {
     /// A node of this data centre, for itself.
     Member,
     /// The collector of another data centre, for the given number of nodes.
-    Centre(usize),
+    DataCentre(usize),
     /// This node's collector, for the fleet.
     Collector,
 }
 
 /// Another node's usage report.
 #[derive(Clone, Debug)]
-pub struct HeardUsage {
+pub struct ReceivedUsage {
     /// Node that sent the report.
     pub node: NodeId,
     /// The report.
-    pub news: UsageNews,
+    pub report: UsageNews,
     /// Time since the VM started, suspension included, at which the report was received.
-    pub came_at: Duration,
+    pub received_at: Duration,
 }
 
 /// Reported demand and the time of the report.
@@ -56,13 +56,13 @@
 
 /// What this node sends and has received for the duties.
 #[derive(Debug, Default)]
-pub struct DutyTalk {
+pub struct DutyMessages {
     /// Report of the time of day that this node sends.
     clock: Option<ClockNews>,
-    received_clocks: Vec<HeardClock>,
+    received_clocks: Vec<ReceivedClock>,
     /// Usage reports that this node sends in this round.
     outgoing_usage: Vec<UsageNews>,
-    received_usage: Vec<HeardUsage>,
+    received_usage: Vec<ReceivedUsage>,
     /// Demand of this node's own requests.
     own_demand: Vec<PoolDemand>,
     /// Demand of the other nodes of this data centre.
@@ -77,9 +77,9 @@
     has_new_receiver: bool,
 }
 
-impl DutyTalk {
+impl DutyMessages {
     /// Sets the report of the time of day that this node sends from now on.
-    pub fn tell_clock(&mut self, clock: Option<ClockNews>) {
+    pub fn set_clock(&mut self, clock: Option<ClockNews>) {
         self.clock = clock;
     }
 
@@ -92,26 +92,26 @@
     pub(crate) fn receive_clock(
         &mut self,
         node: &NodeId,
-        speaker: ClockSpeaker,
-        news: ClockNews,
-        moment: TalkMoment,
+        scope: ClockScope,
+        report: ClockNews,
+        moment: ExchangeMoment,
     ) {
-        self.received_clocks.push(HeardClock {
+        self.received_clocks.push(ReceivedClock {
             node: node.clone(),
-            speaker,
-            news,
-            came_at: moment.boot,
+            scope,
+            report,
+            received_at: moment.boot,
         });
     }
 
     /// Takes the reports of the time of day received since the last call.
-    pub fn take_clocks(&mut self) -> Vec<HeardClock> {
+    pub fn take_clocks(&mut self) -> Vec<ReceivedClock> {
         std::mem::take(&mut self.received_clocks)
     }
 
     /// Sets the usage reports of the next round: a node sends them to its collector, a collector to the
     /// collectors of the other data centres.
-    pub fn tell_usage(&mut self, reports: Vec<UsageNews>) {
+    pub fn set_usage(&mut self, reports: Vec<UsageNews>) {
         self.outgoing_usage = reports;
     }
 
@@ -121,23 +121,28 @@
     }
 
     /// Stores another node's usage report.
-    pub(crate) fn receive_usage(&mut self, node: NodeId, news: UsageNews, moment: TalkMoment) {
+    pub(crate) fn receive_usage(
+        &mut self,
+        node: NodeId,
+        report: UsageNews,
+        moment: ExchangeMoment,
+    ) {
         if self.received_usage.len() < MAX_USAGE_REPORTS {
-            self.received_usage.push(HeardUsage {
+            self.received_usage.push(ReceivedUsage {
                 node,
-                news,
-                came_at: moment.boot,
+                report,
+                received_at: moment.boot,
             });
         }
     }
 
     /// Takes the usage reports received since the last call.
-    pub fn take_usage(&mut self) -> Vec<HeardUsage> {
+    pub fn take_usage(&mut self) -> Vec<ReceivedUsage> {
         std::mem::take(&mut self.received_usage)
     }
 
     /// Sets the demand of this node's requests from now on.
-    pub fn tell_demand(&mut self, demand: Vec<PoolDemand>) {
+    pub fn set_demand(&mut self, demand: Vec<PoolDemand>) {
         self.own_demand = demand;
     }
 
@@ -185,7 +190,7 @@
     }
 
     /// Takes whether another node receives the reports than at the last call: it needs all of them.
-    pub fn take_new_listener(&mut self) -> bool {
+    pub fn take_has_new_receiver(&mut self) -> bool {
         std::mem::take(&mut self.has_new_receiver)
     }
 
--- a/crates/plumgate/src/gateway/exchange/load_exchange.rs
+++ b/crates/plumgate/src/gateway/exchange/load_exchange.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use super::duty_talk::{ClockSpeaker, DATA_CENTRE_SILENCE, DutyTalk};
+use super::duty_messages::{ClockScope, DATA_CENTRE_SILENCE, DutyMessages};
 use super::messages::{ExchangeBody, ExchangeMessage, PartPlace, ServerKey, WorkEntry, server_key};
 use super::nodes::NodeEntry;
 use super::part_locations::LocationQueue;
@@ -46,7 +46,7 @@
 
 /// One moment on both clocks.
 #[derive(Clone, Copy, Debug)]
-pub struct TalkMoment {
+pub struct ExchangeMoment {
     /// Monotonic clock that times the rounds.
     pub now: Instant,
     /// Time since the VM started, suspension included, by which changes of the store are dated.
@@ -88,7 +88,7 @@
     /// When this node became the collector.
     collecting_since: Option<Instant>,
     /// Data for the duties that goes along with the messages.
-    duty_talk: DutyTalk,
+    duty_messages: DutyMessages,
     /// Sealed messages about the statements of servers, received and not taken yet.
     received_statements: Vec<HeardMail>,
 }
@@ -109,7 +109,7 @@
             rounds: 0,
             handover_rounds: 0,
             collecting_since: None,
-            duty_talk: DutyTalk::default(),
+            duty_messages: DutyMessages::default(),
             received_statements: Vec::new(),
         }
     }
@@ -213,8 +213,8 @@
     }
 
     /// Returns the data for the duties that goes along with the messages.
-    pub fn duty_talk(&mut self) -> &mut DutyTalk {
-        &mut self.duty_talk
+    pub fn duty_messages(&mut self) -> &mut DutyMessages {
+        &mut self.duty_messages
     }
 
     /// Returns whether this node should hold the fleet's duties: it is the collector of the data centre whose
@@ -225,7 +225,7 @@
         let is_settled = self
             .collecting_since
             .is_some_and(|since| now.saturating_duration_since(since) > DATA_CENTRE_SILENCE);
-        is_settled && !self.duty_talk.has_earlier_data_centre(own, now)
+        is_settled && !self.duty_messages.has_earlier_data_centre(own, now)
     }
 
     /// Returns the data centres with known nodes, this node's own included.
@@ -243,7 +243,7 @@
         &mut self,
         work: impl Iterator<Item = (&'a ServerEntry, ServerWork)>,
         sync: &mut NewsDesk,
-        moment: TalkMoment,
+        moment: ExchangeMoment,
     ) -> Vec<ExchangePacket> {
         let now = moment.now;
         self.peers.set_now(now);
@@ -282,7 +282,7 @@
     /// Encodes the usage reports of this round.
     fn usage_packets(&mut self, recipients: &[NodeId]) -> Vec<ExchangePacket> {
         let mut packets = Vec::new();
-        for report in self.duty_talk.take_outgoing_usage() {
+        for report in self.duty_messages.take_outgoing_usage() {
             let message = self.message(ExchangeBody::Usage(report));
             let Ok(bytes) = postcard::to_stdvec(&message) else {
                 continue;
@@ -325,7 +325,7 @@
         bytes: &[u8],
         from: SocketAddr,
         sync: &mut NewsDesk,
-        moment: TalkMoment,
+        moment: ExchangeMoment,
     ) -> Result<NewsTaken> {
         let now = moment.now;
         self.peers.set_now(now);
@@ -357,16 +357,17 @@
         }
         if let Some(clock) = message.clock {
             let is_collector = self.collector.as_ref() == Some(&node);
-            let speaker = match &message.body {
-                ExchangeBody::Own(_) if collects => Some(ClockSpeaker::Member),
-                ExchangeBody::DataCentre(_) => Some(ClockSpeaker::Centre(
+            let scope = match &message.body {
+                ExchangeBody::Own(_) if collects => Some(ClockScope::Member),
+                ExchangeBody::DataCentre(_) => Some(ClockScope::DataCentre(
                     usize::try_from(message.node_count).unwrap_or(usize::MAX),
                 )),
-                ExchangeBody::Total(_) if is_collector => Some(ClockSpeaker::Collector),
+                ExchangeBody::Total(_) if is_collector => Some(ClockScope::Collector),
                 _ => None,
             };
-            if let Some(speaker) = speaker {
-                self.duty_talk.receive_clock(&node, speaker, clock, moment);
+            if let Some(scope) = scope {
+                self.duty_messages
+                    .receive_clock(&node, scope, clock, moment);
             }
         }
         let passes_on = collects && !matches!(message.body, ExchangeBody::Total(_));
@@ -375,11 +376,11 @@
         let count = usize::try_from(message.node_count).unwrap_or(usize::MAX);
         match message.body {
             ExchangeBody::Own(_) => {
-                self.duty_talk
+                self.duty_messages
                     .receive_member_demand(node, message.demand, now);
             }
             ExchangeBody::Usage(report) => {
-                self.duty_talk.receive_usage(node, report, moment);
+                self.duty_messages.receive_usage(node, report, moment);
             }
             ExchangeBody::Statements(sealed) => {
                 if self.received_statements.len() < MAX_STATEMENTS {
@@ -391,8 +392,12 @@
                 }
             }
             ExchangeBody::DataCentre(entries) => {
-                self.duty_talk
-                    .receive_from_data_centre(&data_centre, node, message.demand, now);
+                self.duty_messages.receive_from_data_centre(
+                    &data_centre,
+                    node,
+                    message.demand,
+                    now,
+                );
                 let reported = self
                     .data_centre_work
                     .entry(data_centre.clone())
@@ -427,7 +432,7 @@
     fn check_collector(&mut self, now: Instant) {
         let chosen = self.peers.collector().cloned();
         if chosen != self.collector {
-            self.duty_talk.record_collector_change();
+            self.duty_messages.record_collector_change();
             self.collector = chosen;
             self.collector_received_at = Some(now);
             return;
@@ -436,7 +441,7 @@
             .collector_received_at
             .is_some_and(|received| now.saturating_duration_since(received) > COLLECTOR_SILENCE);
         if let Some(collector) = self.collector.clone().filter(|_| is_silent) {
-            self.duty_talk.record_collector_change();
+            self.duty_messages.record_collector_change();
             self.peers.pass_over(&collector);
             self.collector = self.peers.collector().cloned();
             self.collector_received_at = Some(now);
@@ -447,7 +452,7 @@
     ///
     /// A store may refuse single nodes. If the collector is among them, each node of its data centre follows
     /// the store by itself: 28 nodes then made up to 112 calls per second.
-    fn check_store_access(&mut self, sync: &NewsDesk, moment: TalkMoment) {
+    fn check_store_access(&mut self, sync: &NewsDesk, moment: ExchangeMoment) {
         if !self.is_collector() {
             self.collecting_since = None;
             return;
@@ -548,10 +553,10 @@
             message.node_count = u32::try_from(count).unwrap_or(u32::MAX);
         }
         messages[0].notices.clone_from(&self.notices);
-        messages[0].clock = self.duty_talk.clock();
+        messages[0].clock = self.duty_messages.clock();
         messages[0].demand = match messages[0].body {
-            ExchangeBody::Own(_) => self.duty_talk.own_demand().to_vec(),
-            ExchangeBody::DataCentre(_) => self.duty_talk.data_centre_demand(now),
+            ExchangeBody::Own(_) => self.duty_messages.own_demand().to_vec(),
+            ExchangeBody::DataCentre(_) => self.duty_messages.data_centre_demand(now),
             ExchangeBody::Total(_) | ExchangeBody::Usage(_) | ExchangeBody::Statements(_) => {
                 Vec::new()
             }
--- a/crates/plumgate/src/gateway/exchange/mod.rs
+++ b/crates/plumgate/src/gateway/exchange/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod messages;
 
-mod duty_talk;
+mod duty_messages;
 mod load_exchange;
 mod nodes;
 mod part_locations;
@@ -10,8 +10,8 @@
 mod peers;
 mod reported_work;
 
-pub use duty_talk::{ClockSpeaker, DutyTalk, HeardClock, HeardUsage};
-pub use load_exchange::{ExchangePacket, HeardNotice, LoadExchange, TalkMoment};
+pub use duty_messages::{ClockScope, DutyMessages, ReceivedClock, ReceivedUsage};
+pub use load_exchange::{ExchangeMoment, ExchangePacket, HeardNotice, LoadExchange};
 pub use messages::{PartPlace, PoolDemand};
 pub use nodes::{NodeCapacity, NodeEntry};
 pub use peer_view::HeardMail;
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -28,8 +28,8 @@
 };
 pub use events::EventSplitter;
 pub use exchange::{
-    ClockSpeaker, DutyTalk, ExchangePacket, HeardClock, HeardMail, HeardUsage, LoadExchange,
-    NodeCapacity, NodeEntry, PartPlace, PoolDemand, TalkMoment,
+    ClockScope, DutyMessages, ExchangeMoment, ExchangePacket, HeardMail, LoadExchange,
+    NodeCapacity, NodeEntry, PartPlace, PoolDemand, ReceivedClock, ReceivedUsage,
 };
 pub use news::{
     ConfigCopy, NewsAnswer, NewsDesk, NewsQuestion, NewsTaken, ServerNews, ServersCopy,
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -108,7 +108,7 @@
         exchange.tell_places(self.new_locations.drain(..));
         let rates = self.demand.rates(now);
         let demand = rates.map(|(pool, rate)| PoolDemand::new(pool, rate));
-        exchange.duty_talk().tell_demand(demand.collect());
+        exchange.duty_messages().set_demand(demand.collect());
         let mut parts: HashMap<ServerKey, Vec<u64>> = HashMap::new();
         for location in exchange.take_places() {
             parts
--- a/crates/plumgate/tests/gateway_exchange.rs
+++ b/crates/plumgate/tests/gateway_exchange.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use plumgate::gateway::{LoadExchange, NewsDesk, NodeEntry, ServerEntry, ServerWork, TalkMoment};
+use plumgate::gateway::{
+    ExchangeMoment, LoadExchange, NewsDesk, NodeEntry, ServerEntry, ServerWork,
+};
 
 use entries::{born_entry, node_entries, server_entry};
 
@@ -29,8 +31,8 @@
     NewsDesk::new(Duration::from_secs(5), address.port().into())
 }
 
-fn moment(now: Instant) -> TalkMoment {
-    TalkMoment {
+fn moment(now: Instant) -> ExchangeMoment {
+    ExchangeMoment {
         now,
         boot: Duration::from_secs(1),
     }
--- a/crates/plumgate/tests/gateway_news.rs
+++ b/crates/plumgate/tests/gateway_news.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    LoadExchange, NewsAnswer, NewsDesk, NewsQuestion, ServerEntry, ServerNews, ServerState,
-    ServerTable, SourceTopic, TalkMoment,
+    ExchangeMoment, LoadExchange, NewsAnswer, NewsDesk, NewsQuestion, ServerEntry, ServerNews,
+    ServerState, ServerTable, SourceTopic,
 };
 
 use entries::{node_entries, server_entry};
@@ -345,7 +345,7 @@
     fn rounds(&mut self, count: usize) {
         for _ in 0..count {
             self.at += ROUND;
-            let moment = TalkMoment {
+            let moment = ExchangeMoment {
                 now: self.start + self.at,
                 boot: self.at,
             };
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    GatewayConfig, LimitChange, LimitSighting, LoadExchange, MailMoment, NewsDesk, NodeEntry,
-    RequestRate, SendClaim, ServerLimits, TalkMoment, WorkspaceKeys,
+    ExchangeMoment, GatewayConfig, LimitChange, LimitSighting, LoadExchange, MailMoment, NewsDesk,
+    NodeEntry, RequestRate, SendClaim, ServerLimits, WorkspaceKeys,
 };
 
 fn seconds(count: f64) -> Duration {
@@ -142,7 +142,7 @@
         boot: seconds(500.0),
         unix_ms: sent.unix_ms + late_ms,
     };
-    let moment = TalkMoment {
+    let moment = ExchangeMoment {
         now: Instant::now(),
         boot: came.boot,
     };
@@ -194,7 +194,7 @@
         limits.talk(&receiver, mail(*at));
     }
     let mut desk = NewsDesk::new(seconds(5.0), 1);
-    let moment = TalkMoment {
+    let moment = ExchangeMoment {
         now: Instant::now(),
         boot: seconds(heard),
     };
--- a/crates/plumgate/tests/limit_fleet/node.rs
+++ b/crates/plumgate/tests/limit_fleet/node.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    AnswerTimes, ExchangePacket, GatewayConfig, LeaveStatement, LimitSighting, LoadExchange,
-    MailMoment, NewsDesk, NodeEntry, RequestRate, RestStatement, SendClaim, SendMoment, SendPermit,
-    ServerEntry, ServerStatement, ServerStatements, TalkMoment,
+    AnswerTimes, ExchangeMoment, ExchangePacket, GatewayConfig, LeaveStatement, LimitSighting,
+    LoadExchange, MailMoment, NewsDesk, NodeEntry, RequestRate, RestStatement, SendClaim,
+    SendMoment, SendPermit, ServerEntry, ServerStatement, ServerStatements,
 };
 
 use super::{FleetEvent, Micros, UNIX_START_MS};
@@ -100,8 +100,8 @@
         }
     }
 
-    fn moment(&self, start: Instant, now: Micros) -> TalkMoment {
-        TalkMoment {
+    fn moment(&self, start: Instant, now: Micros) -> ExchangeMoment {
+        ExchangeMoment {
             now: start + Duration::from_micros(now) - self.stood_still,
             boot: self.boot(now),
         }
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -11,9 +11,9 @@
 use plumgate::duty::ServerKind;
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
-    AdmissionDecision, AdmissionPolicy, LoadExchange, LoadTable, NewsDesk, NodeEntry,
-    PlacementOptions, PlacementPolicy, PolicySwitches, PromptShape, QueuePrediction, ServerEntry,
-    ServerState, ServerStatements, StreamClass, TalkMoment,
+    AdmissionDecision, AdmissionPolicy, ExchangeMoment, LoadExchange, LoadTable, NewsDesk,
+    NodeEntry, PlacementOptions, PlacementPolicy, PolicySwitches, PromptShape, QueuePrediction,
+    ServerEntry, ServerState, ServerStatements, StreamClass,
 };
 use plumgate::gateway::{PlacementRequest, PromptPart, WorkEnd, WorkTicket};
 use plumgate::ids::ServerId;
@@ -459,7 +459,7 @@
             return;
         }
         let at = self.at(now);
-        let moment = TalkMoment {
+        let moment = ExchangeMoment {
             now: at,
             boot: Duration::from_secs_f64(now),
         };
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    CallerLimits, EndSign, GatewayConfig, IdentityHasher, LinkAge, LoadExchange, NewsDesk,
-    QuarantineTable, RequestHead, RequestHold, RequestIdentity, RunFinding, RunTicket, ServerEntry,
-    SuspectState, TalkMoment, WorkEnd, WorkspaceKeys,
+    CallerLimits, EndSign, ExchangeMoment, GatewayConfig, IdentityHasher, LinkAge, LoadExchange,
+    NewsDesk, QuarantineTable, RequestHead, RequestHold, RequestIdentity, RunFinding, RunTicket,
+    ServerEntry, SuspectState, WorkEnd, WorkspaceKeys,
 };
 use plumgate::ids::WorkspaceId;
 
@@ -162,7 +162,7 @@
                 continue;
             }
             node.table.sync_with(&mut node.exchange, now, unix_ms);
-            let moment = TalkMoment { now, boot };
+            let moment = ExchangeMoment { now, boot };
             let work = std::iter::empty();
             let packets = node.exchange.tick(work, &mut node.desk, moment);
             let sender = node.address;
@@ -174,7 +174,7 @@
                 if node.is_down || self.is_cut && is_apart {
                     continue;
                 }
-                let moment = TalkMoment { now, boot };
+                let moment = ExchangeMoment { now, boot };
                 let heard = node
                     .exchange
                     .receive(&bytes, sender, &mut node.desk, moment);
