--- a/crates/plumgate/examples/limit_costs.rs
+++ b/crates/plumgate/examples/limit_costs.rs
@@ -69,7 +69,7 @@
             .exchange
             .receive(bytes, from.address, &mut self.desk, moment);
         taken.expect("a message");
-        let mails = self.exchange.take_mail();
+        let mails = self.exchange.take_statements();
         let (packets, _) = self.limits.hear(&self.exchange, mails, mail(millis));
         packets
     }
--- a/crates/plumgate/src/gateway/exchange/load_exchange.rs
+++ b/crates/plumgate/src/gateway/exchange/load_exchange.rs
@@ -15,7 +15,7 @@
 use super::messages::{ExchangeBody, ExchangeMessage, PartPlace, ServerKey, WorkEntry, server_key};
 use super::nodes::NodeEntry;
 use super::part_locations::LocationQueue;
-use super::peer_view::{HeardMail, PeerView};
+use super::peer_view::{PeerView, ReceivedStatement};
 use super::peers::{COLLECTOR_SILENCE, PeerTable};
 use super::reported_work::ReportedWork;
 use crate::errors::{Error, Result};
@@ -90,7 +90,7 @@
     /// Data for the duties that goes along with the messages.
     duty_messages: DutyMessages,
     /// Sealed messages about the statements of servers, received and not taken yet.
-    received_statements: Vec<HeardMail>,
+    received_statements: Vec<ReceivedStatement>,
 }
 
 impl LoadExchange {
@@ -194,12 +194,12 @@
     }
 
     /// Takes the sealed messages about the statements of servers received since the last call.
-    pub fn take_mail(&mut self) -> Vec<HeardMail> {
+    pub fn take_statements(&mut self) -> Vec<ReceivedStatement> {
         std::mem::take(&mut self.received_statements)
     }
 
     /// Encodes a sealed message about the statements of servers; `None` if `sealed` is empty.
-    pub(crate) fn mail_packet(
+    pub(crate) fn statement_packet(
         &self,
         to: SocketAddr,
         sealed: Vec<Vec<u8>>,
@@ -384,7 +384,7 @@
             }
             ExchangeBody::Statements(sealed) => {
                 if self.received_statements.len() < MAX_STATEMENTS {
-                    self.received_statements.push(HeardMail {
+                    self.received_statements.push(ReceivedStatement {
                         node,
                         data_centre,
                         sealed,
--- a/crates/plumgate/src/gateway/exchange/mod.rs
+++ b/crates/plumgate/src/gateway/exchange/mod.rs
@@ -14,5 +14,5 @@
 pub use load_exchange::{ExchangeMoment, ExchangePacket, HeardNotice, LoadExchange};
 pub use messages::{PartPlace, PoolDemand};
 pub use nodes::{NodeCapacity, NodeEntry};
-pub use peer_view::HeardMail;
-pub(crate) use peer_view::{PeerPlace, PeerView};
+pub use peer_view::ReceivedStatement;
+pub(crate) use peer_view::{PeerAddress, PeerView};
--- a/crates/plumgate/src/gateway/exchange/peer_view.rs
+++ b/crates/plumgate/src/gateway/exchange/peer_view.rs
@@ -7,7 +7,7 @@
 use crate::ids::{DataCentreId, NodeId};
 
 /// Another node and its address.
-pub(crate) type PeerPlace = (NodeId, SocketAddr);
+pub(crate) type PeerAddress = (NodeId, SocketAddr);
 
 /// The other nodes, and which of them are collectors.
 #[derive(Clone, Debug)]
@@ -15,11 +15,11 @@
     /// This node.
     pub(crate) own: NodeEntry,
     /// Collector of this node's data centre; `None` if this node is the collector.
-    pub(crate) collector: Option<PeerPlace>,
+    pub(crate) collector: Option<PeerAddress>,
     /// Other nodes of this node's data centre; empty unless this node is the collector.
-    pub(crate) members: Vec<PeerPlace>,
+    pub(crate) members: Vec<PeerAddress>,
     /// The other data centres, each with the collector expected there; `None` if all of its nodes are silent.
-    pub(crate) foreign: BTreeMap<DataCentreId, Option<PeerPlace>>,
+    pub(crate) foreign: BTreeMap<DataCentreId, Option<PeerAddress>>,
     /// Number of known nodes of this node's data centre, this one included.
     pub(crate) centre_count: usize,
     /// Number of known nodes of the fleet, this one included.
@@ -35,7 +35,7 @@
 
 /// A sealed message about the statements of servers, as received from another node.
 #[derive(Clone, Debug)]
-pub struct HeardMail {
+pub struct ReceivedStatement {
     /// Node that sent it.
     pub(crate) node: NodeId,
     /// Data centre of the sender.
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -28,8 +28,8 @@
 };
 pub use events::EventSplitter;
 pub use exchange::{
-    ClockScope, DutyMessages, ExchangeMoment, ExchangePacket, HeardMail, LoadExchange,
-    NodeCapacity, NodeEntry, PartPlace, PoolDemand, ReceivedClock, ReceivedUsage,
+    ClockScope, DutyMessages, ExchangeMoment, ExchangePacket, LoadExchange, NodeCapacity,
+    NodeEntry, PartPlace, PoolDemand, ReceivedClock, ReceivedStatement, ReceivedUsage,
 };
 pub use news::{
     ConfigCopy, NewsAnswer, NewsDesk, NewsQuestion, NewsTaken, ServerNews, ServersCopy,
--- a/crates/plumgate/src/gateway/rate_limit/talk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/talk.rs
@@ -11,7 +11,7 @@
 use super::table::{LimitEvent, ServerLimits};
 use super::votes::VoterName;
 use crate::errors::{Error, Result};
-use crate::gateway::exchange::{ExchangePacket, HeardMail, LoadExchange, PeerPlace};
+use crate::gateway::exchange::{ExchangePacket, LoadExchange, PeerAddress, ReceivedStatement};
 use crate::gateway::statements::LeaveReport;
 use crate::ids::DataCentreId;
 
@@ -84,7 +84,7 @@
     pub fn hear(
         &mut self,
         exchange: &LoadExchange,
-        messages: Vec<HeardMail>,
+        messages: Vec<ReceivedStatement>,
         moment: MailMoment,
     ) -> (Vec<ExchangePacket>, MailOutcome) {
         let mut outcome = MailOutcome::default();
@@ -132,7 +132,7 @@
         };
         let mut outgoing: Vec<(SocketAddr, LimitUpdate)> = Vec::new();
         let followers = u32::try_from(self.votes.followers()).unwrap_or(u32::MAX);
-        let vote = |(node, address): &PeerPlace| {
+        let vote = |(node, address): &PeerAddress| {
             let update = LimitUpdate {
                 vote: self.round_ids.get(node).copied(),
                 followers,
@@ -203,10 +203,10 @@
         moment: MailMoment,
     ) -> Option<ExchangePacket> {
         let sealed = self.keys.seal(message, moment.unix_ms);
-        exchange.mail_packet(to, sealed)
+        exchange.statement_packet(to, sealed)
     }
 
-    fn open(&self, received: &HeardMail, moment: MailMoment) -> Result<StatementMessage> {
+    fn open(&self, received: &ReceivedStatement, moment: MailMoment) -> Result<StatementMessage> {
         let mut opened = Err(Error::MalformedMessage);
         for sealed in &received.sealed {
             opened = self.keys.open(sealed, moment.unix_ms);
@@ -220,7 +220,7 @@
     fn receive_update(
         &mut self,
         exchange: &LoadExchange,
-        received: &HeardMail,
+        received: &ReceivedStatement,
         update: &LimitUpdate,
         now: BootTime,
     ) {
--- a/crates/plumgate/src/gateway/statements/telling.rs
+++ b/crates/plumgate/src/gateway/statements/telling.rs
@@ -97,7 +97,7 @@
         exchange: &mut LoadExchange,
         moment: MailMoment,
     ) -> (Vec<ExchangePacket>, MailOutcome, Vec<LeaveEvent>) {
-        let messages = exchange.take_mail();
+        let messages = exchange.take_statements();
         let (packets, mut outcome) = self.limits.hear(exchange, messages, moment);
         if outcome.wants_leaves {
             self.notices.tell_again(moment.boot);
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -153,7 +153,7 @@
         let taken = receiver.receive(&bytes, from, &mut desk, moment);
         taken.expect("a message");
     }
-    let mail = receiver.take_mail();
+    let mail = receiver.take_statements();
     let (_, outcome) = limits.hear(&receiver, mail, came);
     let is_believed = limits.rate(&server).is_some();
     assert_eq!(outcome.refused == 0, is_believed);
@@ -202,7 +202,7 @@
         let taken = receiver.receive(&bytes, entries[0].address, &mut desk, moment);
         taken.expect("a message");
     }
-    let mails = receiver.take_mail();
+    let mails = receiver.take_statements();
     limits.hear(&receiver, mails, mail(heard));
     limits.rate(&server).is_none()
 }
