--- a/crates/plumgate/src/gateway/exchange/load_exchange.rs
+++ b/crates/plumgate/src/gateway/exchange/load_exchange.rs
@@ -12,7 +12,9 @@
 use std::time::{Duration, Instant};
 
 use super::duty_messages::{ClockScope, DATA_CENTRE_SILENCE, DutyMessages};
-use super::messages::{ExchangeBody, ExchangeMessage, PartPlace, ServerKey, WorkEntry, server_key};
+use super::messages::{
+    ExchangeBody, ExchangeMessage, PartLocation, ServerKey, WorkEntry, server_key,
+};
 use super::nodes::NodeEntry;
 use super::part_locations::LocationQueue;
 use super::peer_view::{PeerView, ReceivedStatement};
@@ -55,12 +57,12 @@
 
 /// A sealed notice of another node.
 #[derive(Clone, Debug)]
-pub struct HeardNotice {
+pub struct ReceivedNotice {
     /// The notice as received.
     pub sealed: Vec<u8>,
     /// When it was received. The notice is opened up to one round later and holds ages: if they were counted
     /// from then, the runs of two nodes would shift against each other.
-    pub came_at: Instant,
+    pub received_at: Instant,
 }
 
 /// Destination and bytes of a message.
@@ -78,7 +80,7 @@
     /// Sealed notices to send in this round.
     notices: Vec<Vec<u8>>,
     /// Sealed notices received and not taken yet.
-    received_notices: Vec<HeardNotice>,
+    received_notices: Vec<ReceivedNotice>,
     collector: Option<NodeId>,
     collector_received_at: Option<Instant>,
     /// Rounds in which this node was the collector.
@@ -148,38 +150,38 @@
     }
 
     /// Takes the part locations received from other nodes since the last call.
-    pub fn take_places(&mut self) -> Vec<PartPlace> {
+    pub fn take_part_locations(&mut self) -> Vec<PartLocation> {
         self.locations.take_received()
     }
 
     /// Queues the locations of parts that this node had prefilled by servers other than the preferred ones.
-    pub fn tell_places(&mut self, locations: impl IntoIterator<Item = PartPlace>) {
+    pub fn announce_part_locations(&mut self, locations: impl IntoIterator<Item = PartLocation>) {
         self.locations.announce(locations);
     }
 
     /// Sets the sealed notices to send in the next round.
-    pub fn tell_notices(&mut self, notices: Vec<Vec<u8>>) {
+    pub fn set_notices(&mut self, notices: Vec<Vec<u8>>) {
         self.notices = notices;
     }
 
     /// Returns the sealed notices to send in the next round.
-    pub fn telling(&self) -> &[Vec<u8>] {
+    pub fn outgoing_notices(&self) -> &[Vec<u8>] {
         &self.notices
     }
 
     /// Stores received sealed notices.
-    pub fn hear_notices(&mut self, notices: impl IntoIterator<Item = Vec<u8>>, now: Instant) {
+    pub fn receive_notices(&mut self, notices: impl IntoIterator<Item = Vec<u8>>, now: Instant) {
         let free = MAX_NOTICES.saturating_sub(self.received_notices.len());
         let received = notices.into_iter().take(free);
-        let received = received.map(|sealed| HeardNotice {
+        let received = received.map(|sealed| ReceivedNotice {
             sealed,
-            came_at: now,
+            received_at: now,
         });
         self.received_notices.extend(received);
     }
 
     /// Takes the sealed notices received since the last call.
-    pub fn take_notices(&mut self) -> Vec<HeardNotice> {
+    pub fn take_notices(&mut self) -> Vec<ReceivedNotice> {
         std::mem::take(&mut self.received_notices)
     }
 
@@ -372,7 +374,7 @@
         }
         let passes_on = collects && !matches!(message.body, ExchangeBody::Total(_));
         self.locations.receive(message.locations, passes_on);
-        self.hear_notices(message.notices, now);
+        self.receive_notices(message.notices, now);
         let count = usize::try_from(message.node_count).unwrap_or(usize::MAX);
         match message.body {
             ExchangeBody::Own(_) => {
--- a/crates/plumgate/src/gateway/exchange/messages.rs
+++ b/crates/plumgate/src/gateway/exchange/messages.rs
@@ -69,14 +69,14 @@
 /// Sent to all nodes, since each such server costs the fleet one more prefill of the part: a node that doesn't
 /// know of it would have yet another server prefill the part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct PartPlace {
+pub struct PartLocation {
     /// Id of the part.
     pub part: u64,
     /// Key of the server: a digest of its id and start time.
     pub server: u32,
 }
 
-impl PartPlace {
+impl PartLocation {
     /// Creates the location of a part at a server.
     pub fn new(part: u64, server: &ServerEntry) -> Self {
         Self {
@@ -98,7 +98,7 @@
     /// Number of nodes that the body covers.
     pub(crate) node_count: u32,
     pub(crate) body: ExchangeBody,
-    pub(crate) locations: Vec<PartPlace>,
+    pub(crate) locations: Vec<PartLocation>,
     /// Notices about poison requests, each sealed by itself.
     pub(crate) notices: Vec<Vec<u8>>,
     /// Demand of the requests that the body covers.
--- a/crates/plumgate/src/gateway/exchange/mod.rs
+++ b/crates/plumgate/src/gateway/exchange/mod.rs
@@ -11,8 +11,8 @@
 mod reported_work;
 
 pub use duty_messages::{ClockScope, DutyMessages, ReceivedClock, ReceivedUsage};
-pub use load_exchange::{ExchangeMoment, ExchangePacket, HeardNotice, LoadExchange};
-pub use messages::{PartPlace, PoolDemand};
+pub use load_exchange::{ExchangeMoment, ExchangePacket, LoadExchange, ReceivedNotice};
+pub use messages::{PartLocation, PoolDemand};
 pub use nodes::{NodeCapacity, NodeEntry};
 pub use peer_view::ReceivedStatement;
 pub(crate) use peer_view::{PeerAddress, PeerView};
--- a/crates/plumgate/src/gateway/exchange/part_locations.rs
+++ b/crates/plumgate/src/gateway/exchange/part_locations.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
 
-use super::messages::PartPlace;
+use super::messages::PartLocation;
 
 /// Rounds in which a location is sent: enough that one of the messages arrives.
 const LOCATION_ROUNDS: u32 = 3;
@@ -14,23 +14,23 @@
 #[derive(Debug, Default)]
 pub(crate) struct LocationQueue {
     /// Locations to send, and the number of rounds left for each.
-    locations: HashMap<PartPlace, u32>,
+    locations: HashMap<PartLocation, u32>,
     /// Locations sent in this round.
-    outgoing: Vec<PartPlace>,
+    outgoing: Vec<PartLocation>,
     /// Received locations that placement has not taken yet.
-    received: Vec<PartPlace>,
+    received: Vec<PartLocation>,
 }
 
 impl LocationQueue {
     /// Queues locations at which this node had parts prefilled.
-    pub(crate) fn announce(&mut self, locations: impl IntoIterator<Item = PartPlace>) {
+    pub(crate) fn announce(&mut self, locations: impl IntoIterator<Item = PartLocation>) {
         for location in locations {
             self.locations.insert(location, LOCATION_ROUNDS);
         }
     }
 
     /// Stores received locations that are new, and queues them if `passes_on` is set.
-    pub(crate) fn receive(&mut self, locations: Vec<PartPlace>, passes_on: bool) {
+    pub(crate) fn receive(&mut self, locations: Vec<PartLocation>, passes_on: bool) {
         for location in locations {
             if let Entry::Vacant(entry) = self.locations.entry(location) {
                 // Only collectors pass on what they received: otherwise it would circulate for ever.
@@ -43,13 +43,13 @@
     }
 
     /// Takes the locations received from other nodes since the last call.
-    pub(crate) fn take_received(&mut self) -> Vec<PartPlace> {
+    pub(crate) fn take_received(&mut self) -> Vec<PartLocation> {
         std::mem::take(&mut self.received)
     }
 
     /// Selects the locations to send in this round, those sent least often first.
     pub(crate) fn begin_round(&mut self) {
-        let mut pending: Vec<(u32, PartPlace)> = self
+        let mut pending: Vec<(u32, PartLocation)> = self
             .locations
             .iter()
             .filter(|(_, rounds)| **rounds > 0)
@@ -68,7 +68,7 @@
     }
 
     /// Returns the locations to send in this round.
-    pub(crate) fn outgoing(&self) -> &[PartPlace] {
+    pub(crate) fn outgoing(&self) -> &[PartLocation] {
         &self.outgoing
     }
 }
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -29,7 +29,7 @@
 pub use events::EventSplitter;
 pub use exchange::{
     ClockScope, DutyMessages, ExchangeMoment, ExchangePacket, LoadExchange, NodeCapacity,
-    NodeEntry, PartPlace, PoolDemand, ReceivedClock, ReceivedStatement, ReceivedUsage,
+    NodeEntry, PartLocation, PoolDemand, ReceivedClock, ReceivedStatement, ReceivedUsage,
 };
 pub use news::{
     ConfigCopy, NewsAnswer, NewsDesk, NewsQuestion, NewsTaken, ServerNews, ServersCopy,
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -15,7 +15,7 @@
 use crate::duty::{PoolLoad, ServerKind};
 use crate::gateway::config::StreamClass;
 use crate::gateway::exchange::LoadExchange;
-use crate::gateway::exchange::messages::{PartPlace, PoolDemand, ServerKey, server_key};
+use crate::gateway::exchange::messages::{PartLocation, PoolDemand, ServerKey, server_key};
 use crate::gateway::prompt::{PromptShape, SMALL_PART};
 use crate::gateway::rate_limit::ServerLimits;
 use crate::gateway::servers::{ServerChange, ServerEntry};
@@ -45,7 +45,7 @@
     /// Share of each pool's servers that is reserved for interactive streams.
     shares: GroupShares,
     /// Parts that this node was the first to send to a server, not yet announced to other nodes.
-    new_locations: Vec<PartPlace>,
+    new_locations: Vec<PartLocation>,
     /// Demand from the requests of this node.
     demand: DemandMeter,
 }
@@ -105,12 +105,12 @@
     /// Applies what the other nodes reported, and passes on what this node has to report.
     pub fn sync_with(&mut self, exchange: &mut LoadExchange, now: Instant) {
         self.adapt_shares(now);
-        exchange.tell_places(self.new_locations.drain(..));
+        exchange.announce_part_locations(self.new_locations.drain(..));
         let rates = self.demand.rates(now);
         let demand = rates.map(|(pool, rate)| PoolDemand::new(pool, rate));
         exchange.duty_messages().set_demand(demand.collect());
         let mut parts: HashMap<ServerKey, Vec<u64>> = HashMap::new();
-        for location in exchange.take_places() {
+        for location in exchange.take_part_locations() {
             parts
                 .entry(location.server)
                 .or_default()
@@ -373,7 +373,7 @@
                 let is_new = load.record_part(part.id, now);
                 if is_new {
                     self.new_locations
-                        .push(PartPlace::new(part.id, &load.entry));
+                        .push(PartLocation::new(part.id, &load.entry));
                 }
             }
         }
--- a/crates/plumgate/src/gateway/quarantine/telling.rs
+++ b/crates/plumgate/src/gateway/quarantine/telling.rs
@@ -8,7 +8,7 @@
 use super::rule::{HOLD_TIME, SuspectState};
 use super::table::QuarantineTable;
 use crate::errors::Result;
-use crate::gateway::exchange::{HeardNotice, LoadExchange};
+use crate::gateway::exchange::{LoadExchange, ReceivedNotice};
 
 /// Interval at which everything that is not `SuspectState::Free` is sent again, for nodes that started or
 /// were cut off in the meantime.
@@ -27,7 +27,7 @@
         let refused = refused.count() as u64;
         self.node_count = exchange.node_count();
         self.set_turn_positions(|seed| exchange.turn(seed));
-        exchange.tell_notices(self.notices_to_send(now, unix_ms));
+        exchange.set_notices(self.notices_to_send(now, unix_ms));
         refused
     }
 
@@ -79,8 +79,13 @@
     }
 
     /// Merges a received notice; `is_relaying` if this node sends it on to others.
-    fn on_notice(&mut self, notice: &HeardNotice, is_relaying: bool, unix_ms: u64) -> Result<()> {
-        let now = notice.came_at;
+    fn on_notice(
+        &mut self,
+        notice: &ReceivedNotice,
+        is_relaying: bool,
+        unix_ms: u64,
+    ) -> Result<()> {
+        let now = notice.received_at;
         let source = if is_relaying {
             EvidenceSource::Relayed
         } else {
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -340,13 +340,13 @@
     pub(crate) fn told(&mut self, now: Instant, unix_ms: u64) -> Vec<Vec<u8>> {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
         self.table.sync_with(&mut exchange, now, unix_ms);
-        exchange.telling().to_vec()
+        exchange.outgoing_notices().to_vec()
     }
 
     /// Puts a sealed notice into the node as if it had come at some time of day; tells how many were refused.
     pub(crate) fn hear_at(&mut self, notice: &[u8], now: Instant, unix_ms: u64) -> u64 {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
-        exchange.hear_notices([notice.to_vec()], now);
+        exchange.receive_notices([notice.to_vec()], now);
         self.table.sync_with(&mut exchange, now, unix_ms)
     }
 }
