--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -112,7 +112,7 @@
             book.hear(&heard.node, heard.report, heard.received_at);
         }
         self.tell_usage(exchange, is_collector);
-        self.wanted.set(exchange.leads(now));
+        self.wanted.set(exchange.should_hold_duties(now));
         if self.wanted.get() {
             *self.centres.borrow_mut() = exchange.data_centres();
             self.note_demand(exchange);
--- a/crates/plumgate/src/gateway/exchange/load_exchange.rs
+++ b/crates/plumgate/src/gateway/exchange/load_exchange.rs
@@ -35,7 +35,7 @@
 const STANDBY_ROUNDS: u32 = 4;
 /// Rounds in which a collector that handed over says so: enough that one of the messages arrives. Nodes that
 /// miss them all treat it as a silent collector, and follow the store by themselves meanwhile.
-const FAREWELL_ROUNDS: u32 = 3;
+const HANDOVER_ROUNDS: u32 = 3;
 /// Maximum number of servers in one message, so that it fits into one network packet.
 const MAX_ENTRIES: usize = 100;
 
@@ -222,7 +222,7 @@
     /// Returns whether this node should hold the fleet's duties: it is the collector of the data centre whose
     /// name sorts first among the reachable ones. The same node reads the store for the collectors, so that no
     /// other node has to see everything.
-    pub fn leads(&self, now: Instant) -> bool {
+    pub fn should_hold_duties(&self, now: Instant) -> bool {
         let own = &self.peers.own().data_centre;
         let is_settled = self
             .collecting_since
@@ -236,8 +236,8 @@
     }
 
     /// Returns how many nodes precede this one in an order that depends on `seed` and is the same at all nodes.
-    pub fn turn(&self, seed: u64) -> usize {
-        self.peers.turn(seed)
+    pub fn order_position(&self, seed: u64) -> usize {
+        self.peers.order_position(seed)
     }
 
     /// Runs one round and returns the messages to send, given the work that this node has in flight.
@@ -290,8 +290,8 @@
                 continue;
             };
             for node in recipients {
-                if let Some(member) = self.peers.member_mut(node) {
-                    packets.push((member.entry.address, bytes.clone()));
+                if let Some(peer) = self.peers.peer_mut(node) {
+                    packets.push((peer.entry.address, bytes.clone()));
                 }
             }
         }
@@ -348,14 +348,14 @@
         let collects = self.is_collector();
         let is_watcher = self.is_own_watcher(&node);
         self.peers.record_received(&node, message.is_behind);
-        let Some(member) = self.peers.member_mut(&node) else {
+        let Some(peer) = self.peers.peer_mut(&node) else {
             return Ok(NewsTaken::default());
         };
         if let Some(request) = message.sync_request {
-            member.sync_request = Some((request, moment.boot));
+            peer.sync_request = Some((request, moment.boot));
         }
         if let ExchangeBody::Own(entries) = &message.body {
-            member.reported.record(entries, now);
+            peer.reported.record(entries, now);
         }
         if let Some(clock) = message.clock {
             let is_collector = self.collector.as_ref() == Some(&node);
@@ -464,7 +464,7 @@
         if collects_for > FIRST_READ_TIME && sync.is_behind(moment.boot) && !self.peers.is_behind()
         {
             self.peers.hand_over();
-            self.handover_rounds = FAREWELL_ROUNDS;
+            self.handover_rounds = HANDOVER_ROUNDS;
         }
     }
 
@@ -476,8 +476,8 @@
         now: Instant,
     ) -> Vec<ExchangePacket> {
         let mut sum: HashMap<ServerKey, ServerWork> = self.own_reported.clone();
-        for member in self.peers.own_data_centre_peers() {
-            member.reported.add_to(&mut sum, now);
+        for peer in self.peers.own_data_centre_peers() {
+            peer.reported.add_to(&mut sum, now);
         }
         let mut total = sum.clone();
         for (data_centre, reported) in &self.data_centre_work {
@@ -486,9 +486,9 @@
             }
         }
         self.total.replace(&total, now);
-        self.peers.watch_foreign(now);
+        self.peers.check_foreign_collectors(now);
         let members = self.peers.own_data_centre_peers();
-        let nodes: Vec<NodeId> = members.map(|member| member.entry.node.clone()).collect();
+        let nodes: Vec<NodeId> = members.map(|peer| peer.entry.node.clone()).collect();
         // A collector that the store refuses can still learn from what its nodes read by themselves.
         let without_servers = sync_request.without_servers();
         let mut packets = self.packets(
@@ -549,7 +549,7 @@
         for message in &mut messages {
             let count = match message.body {
                 ExchangeBody::Own(_) | ExchangeBody::Usage(_) | ExchangeBody::Statements(_) => 1,
-                ExchangeBody::DataCentre(_) => self.peers.centre_count(),
+                ExchangeBody::DataCentre(_) => self.peers.data_centre_size(),
                 ExchangeBody::Total(_) => self.peers.count(),
             };
             message.node_count = u32::try_from(count).unwrap_or(u32::MAX);
@@ -565,15 +565,15 @@
         };
         let mut packets = Vec::with_capacity(recipients.len() * messages.len());
         for node in recipients {
-            let Some(member) = self.peers.member_mut(node) else {
+            let Some(peer) = self.peers.peer_mut(node) else {
                 continue;
             };
-            let received = member.sync_request.take();
+            let received = peer.sync_request.take();
             messages[0].sync_request = sync_request;
             messages[0].sync_response =
                 received.map(|(request, received_at)| sync.answer(&request, received_at));
             let encoded = messages.iter().filter_map(|m| postcard::to_stdvec(m).ok());
-            packets.extend(encoded.map(|bytes| (member.entry.address, bytes)));
+            packets.extend(encoded.map(|bytes| (peer.entry.address, bytes)));
         }
         packets
     }
--- a/crates/plumgate/src/gateway/exchange/peer_view.rs
+++ b/crates/plumgate/src/gateway/exchange/peer_view.rs
@@ -21,9 +21,9 @@
     /// The other data centres, each with the collector expected there; `None` if all of its nodes are silent.
     pub(crate) foreign: BTreeMap<DataCentreId, Option<PeerAddress>>,
     /// Number of known nodes of this node's data centre, this one included.
-    pub(crate) centre_count: usize,
+    pub(crate) data_centre_size: usize,
     /// Number of known nodes of the fleet, this one included.
-    pub(crate) fleet_count: usize,
+    pub(crate) fleet_size: usize,
     /// Number of nodes of this node's data centre, this one included, that have not been silent for so long
     /// that they count as gone.
     pub(crate) alive_count: usize,
--- a/crates/plumgate/src/gateway/exchange/peers.rs
+++ b/crates/plumgate/src/gateway/exchange/peers.rs
@@ -24,7 +24,7 @@
 /// Maximum number of nodes of a data centre that have handed over at the same time. If several in a row have
 /// lost the store, it answers nobody, and going on through all nodes would only change the collector again and
 /// again.
-const HANDOVERS_MOST: usize = 2;
+const MAX_HANDOVERS: usize = 2;
 /// Possible collectors of another data centre that get a sum: a second one in case the first has just failed.
 const FOREIGN_COLLECTORS: usize = 2;
 
@@ -33,10 +33,10 @@
 
 /// State of another node.
 #[derive(Clone, Debug)]
-pub(crate) struct MemberState {
+pub(crate) struct PeerState {
     pub(crate) entry: NodeEntry,
     pub(crate) reported: ReportedWork,
-    silent: bool,
+    is_silent: bool,
     /// When a message of it was last received, or when it became known.
     received_at: Option<Instant>,
     /// Until when it is passed over as a collector, since it reported that it can't read the store for others.
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub(crate) struct PeerTable {
     own: NodeEntry,
-    members: BTreeMap<NodeId, MemberState>,
+    peers: BTreeMap<NodeId, PeerState>,
     /// Until when this node is the collector only if no other node can be.
     behind_until: Option<Instant>,
     /// Time of the last event.
@@ -76,7 +76,7 @@
     pub(crate) fn new(own: NodeEntry) -> Self {
         Self {
             own,
-            members: BTreeMap::new(),
+            peers: BTreeMap::new(),
             behind_until: None,
             now: None,
             ranked: BTreeMap::new(),
@@ -94,7 +94,7 @@
     /// Replaces the known nodes by those of the register.
     pub(crate) fn set_nodes(&mut self, entries: Vec<NodeEntry>) {
         let known: BTreeSet<&NodeId> = entries.iter().map(|entry| &entry.node).collect();
-        self.members.retain(|node, _| known.contains(node));
+        self.peers.retain(|node, _| known.contains(node));
         self.is_complete = true;
         self.rank_all();
         for entry in entries {
@@ -107,10 +107,10 @@
         if entry.node == self.own.node {
             return;
         }
-        match self.members.get_mut(&entry.node) {
-            Some(member) if member.entry == entry => {}
-            Some(member) => {
-                member.entry = entry;
+        match self.peers.get_mut(&entry.node) {
+            Some(peer) if peer.entry == entry => {}
+            Some(peer) => {
+                peer.entry = entry;
                 self.rank_all();
             }
             None => {
@@ -118,24 +118,24 @@
                 let nodes = self.ranked.entry(entry.data_centre.clone()).or_default();
                 let position = nodes.partition_point(|(better, _)| *better > rank);
                 nodes.insert(position, (rank, node.clone()));
-                let state = MemberState {
+                let state = PeerState {
                     entry,
                     reported: ReportedWork::default(),
-                    silent: false,
+                    is_silent: false,
                     received_at: self.now,
                     behind_until: None,
                     unanswered_since: None,
                     sync_request: None,
                 };
-                self.members.insert(node, state);
+                self.peers.insert(node, state);
             }
         }
     }
 
     fn rank_all(&mut self) {
         self.ranked.clear();
-        for member in self.members.values() {
-            let entry = &member.entry;
+        for peer in self.peers.values() {
+            let entry = &peer.entry;
             let nodes = self.ranked.entry(entry.data_centre.clone()).or_default();
             nodes.push((collector_rank(entry), entry.node.clone()));
         }
@@ -156,12 +156,12 @@
             .filter(|_| is_behind)
             .map(|now| now + HANDOVER_TIME);
         let received_at = self.now;
-        if let Some(member) = self.members.get_mut(node) {
-            member.silent = false;
-            member.received_at = received_at;
-            member.unanswered_since = None;
-            if until.is_some() && !is_before(self.now, member.behind_until) {
-                member.behind_until = until;
+        if let Some(peer) = self.peers.get_mut(node) {
+            peer.is_silent = false;
+            peer.received_at = received_at;
+            peer.unanswered_since = None;
+            if until.is_some() && !is_before(self.now, peer.behind_until) {
+                peer.behind_until = until;
             }
         }
     }
@@ -176,65 +176,65 @@
     pub(crate) fn hand_over(&mut self) {
         let behind = self
             .own_data_centre_peers()
-            .filter(|member| !self.is_up_to_date(member));
-        if behind.count() < HANDOVERS_MOST {
+            .filter(|peer| !self.is_up_to_date(peer));
+        if behind.count() < MAX_HANDOVERS {
             self.behind_until = self.now.map(|now| now + HANDOVER_TIME);
         }
     }
 
-    fn is_up_to_date(&self, member: &MemberState) -> bool {
-        !is_before(self.now, member.behind_until)
+    fn is_up_to_date(&self, peer: &PeerState) -> bool {
+        !is_before(self.now, peer.behind_until)
     }
 
     /// Passes over a node as a collector until a message of it is received.
     pub(crate) fn pass_over(&mut self, node: &NodeId) {
-        if let Some(member) = self.members.get_mut(node) {
-            member.silent = true;
+        if let Some(peer) = self.peers.get_mut(node) {
+            peer.is_silent = true;
         }
     }
 
     /// Returns the state of another node.
-    pub(crate) fn member_mut(&mut self, node: &NodeId) -> Option<&mut MemberState> {
-        self.members.get_mut(node)
+    pub(crate) fn peer_mut(&mut self, node: &NodeId) -> Option<&mut PeerState> {
+        self.peers.get_mut(node)
     }
 
     /// Returns the other nodes of this node's data centre.
-    pub(crate) fn own_data_centre_peers(&self) -> impl Iterator<Item = &MemberState> {
+    pub(crate) fn own_data_centre_peers(&self) -> impl Iterator<Item = &PeerState> {
         self.data_centre_peers(&self.own.data_centre)
     }
 
-    fn data_centre_peers(&self, centre: &DataCentreId) -> impl Iterator<Item = &MemberState> {
-        let ranked = self.ranked.get(centre).into_iter().flatten();
-        ranked.filter_map(|(_, node)| self.members.get(node))
+    fn data_centre_peers(&self, data_centre: &DataCentreId) -> impl Iterator<Item = &PeerState> {
+        let ranked = self.ranked.get(data_centre).into_iter().flatten();
+        ranked.filter_map(|(_, node)| self.peers.get(node))
     }
 
     /// Returns the other nodes of a data centre that may be its collector, the preferred one first and those
     /// that handed over last.
-    fn eligible(&self, centre: &DataCentreId) -> impl Iterator<Item = &NodeId> {
+    fn eligible(&self, data_centre: &DataCentreId) -> impl Iterator<Item = &NodeId> {
         let reachable = || {
-            self.data_centre_peers(centre)
-                .filter(|member| !member.silent)
+            self.data_centre_peers(data_centre)
+                .filter(|peer| !peer.is_silent)
         };
-        let up_to_date = reachable().filter(|member| self.is_up_to_date(member));
-        let behind = reachable().filter(|member| !self.is_up_to_date(member));
-        up_to_date.chain(behind).map(|member| &member.entry.node)
+        let up_to_date = reachable().filter(|peer| self.is_up_to_date(peer));
+        let behind = reachable().filter(|peer| !self.is_up_to_date(peer));
+        up_to_date.chain(behind).map(|peer| &peer.entry.node)
     }
 
     /// Returns the collector of this node's data centre; `None` if this node is the collector.
     pub(crate) fn collector(&self) -> Option<&NodeId> {
         let best = self.eligible(&self.own.data_centre).next()?;
-        let member = self.members.get(best)?;
+        let peer = self.peers.get(best)?;
         let preference = |is_up_to_date, entry| (is_up_to_date, collector_rank(entry));
-        let other = preference(self.is_up_to_date(member), &member.entry);
+        let other = preference(self.is_up_to_date(peer), &peer.entry);
         (other > preference(!self.is_behind(), &self.own)).then_some(best)
     }
 
     /// Returns how many nodes precede this one in an order that depends on `seed`: the same at all nodes that
     /// know the same others.
-    pub(crate) fn turn(&self, seed: u64) -> usize {
+    pub(crate) fn order_position(&self, seed: u64) -> usize {
         let rank = |node: &NodeId| xxh3_64_with_seed(node.as_bytes(), seed);
         let own = rank(&self.own.node);
-        self.members.keys().filter(|node| rank(node) > own).count()
+        self.peers.keys().filter(|node| rank(node) > own).count()
     }
 
     /// Returns whether a node reads the store for the collectors of all data centres: it is the collector of
@@ -242,49 +242,52 @@
     /// together, and the order prevents that two collectors each rely on the other to read.
     pub(crate) fn is_watcher(&self, node: &NodeId) -> bool {
         let first = self.ranked.iter().find(|(_, nodes)| !nodes.is_empty());
-        let first = first.filter(|(centre, _)| **centre < self.own.data_centre);
-        first.is_some_and(|(centre, _)| self.eligible(centre).next() == Some(node))
+        let first = first.filter(|(data_centre, _)| **data_centre < self.own.data_centre);
+        first.is_some_and(|(data_centre, _)| self.eligible(data_centre).next() == Some(node))
     }
 
     /// Returns the data centres with known nodes, this node's own included.
     pub(crate) fn data_centres(&self) -> Vec<DataCentreId> {
-        let mut centres = self.foreign_data_centres();
-        centres.push(self.own.data_centre.clone());
-        centres
+        let mut data_centres = self.foreign_data_centres();
+        data_centres.push(self.own.data_centre.clone());
+        data_centres
     }
 
     fn foreign_data_centres(&self) -> Vec<DataCentreId> {
-        let centres = self.ranked.iter().filter(|(_, nodes)| !nodes.is_empty());
-        let foreign = centres.filter(|(centre, _)| **centre != self.own.data_centre);
-        foreign.map(|(centre, _)| centre.clone()).collect()
+        let data_centres = self.ranked.iter().filter(|(_, nodes)| !nodes.is_empty());
+        let foreign = data_centres.filter(|(data_centre, _)| **data_centre != self.own.data_centre);
+        foreign
+            .map(|(data_centre, _)| data_centre.clone())
+            .collect()
     }
 
     /// Passes over collectors of other data centres that don't respond, until a message of them is received.
     /// One that has failed for good stays in the register, and would otherwise be addressed for ever.
-    pub(crate) fn watch_foreign(&mut self, now: Instant) {
-        for centre in self.foreign_data_centres() {
-            let Some(first) = self.eligible(&centre).next().cloned() else {
+    pub(crate) fn check_foreign_collectors(&mut self, now: Instant) {
+        for data_centre in self.foreign_data_centres() {
+            let Some(first) = self.eligible(&data_centre).next().cloned() else {
                 // All were passed over, as in a network partition: start again with the first.
-                let nodes = self.members.values_mut();
-                let nodes = nodes.filter(|member| member.entry.data_centre == centre);
-                nodes.for_each(|member| member.silent = false);
+                let nodes = self.peers.values_mut();
+                let nodes = nodes.filter(|peer| peer.entry.data_centre == data_centre);
+                nodes.for_each(|peer| peer.is_silent = false);
                 continue;
             };
-            let Some(member) = self.members.get_mut(&first) else {
+            let Some(peer) = self.peers.get_mut(&first) else {
                 continue;
             };
-            let since = *member.unanswered_since.get_or_insert(now);
+            let since = *peer.unanswered_since.get_or_insert(now);
             if now.saturating_duration_since(since) > COLLECTOR_SILENCE {
-                member.silent = true;
-                member.unanswered_since = None;
+                peer.is_silent = true;
+                peer.unanswered_since = None;
             }
         }
     }
 
     /// Returns the collectors of the other data centres, which get the sums of this one.
     pub(crate) fn foreign_collectors(&self) -> BTreeSet<NodeId> {
-        let centres = self.foreign_data_centres().into_iter();
-        let first = centres.filter_map(|centre| self.eligible(&centre).next().cloned());
+        let data_centres = self.foreign_data_centres().into_iter();
+        let first =
+            data_centres.filter_map(|data_centre| self.eligible(&data_centre).next().cloned());
         first.collect()
     }
 
@@ -293,11 +296,11 @@
     /// sides pass over each other's collectors, and would afterwards have to find them one by one.
     pub(crate) fn next_foreign_collectors(&self) -> BTreeSet<NodeId> {
         let mut collectors = BTreeSet::new();
-        for centre in self.foreign_data_centres() {
-            let eligible = self.eligible(&centre).take(FOREIGN_COLLECTORS);
+        for data_centre in self.foreign_data_centres() {
+            let eligible = self.eligible(&data_centre).take(FOREIGN_COLLECTORS);
             collectors.extend(eligible.cloned());
-            let usual = self.data_centre_peers(&centre).next();
-            collectors.extend(usual.map(|member| member.entry.node.clone()));
+            let usual = self.data_centre_peers(&data_centre).next();
+            collectors.extend(usual.map(|peer| peer.entry.node.clone()));
         }
         collectors
     }
@@ -305,21 +308,21 @@
     /// Returns the other nodes as they are known now.
     pub(crate) fn view(&self, collecting_since: Option<Instant>) -> PeerView {
         let with_address = |node: &NodeId| {
-            let member = self.members.get(node)?;
-            Some((node.clone(), member.entry.address))
+            let peer = self.peers.get(node)?;
+            Some((node.clone(), peer.entry.address))
         };
-        let foreign = self.foreign_data_centres().into_iter().map(|centre| {
-            let collector = self.eligible(&centre).next().and_then(with_address);
-            (centre, collector)
+        let foreign = self.foreign_data_centres().into_iter().map(|data_centre| {
+            let collector = self.eligible(&data_centre).next().and_then(with_address);
+            (data_centre, collector)
         });
         let collector = self.collector().and_then(with_address);
         let members = self.own_data_centre_peers().filter(|_| collector.is_none());
-        let members = members.map(|member| {
-            let entry = &member.entry;
+        let members = members.map(|peer| {
+            let entry = &peer.entry;
             (entry.node.clone(), entry.address)
         });
         let alive = self.own_data_centre_peers();
-        let alive = alive.filter(|member| !self.is_gone(member, collecting_since));
+        let alive = alive.filter(|peer| !self.is_gone(peer, collecting_since));
         let mut others = self.own_data_centre_peers();
         let own_rank = collector_rank(&self.own);
         PeerView {
@@ -327,19 +330,19 @@
             members: members.collect(),
             collector,
             foreign: foreign.collect(),
-            centre_count: self.centre_count(),
-            fleet_count: self.count(),
+            data_centre_size: self.data_centre_size(),
+            fleet_size: self.count(),
             alive_count: alive.count() + 1,
-            is_preferred: others.all(|member| collector_rank(&member.entry) < own_rank),
+            is_preferred: others.all(|peer| collector_rank(&peer.entry) < own_rank),
             is_complete: self.is_complete,
         }
     }
 
     /// Returns whether a node has been silent for so long that it counts as gone. Nodes send to their
     /// collector, so silence means something only since this node became the collector.
-    fn is_gone(&self, member: &MemberState, collecting_since: Option<Instant>) -> bool {
+    fn is_gone(&self, peer: &PeerState, collecting_since: Option<Instant>) -> bool {
         let (Some(now), Some(received), Some(since)) =
-            (self.now, member.received_at, collecting_since)
+            (self.now, peer.received_at, collecting_since)
         else {
             return false;
         };
@@ -347,8 +350,8 @@
     }
 
     /// Stores the number of nodes of a data centre, as counted by its collector.
-    pub(crate) fn record_count(&mut self, centre: DataCentreId, count: usize) {
-        self.node_counts.insert(centre, count);
+    pub(crate) fn record_count(&mut self, data_centre: DataCentreId, count: usize) {
+        self.node_counts.insert(data_centre, count);
     }
 
     /// Stores the number of nodes of the fleet, as counted by this node's collector.
@@ -357,7 +360,7 @@
     }
 
     /// Returns the number of known nodes of this node's data centre, this one included.
-    pub(crate) fn centre_count(&self) -> usize {
+    pub(crate) fn data_centre_size(&self) -> usize {
         self.peer_count(&self.own.data_centre) + 1
     }
 
@@ -365,24 +368,28 @@
     /// read the register are known to their collectors, which report their number.
     pub(crate) fn count(&self) -> usize {
         if self.collector().is_some() {
-            return self.reported_fleet_count.max(self.members.len() + 1);
+            return self.reported_fleet_count.max(self.peers.len() + 1);
         }
-        let centres: BTreeSet<&DataCentreId> =
+        let data_centres: BTreeSet<&DataCentreId> =
             self.ranked.keys().chain(self.node_counts.keys()).collect();
-        let foreign = centres
+        let foreign = data_centres
             .into_iter()
-            .filter(|centre| **centre != self.own.data_centre);
+            .filter(|data_centre| **data_centre != self.own.data_centre);
         let foreign: usize = foreign
-            .map(|centre| {
-                let reported = self.node_counts.get(centre).copied().unwrap_or_default();
-                reported.max(self.peer_count(centre))
+            .map(|data_centre| {
+                let reported = self
+                    .node_counts
+                    .get(data_centre)
+                    .copied()
+                    .unwrap_or_default();
+                reported.max(self.peer_count(data_centre))
             })
             .sum();
-        foreign + self.centre_count()
+        foreign + self.data_centre_size()
     }
 
-    fn peer_count(&self, centre: &DataCentreId) -> usize {
-        self.ranked.get(centre).map_or(0, Vec::len)
+    fn peer_count(&self, data_centre: &DataCentreId) -> usize {
+        self.ranked.get(data_centre).map_or(0, Vec::len)
     }
 }
 
--- a/crates/plumgate/src/gateway/quarantine/telling.rs
+++ b/crates/plumgate/src/gateway/quarantine/telling.rs
@@ -26,7 +26,7 @@
             .filter(Result::is_err);
         let refused = refused.count() as u64;
         self.node_count = exchange.node_count();
-        self.set_turn_positions(|seed| exchange.turn(seed));
+        self.set_turn_positions(|seed| exchange.order_position(seed));
         exchange.set_notices(self.notices_to_send(now, unix_ms));
         refused
     }
--- a/crates/plumgate/src/gateway/rate_limit/votes.rs
+++ b/crates/plumgate/src/gateway/rate_limit/votes.rs
@@ -113,13 +113,13 @@
             return false;
         }
         let own = self.followers();
-        if own * 2 > view.centre_count {
+        if own * 2 > view.data_centre_size {
             return true;
         }
         if view.foreign.is_empty() {
-            return view.is_preferred && own * 2 == view.centre_count;
+            return view.is_preferred && own * 2 == view.data_centre_size;
         }
         let fleet = own + self.weight(|voter| matches!(voter, VoterName::DataCentre(_)));
-        fleet * 2 > view.fleet_count && own * 2 >= view.alive_count
+        fleet * 2 > view.fleet_size && own * 2 >= view.alive_count
     }
 }
