--- a/crates/plumgate-node/src/gateway/copies.rs
+++ b/crates/plumgate-node/src/gateway/copies.rs
@@ -18,7 +18,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
-use plumgate::gateway::{SourceTopic, StateCopy};
+use plumgate::gateway::{SourceTopic, StateSnapshot};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
@@ -92,7 +92,7 @@
 ) -> Response<AnswerBody> {
     let bytes = match path {
         CONFIG_PATH => view.config_copy(),
-        SERVERS_PATH => view.servers_copy(),
+        SERVERS_PATH => view.servers_snapshot(),
         _ => None,
     };
     match bytes {
@@ -106,7 +106,7 @@
     clock: &C,
     address: SocketAddr,
     topic: SourceTopic,
-) -> Result<StateCopy<T>, CopyError> {
+) -> Result<StateSnapshot<T>, CopyError> {
     let path = match topic {
         SourceTopic::Config => CONFIG_PATH,
         SourceTopic::Servers => SERVERS_PATH,
@@ -124,5 +124,5 @@
     if status != StatusCode::OK {
         return Err(CopyError::Refused(status.as_u16()));
     }
-    StateCopy::decode(&bytes).map_err(CopyError::Malformed)
+    StateSnapshot::decode(&bytes).map_err(CopyError::Malformed)
 }
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -8,7 +8,7 @@
 
 use event_listener::Event;
 use plumgate::gateway::{
-    GatewayConfig, NewsDesk, NewsTaken, PolicyPart, ServerNews, ServerTable, SourceTopic,
+    GatewayConfig, PolicyPart, ServerTable, ServerUpdate, SourceTopic, SyncOutcome, SyncState,
 };
 use plumgate::{FindingList, StoreEra, StoreVersion};
 
@@ -28,7 +28,7 @@
 pub(crate) struct FleetView<C, W> {
     pub(super) shared: Arc<GatewayShared<C, W>>,
     pub(super) servers: RefCell<ServerTable>,
-    news: RefCell<NewsDesk>,
+    news: RefCell<SyncState>,
     /// Tells the readers of the store that somebody else could not tell them something.
     pub(super) news_missing: Event,
     is_collector: Cell<bool>,
@@ -45,7 +45,7 @@
     /// A node that knows nothing yet.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Self {
         let key_age = shared.bounds.load().key_age;
-        let news = NewsDesk::new(key_age, shared.options.seed);
+        let news = SyncState::new(key_age, shared.options.seed);
         Self {
             shared,
             servers: RefCell::new(ServerTable::new()),
@@ -60,7 +60,7 @@
     }
 
     /// What is passed on to other nodes, and what they passed on.
-    pub(crate) fn news(&self) -> RefMut<'_, NewsDesk> {
+    pub(crate) fn news(&self) -> RefMut<'_, SyncState> {
         self.news.borrow_mut()
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Takes over what another node told.
-    pub(crate) fn take_news(&self, taken: NewsTaken, from: SocketAddr) {
+    pub(crate) fn take_news(&self, taken: SyncOutcome, from: SocketAddr) {
         if let Some(known_at) = taken.config_known_at {
             self.shared.lease().renew(known_at);
         }
@@ -154,12 +154,12 @@
         }
         for news in taken.changes {
             match news {
-                ServerNews::Entry(entry) => self.put_servers(vec![entry], "told"),
-                ServerNews::Gone { id, doubted } => {
+                ServerUpdate::Entry(entry) => self.put_servers(vec![entry], "told"),
+                ServerUpdate::Gone { id, doubted } => {
                     let doubt = self.doubt(now).or(doubted.then_some(DOUBT));
                     self.remove_server(&id, doubt, "told");
                 }
-                ServerNews::Unusable(id) => self.remove_server(&id, None, "told"),
+                ServerUpdate::Unusable(id) => self.remove_server(&id, None, "told"),
             }
         }
         if taken.must_ask {
--- a/crates/plumgate-node/src/gateway/view_copies.rs
+++ b/crates/plumgate-node/src/gateway/view_copies.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use plumgate::StoreVersion;
-use plumgate::gateway::{ConfigCopy, ServersCopy, SourceTopic, StateCopy};
+use plumgate::gateway::{ConfigSnapshot, ServersSnapshot, SourceTopic, StateSnapshot};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -37,7 +37,7 @@
 
     async fn take_config(&self, from: SocketAddr) -> Result<bool, CopyError> {
         let asked_at = self.shared.clock.boot_time();
-        let copy: ConfigCopy = ask_node(&self.shared.clock, from, SourceTopic::Config).await?;
+        let copy: ConfigSnapshot = ask_node(&self.shared.clock, from, SourceTopic::Config).await?;
         let known_at = copy.known_at(asked_at).ok_or(CopyError::Overtaken)?;
         let config = copy.into_state();
         let held = self.shared.config.load();
@@ -55,8 +55,9 @@
 
     async fn take_servers(&self, from: SocketAddr) -> Result<(), CopyError> {
         let asked_at = self.shared.clock.boot_time();
-        let copy: ServersCopy = ask_node(&self.shared.clock, from, SourceTopic::Servers).await?;
-        if !self.news().take_servers_copy(&copy, asked_at) {
+        let copy: ServersSnapshot =
+            ask_node(&self.shared.clock, from, SourceTopic::Servers).await?;
+        if !self.news().apply_servers_snapshot(&copy, asked_at) {
             return Err(CopyError::Overtaken);
         }
         self.note_era(copy.state().era());
@@ -76,19 +77,19 @@
         // The age is read first: what comes into force in between is newer than it says, never older.
         let age = self.shared.lease().age(self.shared.clock.boot_time())?;
         let config = self.shared.config.load_full()?;
-        self.encode(&ConfigCopy::new(config, age))
+        self.encode(&ConfigSnapshot::new(config, age))
     }
 
     /// The servers, as other nodes take them.
-    pub(crate) fn servers_copy(&self) -> Option<Vec<u8>> {
+    pub(crate) fn servers_snapshot(&self) -> Option<Vec<u8>> {
         let now = self.shared.clock.boot_time();
         // Rows don't say what servers said to nodes.
         self.shared.statements().notices.tell_again(now);
-        let copy = self.news().servers_copy(&self.servers.borrow(), now)?;
+        let copy = self.news().servers_snapshot(&self.servers.borrow(), now)?;
         self.encode(&copy)
     }
 
-    fn encode<T: Serialize + DeserializeOwned>(&self, copy: &StateCopy<T>) -> Option<Vec<u8>> {
+    fn encode<T: Serialize + DeserializeOwned>(&self, copy: &StateSnapshot<T>) -> Option<Vec<u8>> {
         let encoded = copy.encode();
         if let Err(error) = &encoded {
             LogLine::new("copy_not_encoded")
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::servers::ServerChange;
-use plumgate::gateway::{EndSign, LoadTable, ServerEntry, ServerNews, ServerState};
+use plumgate::gateway::{EndSign, LoadTable, ServerEntry, ServerState, ServerUpdate};
 use plumgate::ids::ServerId;
 
 use super::ports::{SourceChange, SourceEvent, SourceTopic};
@@ -16,7 +16,7 @@
     pub(super) fn apply_servers(&self, change: SourceChange, is_whole: bool) {
         let doubt = self.doubt(self.shared.clock.now());
         let events = change.events.into_iter();
-        let news: Vec<ServerNews> = events
+        let news: Vec<ServerUpdate> = events
             .filter_map(|event| self.server_news(event, doubt.is_some()))
             .collect();
         if is_whole {
@@ -26,16 +26,16 @@
         }
         for news in &news {
             match news {
-                ServerNews::Entry(entry) => self.put_servers(vec![entry.clone()], "watched"),
-                ServerNews::Gone { id, .. } => self.remove_server(id, doubt, "watched"),
-                ServerNews::Unusable(id) => self.remove_server(id, None, "watched"),
+                ServerUpdate::Entry(entry) => self.put_servers(vec![entry.clone()], "watched"),
+                ServerUpdate::Gone { id, .. } => self.remove_server(id, doubt, "watched"),
+                ServerUpdate::Unusable(id) => self.remove_server(id, None, "watched"),
             }
         }
         self.news().extend_log(change.version, news);
     }
 
     /// What an event of the source says of a server.
-    fn server_news(&self, event: SourceEvent, doubted: bool) -> Option<ServerNews> {
+    fn server_news(&self, event: SourceEvent, doubted: bool) -> Option<ServerUpdate> {
         match event {
             SourceEvent::Server(entry) if self.servers.borrow().is_foreign(&entry) => {
                 LogLine::new("finding")
@@ -43,27 +43,27 @@
                     .with("server", &entry.id)
                     .with("finding", "the entry lacks the time of birth that it had")
                     .warn(&self.shared.log);
-                Some(ServerNews::Unusable(entry.id))
+                Some(ServerUpdate::Unusable(entry.id))
             }
-            SourceEvent::Server(entry) => Some(ServerNews::Entry(entry)),
-            SourceEvent::ServerGone(id) => Some(ServerNews::Gone { id, doubted }),
+            SourceEvent::Server(entry) => Some(ServerUpdate::Entry(entry)),
+            SourceEvent::ServerGone(id) => Some(ServerUpdate::Gone { id, doubted }),
             SourceEvent::BadServer(id, findings) => {
                 self.log_findings(SourceTopic::Servers, &findings);
-                Some(ServerNews::Unusable(id))
+                Some(ServerUpdate::Unusable(id))
             }
             SourceEvent::Config(_) | SourceEvent::BadConfig(_) => None,
         }
     }
 
     /// All servers were read at one moment.
-    fn replace_servers(&self, news: Vec<ServerNews>, doubt: Option<Duration>) {
+    fn replace_servers(&self, news: Vec<ServerUpdate>, doubt: Option<Duration>) {
         let mut entries = Vec::with_capacity(news.len());
         let mut unusable = Vec::new();
         for news in news {
             match news {
-                ServerNews::Entry(entry) => entries.push(entry),
-                ServerNews::Unusable(id) => unusable.push(id),
-                ServerNews::Gone { .. } => {}
+                ServerUpdate::Entry(entry) => entries.push(entry),
+                ServerUpdate::Unusable(id) => unusable.push(id),
+                ServerUpdate::Gone { .. } => {}
             }
         }
         let now = self.shared.clock.now();
--- a/crates/plumgate/examples/limit_costs.rs
+++ b/crates/plumgate/examples/limit_costs.rs
@@ -8,7 +8,7 @@
 
 use plumgate::gateway::{
     ExchangeMoment, ExchangePacket, GatewayConfig, LimitSighting, LoadExchange, MailMoment,
-    NewsDesk, NodeEntry, RequestRate, SendClaim, ServerLimits,
+    NodeEntry, RequestRate, SendClaim, ServerLimits, SyncState,
 };
 
 use entries::{node_entries, server_entry};
@@ -23,7 +23,7 @@
 struct CostNode {
     exchange: LoadExchange,
     limits: ServerLimits,
-    desk: NewsDesk,
+    desk: SyncState,
     start: Instant,
 }
 
@@ -36,7 +36,7 @@
         Self {
             exchange,
             limits,
-            desk: NewsDesk::new(Duration::from_secs(5), 1),
+            desk: SyncState::new(Duration::from_secs(5), 1),
             start: Instant::now(),
         }
     }
--- a/crates/plumgate/src/gateway/exchange/load_exchange.rs
+++ b/crates/plumgate/src/gateway/exchange/load_exchange.rs
@@ -21,9 +21,9 @@
 use super::peers::{COLLECTOR_SILENCE, PeerTable};
 use super::reported_work::ReportedWork;
 use crate::errors::{Error, Result};
-use crate::gateway::news::messages::NewsQuestion;
-use crate::gateway::news::{NewsDesk, NewsTaken};
 use crate::gateway::servers::ServerEntry;
+use crate::gateway::sync::messages::SyncRequest;
+use crate::gateway::sync::{SyncOutcome, SyncState};
 use crate::gateway::work::ServerWork;
 use crate::ids::{DataCentreId, NodeId};
 
@@ -244,7 +244,7 @@
     pub fn tick<'a>(
         &mut self,
         work: impl Iterator<Item = (&'a ServerEntry, ServerWork)>,
-        sync: &mut NewsDesk,
+        sync: &mut SyncState,
         moment: ExchangeMoment,
     ) -> Vec<ExchangePacket> {
         let now = moment.now;
@@ -326,16 +326,16 @@
         &mut self,
         bytes: &[u8],
         from: SocketAddr,
-        sync: &mut NewsDesk,
+        sync: &mut SyncState,
         moment: ExchangeMoment,
-    ) -> Result<NewsTaken> {
+    ) -> Result<SyncOutcome> {
         let now = moment.now;
         self.peers.set_now(now);
         let message: ExchangeMessage =
             postcard::from_bytes(bytes).map_err(|_| Error::MalformedMessage)?;
         let node: NodeId = message.node.as_str().into();
         if node == self.peers.own().node {
-            return Ok(NewsTaken::default());
+            return Ok(SyncOutcome::default());
         }
         let data_centre: DataCentreId = message.data_centre.as_str().into();
         // A node that registered after this one last read the register becomes known by its messages.
@@ -349,7 +349,7 @@
         let is_watcher = self.is_own_watcher(&node);
         self.peers.record_received(&node, message.is_behind);
         let Some(peer) = self.peers.peer_mut(&node) else {
-            return Ok(NewsTaken::default());
+            return Ok(SyncOutcome::default());
         };
         if let Some(request) = message.sync_request {
             peer.sync_request = Some((request, moment.boot));
@@ -454,7 +454,7 @@
     ///
     /// A store may refuse single nodes. If the collector is among them, each node of its data centre follows
     /// the store by itself: 28 nodes then made up to 112 calls per second.
-    fn check_store_access(&mut self, sync: &NewsDesk, moment: ExchangeMoment) {
+    fn check_store_access(&mut self, sync: &SyncState, moment: ExchangeMoment) {
         if !self.is_collector() {
             self.collecting_since = None;
             return;
@@ -471,8 +471,8 @@
     /// Adds up the work of the data centre and sends it to its nodes and the other data centres.
     fn collect(
         &mut self,
-        sync: &mut NewsDesk,
-        sync_request: NewsQuestion,
+        sync: &mut SyncState,
+        sync_request: SyncRequest,
         now: Instant,
     ) -> Vec<ExchangePacket> {
         let mut sum: HashMap<ServerKey, ServerWork> = self.own_reported.clone();
@@ -525,8 +525,8 @@
         work: &HashMap<ServerKey, ServerWork>,
         body: fn(Vec<WorkEntry>) -> ExchangeBody,
         recipients: &[NodeId],
-        sync: &mut NewsDesk,
-        sync_request: Option<NewsQuestion>,
+        sync: &mut SyncState,
+        sync_request: Option<SyncRequest>,
         now: Instant,
     ) -> Vec<ExchangePacket> {
         let entries: Vec<WorkEntry> = work
--- a/crates/plumgate/src/gateway/exchange/messages.rs
+++ b/crates/plumgate/src/gateway/exchange/messages.rs
@@ -5,8 +5,8 @@
 
 use super::nodes::NodeCapacity;
 use crate::duty::{ClockNews, UsageNews};
-use crate::gateway::news::messages::{NewsAnswer, NewsQuestion};
 use crate::gateway::servers::ServerEntry;
+use crate::gateway::sync::messages::{SyncRequest, SyncResponse};
 use crate::gateway::work::{ServerWork, URGENCIES};
 
 /// Tokens per unit of [`WorkEntry::pending_prefill`].
@@ -106,9 +106,9 @@
     /// The sender's report of the time of day.
     pub(crate) clock: Option<ClockNews>,
     /// The sender's sync request for the state of the store.
-    pub(crate) sync_request: Option<NewsQuestion>,
+    pub(crate) sync_request: Option<SyncRequest>,
     /// Response to the last sync request of the receiver.
-    pub(crate) sync_response: Option<NewsAnswer>,
+    pub(crate) sync_response: Option<SyncResponse>,
 }
 
 /// Returns the key of a server's incarnation.
--- a/crates/plumgate/src/gateway/exchange/peers.rs
+++ b/crates/plumgate/src/gateway/exchange/peers.rs
@@ -12,7 +12,7 @@
 use super::nodes::{NodeCapacity, NodeEntry};
 use super::peer_view::PeerView;
 use super::reported_work::ReportedWork;
-use crate::gateway::news::messages::NewsQuestion;
+use crate::gateway::sync::messages::SyncRequest;
 use crate::ids::{DataCentreId, NodeId};
 use crate::membership::rendezvous_weight;
 
@@ -45,7 +45,7 @@
     /// response.
     unanswered_since: Option<Instant>,
     /// Its last sync request that has not been answered yet, and when that was received.
-    pub(crate) sync_request: Option<(NewsQuestion, Duration)>,
+    pub(crate) sync_request: Option<(SyncRequest, Duration)>,
 }
 
 /// Preference of a node as a collector; higher is preferred.
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -8,7 +8,6 @@
 pub mod config;
 pub mod events;
 pub mod exchange;
-pub mod news;
 pub(crate) mod notice_keys;
 pub mod placement;
 pub mod prompt;
@@ -17,6 +16,7 @@
 pub mod servers;
 pub mod statements;
 pub mod switches;
+pub mod sync;
 pub mod work;
 
 pub use admission::{
@@ -31,10 +31,6 @@
     ClockScope, DutyMessages, ExchangeMoment, ExchangePacket, LoadExchange, NodeCapacity,
     NodeEntry, PartLocation, PoolDemand, ReceivedClock, ReceivedStatement, ReceivedUsage,
 };
-pub use news::{
-    ConfigCopy, NewsAnswer, NewsDesk, NewsQuestion, NewsTaken, ServerNews, ServersCopy,
-    ServersState, SourceTopic, StateCopy,
-};
 pub use placement::{LoadTable, PlacementOptions, PlacementPolicy, PlacementRequest, ServerPick};
 pub use prompt::{PromptPart, PromptShape};
 pub use quarantine::{
@@ -52,4 +48,8 @@
     SendMoment, SendRefusal, ServerStanding, ServerStatement, ServerStatements,
 };
 pub use switches::{PolicyPart, PolicySwitches};
+pub use sync::{
+    ConfigSnapshot, ServerUpdate, ServersSnapshot, ServersState, SourceTopic, StateSnapshot,
+    SyncOutcome, SyncRequest, SyncResponse, SyncState,
+};
 pub use work::{ServerWork, WorkEnd, WorkTicket};
--- a/crates/plumgate/src/gateway/news/log.rs
+++ b/crates/plumgate/src/gateway/sync/change_log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::messages::{ServerNews, ServersPlace};
+use super::messages::{LogPosition, ServerUpdate};
 use crate::store_version::StoreVersion;
 
 /// Server changes that the log retains: a third of a fleet of 6,500 servers changing at once. A node that is
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LogDelta {
     /// The changes, and the position that they lead to.
-    Changes(ServersPlace, Vec<ServerNews>),
+    Changes(LogPosition, Vec<ServerUpdate>),
     /// The position is in another log, which may have missed changes.
-    ReadAnew,
+    ResyncRequired,
     /// The log does not reach back to the position. The requester's own watch of the store does, and costs
     /// less than reading all servers.
     OutOfRange,
@@ -26,15 +26,15 @@
 
 /// Log of server changes by versions of the store.
 #[derive(Debug, Default)]
-pub(crate) struct NewsLog {
+pub(crate) struct ChangeLog {
     /// Random id of the log since the last full read; 0 before the first one.
     epoch: u32,
-    batches: VecDeque<(StoreVersion, Vec<ServerNews>)>,
+    batches: VecDeque<(StoreVersion, Vec<ServerUpdate>)>,
     /// Version after which the log is complete.
     complete_from: StoreVersion,
 }
 
-impl NewsLog {
+impl ChangeLog {
     /// Clears the log after all servers were read as of `version`, and starts a new epoch.
     pub(crate) fn restart(&mut self, version: StoreVersion, epoch: u32) {
         self.epoch = epoch;
@@ -43,7 +43,7 @@
     }
 
     /// Appends the changes up to `version` and drops the oldest batches beyond the log's size.
-    pub(crate) fn push(&mut self, version: StoreVersion, changes: Vec<ServerNews>) {
+    pub(crate) fn push(&mut self, version: StoreVersion, changes: Vec<ServerUpdate>) {
         if changes.is_empty() {
             return;
         }
@@ -59,23 +59,23 @@
     }
 
     /// Returns the position of a node that holds all changes up to `version`; `None` before the first read.
-    pub(crate) fn place(&self, version: StoreVersion) -> Option<ServersPlace> {
-        (self.epoch != 0).then_some(ServersPlace {
+    pub(crate) fn place(&self, version: StoreVersion) -> Option<LogPosition> {
+        (self.epoch != 0).then_some(LogPosition {
             version,
             epoch: Some(self.epoch),
         })
     }
 
     /// Returns the changes after a position. `newest` is the version up to which this node knows all changes.
-    pub(crate) fn after(&self, place: ServersPlace, newest: StoreVersion) -> LogDelta {
+    pub(crate) fn after(&self, place: LogPosition, newest: StoreVersion) -> LogDelta {
         if place.epoch.is_some_and(|epoch| epoch != self.epoch) {
-            return LogDelta::ReadAnew;
+            return LogDelta::ResyncRequired;
         }
         if self.epoch == 0 || place.version < self.complete_from {
             return LogDelta::OutOfRange;
         }
         let mut version = place.version.max(newest);
-        let mut changes: Vec<ServerNews> = Vec::new();
+        let mut changes: Vec<ServerUpdate> = Vec::new();
         let mut included = place.version;
         for (batch_version, batch) in &self.batches {
             if *batch_version <= place.version {
@@ -88,7 +88,7 @@
             changes.extend(batch.iter().cloned());
             included = *batch_version;
         }
-        let reached = ServersPlace {
+        let reached = LogPosition {
             version,
             epoch: Some(self.epoch),
         };
--- a/crates/plumgate/src/gateway/news/messages.rs
+++ b/crates/plumgate/src/gateway/sync/messages.rs
@@ -8,7 +8,7 @@
 
 /// Position in the store's history of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ServersPlace {
+pub(crate) struct LogPosition {
     /// Version of the store up to which all changes are known.
     pub(crate) version: StoreVersion,
     /// Epoch of the log that the changes came from; `None` after reading the store itself.
@@ -17,7 +17,7 @@
 
 /// Change of a server as it is passed on between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ServerNews {
+pub enum ServerUpdate {
     /// An entry was written.
     Entry(ServerEntry),
     /// An entry was removed.
@@ -33,16 +33,16 @@
 
 /// Request for the state of the store, sent to the nodes that may have a newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsQuestion {
+pub struct SyncRequest {
     /// Random id of the request: only a node that received the request can answer it.
     pub(crate) nonce: u32,
     /// Position of the requester in the history of servers; `None` before it has read them.
-    pub(crate) servers: Option<ServersPlace>,
+    pub(crate) servers: Option<LogPosition>,
 }
 
 /// Configuration that is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ConfigNews {
+pub(crate) struct ConfigFreshness {
     pub(crate) version: ConfigVersion,
     /// Milliseconds since this version was last known to be the newest.
     pub(crate) age_ms: u32,
@@ -50,30 +50,30 @@
 
 /// Part of a response that is about the servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum ServersNews {
+pub(crate) enum ServersDelta {
     /// The changes since the requester's position.
     Changes {
         /// Milliseconds since these changes were last known to be complete.
         age_ms: u32,
         /// Position of the requester once it has applied the changes.
-        place: ServersPlace,
-        changes: Vec<ServerNews>,
+        place: LogPosition,
+        changes: Vec<ServerUpdate>,
     },
     /// The requester may have missed a change and must read all servers.
-    ReadAnew,
+    ResyncRequired,
     /// The log holds no changes since the requester's position; its own watch of the store returns them.
-    Untold,
+    OutOfRange,
 }
 
 /// Response to a request for the state of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsAnswer {
+pub struct SyncResponse {
     pub(crate) nonce: u32,
-    pub(crate) config: Option<ConfigNews>,
-    pub(crate) servers: Option<ServersNews>,
+    pub(crate) config: Option<ConfigFreshness>,
+    pub(crate) servers: Option<ServersDelta>,
 }
 
-impl NewsQuestion {
+impl SyncRequest {
     /// Limits the request to the configuration.
     pub(crate) fn without_servers(mut self) -> Self {
         self.servers = None;
--- a/crates/plumgate/src/gateway/news/copies.rs
+++ b/crates/plumgate/src/gateway/sync/snapshots.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::messages::ServersPlace;
+use super::messages::LogPosition;
 use crate::errors::{Error, Result};
 use crate::gateway::config::GatewayConfig;
 use crate::gateway::servers::ServerEntry;
@@ -19,7 +19,7 @@
 
 /// Snapshot of a state with its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StateCopy<T> {
+pub struct StateSnapshot<T> {
     /// Milliseconds since the sender last knew this state to be the newest, rounded up.
     age_ms: u32,
     /// The state itself.
@@ -27,16 +27,16 @@
 }
 
 /// Snapshot of the configuration from another node.
-pub type ConfigCopy = StateCopy<Arc<GatewayConfig>>;
+pub type ConfigSnapshot = StateSnapshot<Arc<GatewayConfig>>;
 
 /// Snapshot of all backend servers from another node.
-pub type ServersCopy = StateCopy<ServersState>;
+pub type ServersSnapshot = StateSnapshot<ServersState>;
 
 /// All backend servers, with the position of this state in the store's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServersState {
     /// Position from which the receiver follows the sender's log.
-    pub(crate) place: ServersPlace,
+    pub(crate) place: LogPosition,
     /// Entries of the servers that are in use.
     pub(crate) entries: Vec<ServerEntry>,
     /// Ids of those servers whose entries expired in an outage of the store, and which may be gone.
@@ -55,7 +55,7 @@
     }
 }
 
-impl<T> StateCopy<T> {
+impl<T> StateSnapshot<T> {
     /// Creates a snapshot of a state that was last known to be the newest `age` ago.
     pub fn new(state: T, age: Duration) -> Self {
         let age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
@@ -85,7 +85,7 @@
     }
 }
 
-impl<T: Serialize + DeserializeOwned> StateCopy<T> {
+impl<T: Serialize + DeserializeOwned> StateSnapshot<T> {
     /// Encodes the snapshot for sending.
     pub fn encode(&self) -> Result<Vec<u8>> {
         postcard::to_stdvec(self).map_err(|_| Error::MalformedMessage)
--- a/crates/plumgate/src/gateway/news/desk.rs
+++ b/crates/plumgate/src/gateway/sync/state.rs
@@ -13,11 +13,11 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::copies::{ServersCopy, ServersState};
-use super::log::{LogDelta, NewsLog};
+use super::change_log::{ChangeLog, LogDelta};
 use super::messages::{
-    ConfigNews, NewsAnswer, NewsQuestion, ServerNews, ServersNews, ServersPlace,
+    ConfigFreshness, LogPosition, ServerUpdate, ServersDelta, SyncRequest, SyncResponse,
 };
+use super::snapshots::{ServersSnapshot, ServersState};
 use crate::gateway::servers::ServerTable;
 use crate::ids::ConfigVersion;
 use crate::store_version::StoreVersion;
@@ -42,11 +42,11 @@
 
 /// Effects of a response on the requester.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct NewsTaken {
+pub struct SyncOutcome {
     /// Moment at which the configuration in force on this node was last known to be the newest.
     pub config_known_at: Option<Duration>,
     /// Changes of servers, in the order in which they apply.
-    pub changes: Vec<ServerNews>,
+    pub changes: Vec<ServerUpdate>,
     /// Whether the store has to be called for state that the response lacks.
     pub must_ask: bool,
     /// Topics whose state the other node holds and this one lacks. A snapshot from that node saves a call
@@ -90,7 +90,7 @@
 /// Request to which a response may still come.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
-    question: NewsQuestion,
+    question: SyncRequest,
     asked_at: Duration,
 }
 
@@ -99,7 +99,7 @@
 /// Decides when the node has to call the store itself. Moments are times since the VM started, time of
 /// suspension included.
 #[derive(Debug)]
-pub struct NewsDesk {
+pub struct SyncState {
     longest_age: Duration,
     rng: fastrand::Rng,
     pending: VecDeque<PendingRequest>,
@@ -114,10 +114,10 @@
     /// Epoch of the log that this node follows.
     followed_epoch: Option<u32>,
     /// Log from which this node serves others.
-    log: NewsLog,
+    log: ChangeLog,
 }
 
-impl NewsDesk {
+impl SyncState {
     /// Creates an empty state. `longest_age` is the time for which keys are trusted at most.
     pub fn new(longest_age: Duration, seed: u64) -> Self {
         Self {
@@ -131,7 +131,7 @@
             servers_version: None,
             is_watching: false,
             followed_epoch: None,
-            log: NewsLog::default(),
+            log: ChangeLog::default(),
         }
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Appends changes of servers that the store returned, up to a version.
-    pub fn extend_log(&mut self, version: impl Into<StoreVersion>, changes: Vec<ServerNews>) {
+    pub fn extend_log(&mut self, version: impl Into<StoreVersion>, changes: Vec<ServerUpdate>) {
         let version = version.into();
         self.servers_version = Some(version);
         self.followed_epoch = None;
@@ -242,12 +242,12 @@
     }
 
     /// Creates the request of this round.
-    pub fn ask(&mut self, now: Duration) -> NewsQuestion {
-        let place = self.servers_version.map(|version| ServersPlace {
+    pub fn ask(&mut self, now: Duration) -> SyncRequest {
+        let place = self.servers_version.map(|version| LogPosition {
             version,
             epoch: self.followed_epoch,
         });
-        let question = NewsQuestion {
+        let question = SyncRequest {
             nonce: self.rng.u32(..),
             servers: place,
         };
@@ -262,13 +262,13 @@
     }
 
     /// Responds to a request that came at `came_at`.
-    pub fn answer(&mut self, question: &NewsQuestion, came_at: Duration) -> NewsAnswer {
+    pub fn answer(&mut self, question: &SyncRequest, came_at: Duration) -> SyncResponse {
         self.last_request_at = Some(came_at);
         let age = |state: &TopicState| {
             let known_at = state.known_at?;
             u32::try_from(came_at.saturating_sub(known_at).as_millis()).ok()
         };
-        let config = age(&self.config).map(|age_ms| ConfigNews {
+        let config = age(&self.config).map(|age_ms| ConfigFreshness {
             version: self.config_version,
             // Rounds up a fraction of a millisecond.
             age_ms: age_ms.saturating_add(1),
@@ -277,34 +277,38 @@
             let age_ms = age(&self.servers)?.saturating_add(1);
             self.servers_delta(place, age_ms)
         });
-        NewsAnswer {
+        SyncResponse {
             nonce: question.nonce,
             config,
             servers,
         }
     }
 
-    fn servers_delta(&self, place: ServersPlace, age_ms: u32) -> Option<ServersNews> {
+    fn servers_delta(&self, place: LogPosition, age_ms: u32) -> Option<ServersDelta> {
         match self.log.after(place, self.servers_version?) {
-            LogDelta::Changes(place, changes) => Some(ServersNews::Changes {
+            LogDelta::Changes(place, changes) => Some(ServersDelta::Changes {
                 age_ms,
                 place,
                 changes,
             }),
-            LogDelta::ReadAnew => Some(ServersNews::ReadAnew),
-            LogDelta::OutOfRange => Some(ServersNews::Untold),
+            LogDelta::ResyncRequired => Some(ServersDelta::ResyncRequired),
+            LogDelta::OutOfRange => Some(ServersDelta::OutOfRange),
         }
     }
 
     /// Returns a snapshot of all servers; `None` if this node does not know them yet.
-    pub fn servers_copy(&self, servers: &ServerTable, now: Duration) -> Option<ServersCopy> {
+    pub fn servers_snapshot(
+        &self,
+        servers: &ServerTable,
+        now: Duration,
+    ) -> Option<ServersSnapshot> {
         let known_at = self.servers.known_at?;
         let state = ServersState {
             place: self.log.place(self.servers_version?)?,
             entries: servers.entries().cloned().collect(),
             doubted: servers.doubted().cloned().collect(),
         };
-        Some(ServersCopy::new(state, now.saturating_sub(known_at)))
+        Some(ServersSnapshot::new(state, now.saturating_sub(known_at)))
     }
 
     /// Continues from a snapshot of all servers that was requested at `asked_at`. Returns whether the caller
@@ -312,7 +316,7 @@
     ///
     /// A snapshot that is older than this node's state would bring back servers that have left. So would a
     /// running watch that ends after the snapshot and returns changes from before it.
-    pub fn take_servers_copy(&mut self, copy: &ServersCopy, asked_at: Duration) -> bool {
+    pub fn apply_servers_snapshot(&mut self, copy: &ServersSnapshot, asked_at: Duration) -> bool {
         let place = copy.state().place;
         let is_older = self
             .servers_version
@@ -335,8 +339,8 @@
     /// The response replaces own reads, and is passed on, only if it comes from a node `in_charge`, the one
     /// that this node follows: if two nodes relied on each other, neither would read the store. A
     /// response of any other node still confirms that the configuration of this node is in force.
-    pub fn take(&mut self, answer: NewsAnswer, in_charge: bool) -> NewsTaken {
-        let mut taken = NewsTaken::default();
+    pub fn take(&mut self, answer: SyncResponse, in_charge: bool) -> SyncOutcome {
+        let mut taken = SyncOutcome::default();
         let mut pending = self.pending.iter();
         let Some(asked) = pending.find(|asked| asked.question.nonce == answer.nonce) else {
             return taken;
@@ -360,7 +364,12 @@
         taken
     }
 
-    fn take_servers(&mut self, news: ServersNews, asked: &PendingRequest, taken: &mut NewsTaken) {
+    fn take_servers(
+        &mut self,
+        news: ServersDelta,
+        asked: &PendingRequest,
+        taken: &mut SyncOutcome,
+    ) {
         let place = asked.question.servers.map(|place| place.version);
         if place != self.servers_version {
             // The request was made before an earlier response was applied: its changes would apply twice, and
@@ -368,16 +377,16 @@
             return;
         }
         match news {
-            ServersNews::ReadAnew => {
+            ServersDelta::ResyncRequired => {
                 self.servers.must_read = true;
                 taken.must_ask = true;
                 taken.lacks.push(SourceTopic::Servers);
             }
-            ServersNews::Untold => {
+            ServersDelta::OutOfRange => {
                 taken.must_ask = self.servers.told_at.take().is_some();
                 taken.lacks.push(SourceTopic::Servers);
             }
-            ServersNews::Changes {
+            ServersDelta::Changes {
                 age_ms,
                 place,
                 changes,
--- a/crates/plumgate/tests/gateway_config.rs
+++ b/crates/plumgate/tests/gateway_config.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use plumgate::gateway::{
-    CallerLimits, ConfigCopy, FreshnessLease, GatewayConfig, GatewayRoute, PoolSplit, RepeatKind,
-    RouteMatch, StreamClass, WorkspaceKeys,
+    CallerLimits, ConfigSnapshot, FreshnessLease, GatewayConfig, GatewayRoute, PoolSplit,
+    RepeatKind, RouteMatch, StreamClass, WorkspaceKeys,
 };
 use quickcheck::quickcheck;
 
@@ -190,9 +190,9 @@
 #[test]
 fn passed_on_configuration_is_as_old_as_its_giver_knows() {
     let held = Arc::new(GatewayConfig::new(7, CallerLimits::default()));
-    let copy = ConfigCopy::new(held.clone(), Duration::from_millis(1_200));
+    let copy = ConfigSnapshot::new(held.clone(), Duration::from_millis(1_200));
     let bytes = copy.encode().expect("it is encoded");
-    let copy = ConfigCopy::decode(&bytes).expect("it is decoded");
+    let copy = ConfigSnapshot::decode(&bytes).expect("it is decoded");
     assert_eq!(*copy.state(), held);
     let known_at = copy.known_at(Duration::from_secs(10));
     assert_eq!(known_at, Some(Duration::from_millis(8_799)));
@@ -201,7 +201,7 @@
         None,
         "before the VM started"
     );
-    assert!(ConfigCopy::decode(&bytes[..bytes.len() / 2]).is_err());
+    assert!(ConfigSnapshot::decode(&bytes[..bytes.len() / 2]).is_err());
 }
 
 #[test]
@@ -212,7 +212,7 @@
     };
     let routes = vec![route("a", "a.example", "/x/"), route("b", "b.example", "/")];
     let held = config(routes).with_workspace(&workspace, ["k1".to_owned()]);
-    let bytes = ConfigCopy::new(Arc::new(held.clone()), Duration::ZERO).encode();
-    let copy = ConfigCopy::decode(&bytes.expect("it is encoded")).expect("it is decoded");
+    let bytes = ConfigSnapshot::new(Arc::new(held.clone()), Duration::ZERO).encode();
+    let copy = ConfigSnapshot::decode(&bytes.expect("it is encoded")).expect("it is decoded");
     assert_eq!(**copy.state(), held);
 }
--- a/crates/plumgate/tests/gateway_exchange.rs
+++ b/crates/plumgate/tests/gateway_exchange.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangeMoment, LoadExchange, NewsDesk, NodeEntry, ServerEntry, ServerWork,
+    ExchangeMoment, LoadExchange, NodeEntry, ServerEntry, ServerWork, SyncState,
 };
 
 use entries::{born_entry, node_entries, server_entry};
@@ -17,7 +17,7 @@
 /// Nodes in one process, whose packets arrive unless a test drops them.
 struct TalkBench {
     nodes: BTreeMap<SocketAddr, LoadExchange>,
-    desks: BTreeMap<SocketAddr, NewsDesk>,
+    desks: BTreeMap<SocketAddr, SyncState>,
     work: BTreeMap<SocketAddr, Vec<(ServerEntry, ServerWork)>>,
     down: Vec<SocketAddr>,
     /// Whether the data centres are cut off from each other.
@@ -27,8 +27,8 @@
     now: Instant,
 }
 
-fn new_desk(address: SocketAddr) -> NewsDesk {
-    NewsDesk::new(Duration::from_secs(5), address.port().into())
+fn new_desk(address: SocketAddr) -> SyncState {
+    SyncState::new(Duration::from_secs(5), address.port().into())
 }
 
 fn moment(now: Instant) -> ExchangeMoment {
--- a/crates/plumgate/tests/gateway_news.rs
+++ b/crates/plumgate/tests/gateway_news.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangeMoment, LoadExchange, NewsAnswer, NewsDesk, NewsQuestion, ServerEntry, ServerNews,
-    ServerState, ServerTable, SourceTopic,
+    ExchangeMoment, LoadExchange, ServerEntry, ServerState, ServerTable, ServerUpdate, SourceTopic,
+    SyncRequest, SyncResponse, SyncState,
 };
 
 use entries::{node_entries, server_entry};
@@ -20,23 +20,23 @@
     Duration::from_millis(millis)
 }
 
-fn entry(id: &str, state: ServerState) -> ServerNews {
-    ServerNews::Entry(ServerEntry {
+fn entry(id: &str, state: ServerState) -> ServerUpdate {
+    ServerUpdate::Entry(ServerEntry {
         state,
         ..server_entry(id)
     })
 }
 
-fn gone(id: &str) -> ServerNews {
-    ServerNews::Gone {
+fn gone(id: &str) -> ServerUpdate {
+    ServerUpdate::Gone {
         id: id.into(),
         doubted: false,
     }
 }
 
 /// A desk that has read the store at a moment.
-fn reader(version: u64, at: Duration) -> NewsDesk {
-    let mut desk = NewsDesk::new(KEY_AGE, version);
+fn reader(version: u64, at: Duration) -> SyncState {
+    let mut desk = SyncState::new(KEY_AGE, version);
     desk.set_config(3);
     desk.restart_log(version);
     desk.note_read(SourceTopic::Config, at);
@@ -44,8 +44,13 @@
     desk
 }
 
-fn ask(asker: &mut NewsDesk, reader: &mut NewsDesk, asked: Duration, came: Duration) -> NewsAnswer {
-    let question: NewsQuestion = asker.ask(asked);
+fn ask(
+    asker: &mut SyncState,
+    reader: &mut SyncState,
+    asked: Duration,
+    came: Duration,
+) -> SyncResponse {
+    let question: SyncRequest = asker.ask(asked);
     reader.answer(&question, came)
 }
 
@@ -55,7 +60,7 @@
 #[test]
 fn answer_that_was_held_up_is_as_old_as_its_question() {
     let mut reader = reader(10, ms(900));
-    let mut asker = NewsDesk::new(KEY_AGE, 1);
+    let mut asker = SyncState::new(KEY_AGE, 1);
     asker.set_config(3);
     let answer = ask(&mut asker, &mut reader, ms(1_000), ms(1_100));
     // Four seconds later, by the asker's clock.
@@ -76,13 +81,13 @@
 #[test]
 fn answer_to_no_question_is_not_believed() {
     let mut reader = reader(10, ms(900));
-    let mut asker = NewsDesk::new(KEY_AGE, 1);
+    let mut asker = SyncState::new(KEY_AGE, 1);
     asker.set_config(3);
     asker.ask(ms(1_000));
-    let stranger = NewsDesk::new(KEY_AGE, 2).ask(ms(1_000));
+    let stranger = SyncState::new(KEY_AGE, 2).ask(ms(1_000));
     let answer = reader.answer(&stranger, ms(1_000));
     let taken = asker.take(answer, true);
-    assert_eq!(taken, plumgate::gateway::NewsTaken::default());
+    assert_eq!(taken, plumgate::gateway::SyncOutcome::default());
     assert_eq!(asker.rests_until(SourceTopic::Config, false), None);
 }
 
@@ -91,7 +96,7 @@
 #[test]
 fn newer_configuration_has_to_be_read_before_keys_are_trusted() {
     let mut reader = reader(10, ms(900));
-    let mut asker = NewsDesk::new(KEY_AGE, 1);
+    let mut asker = SyncState::new(KEY_AGE, 1);
     asker.set_config(2);
     let answer = ask(&mut asker, &mut reader, ms(1_000), ms(1_001));
     let taken = asker.take(answer, true);
@@ -225,9 +230,9 @@
     let taken = asker.take(answer, true);
     assert!(taken.config_known_at.is_some());
     assert_eq!(taken.lacks, [SourceTopic::Servers]);
-    let copy = second.servers_copy(&table(&["a", "b"]), ms(2_010));
+    let copy = second.servers_snapshot(&table(&["a", "b"]), ms(2_010));
     let copy = copy.expect("it knows the servers");
-    assert!(asker.take_servers_copy(&copy, ms(2_005)));
+    assert!(asker.apply_servers_snapshot(&copy, ms(2_005)));
     assert!(!asker.must_read(SourceTopic::Servers));
     assert_eq!(asker.servers_version(), Some(12u64.into()));
     assert_eq!(
@@ -249,15 +254,19 @@
 fn overtaken_copy_changes_nothing() {
     let mut old = reader(10, ms(900));
     let mut asker = reader(12, ms(800));
-    let copy = old.servers_copy(&table(&["a"]), ms(1_000)).expect("a copy");
-    assert!(!asker.take_servers_copy(&copy, ms(1_000)));
+    let copy = old
+        .servers_snapshot(&table(&["a"]), ms(1_000))
+        .expect("a copy");
+    assert!(!asker.apply_servers_snapshot(&copy, ms(1_000)));
     assert_eq!(asker.servers_version(), Some(12u64.into()));
     old.extend_log(20, vec![gone("b")]);
-    let copy = old.servers_copy(&table(&["a"]), ms(1_000)).expect("a copy");
+    let copy = old
+        .servers_snapshot(&table(&["a"]), ms(1_000))
+        .expect("a copy");
     asker.set_watching(true);
-    assert!(!asker.take_servers_copy(&copy, ms(1_000)));
+    assert!(!asker.apply_servers_snapshot(&copy, ms(1_000)));
     asker.set_watching(false);
-    assert!(asker.take_servers_copy(&copy, ms(1_000)));
+    assert!(asker.apply_servers_snapshot(&copy, ms(1_000)));
     assert_eq!(asker.servers_version(), Some(20u64.into()));
 }
 
@@ -286,8 +295,8 @@
 // A node that has read nothing itself must not give an empty fleet to others.
 #[test]
 fn node_that_knows_no_servers_gives_no_copy() {
-    let desk = NewsDesk::new(KEY_AGE, 1);
-    assert_eq!(desk.servers_copy(&ServerTable::new(), ms(1_000)), None);
+    let desk = SyncState::new(KEY_AGE, 1);
+    assert_eq!(desk.servers_snapshot(&ServerTable::new(), ms(1_000)), None);
 }
 
 // While a watch of its own is under way, a node is told of the same changes. Taken twice, the older
@@ -308,7 +317,7 @@
 
 /// A store that can be read by whoever reaches it, and nodes that follow it as the product does.
 struct ReadingBench {
-    nodes: BTreeMap<SocketAddr, (LoadExchange, NewsDesk)>,
+    nodes: BTreeMap<SocketAddr, (LoadExchange, SyncState)>,
     down: BTreeSet<SocketAddr>,
     /// Nodes that don't reach the store.
     storeless: BTreeSet<SocketAddr>,
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangeMoment, GatewayConfig, LimitChange, LimitSighting, LoadExchange, MailMoment, NewsDesk,
-    NodeEntry, RequestRate, SendClaim, ServerLimits, WorkspaceKeys,
+    ExchangeMoment, GatewayConfig, LimitChange, LimitSighting, LoadExchange, MailMoment, NodeEntry,
+    RequestRate, SendClaim, ServerLimits, SyncState, WorkspaceKeys,
 };
 
 fn seconds(count: f64) -> Duration {
@@ -133,7 +133,7 @@
         seen: seconds(1.0),
     };
     told.note_answer(&server, named);
-    let mut desk = NewsDesk::new(seconds(5.0), 1);
+    let mut desk = SyncState::new(seconds(5.0), 1);
     let sent = MailMoment {
         boot: seconds(1.1),
         unix_ms: 1_767_225_600_000,
@@ -193,7 +193,7 @@
     for at in rounds {
         limits.talk(&receiver, mail(*at));
     }
-    let mut desk = NewsDesk::new(seconds(5.0), 1);
+    let mut desk = SyncState::new(seconds(5.0), 1);
     let moment = ExchangeMoment {
         now: Instant::now(),
         boot: seconds(heard),
--- a/crates/plumgate/tests/limit_fleet/node.rs
+++ b/crates/plumgate/tests/limit_fleet/node.rs
@@ -5,8 +5,8 @@
 
 use plumgate::gateway::{
     AnswerTimes, ExchangeMoment, ExchangePacket, GatewayConfig, LeaveStatement, LimitSighting,
-    LoadExchange, MailMoment, NewsDesk, NodeEntry, RequestRate, RestStatement, SendClaim,
-    SendMoment, SendPermit, ServerEntry, ServerStatement, ServerStatements,
+    LoadExchange, MailMoment, NodeEntry, RequestRate, RestStatement, SendClaim, SendMoment,
+    SendPermit, ServerEntry, ServerStatement, ServerStatements, SyncState,
 };
 
 use super::{FleetEvent, Micros, UNIX_START_MS};
@@ -55,7 +55,7 @@
     /// How long its steady clock stood still.
     pub(crate) stood_still: Duration,
     exchange: LoadExchange,
-    desk: NewsDesk,
+    desk: SyncState,
     asks: Vec<u64>,
 }
 
@@ -83,7 +83,7 @@
             waiting: Vec::new(),
             stood_still: Duration::ZERO,
             exchange,
-            desk: NewsDesk::new(Duration::from_secs(5), seed),
+            desk: SyncState::new(Duration::from_secs(5), seed),
             asks: Vec::new(),
         }
     }
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -11,9 +11,9 @@
 use plumgate::duty::ServerKind;
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
-    AdmissionDecision, AdmissionPolicy, ExchangeMoment, LoadExchange, LoadTable, NewsDesk,
-    NodeEntry, PlacementOptions, PlacementPolicy, PolicySwitches, PromptShape, QueuePrediction,
-    ServerEntry, ServerState, ServerStatements, StreamClass,
+    AdmissionDecision, AdmissionPolicy, ExchangeMoment, LoadExchange, LoadTable, NodeEntry,
+    PlacementOptions, PlacementPolicy, PolicySwitches, PromptShape, QueuePrediction, ServerEntry,
+    ServerState, ServerStatements, StreamClass, SyncState,
 };
 use plumgate::gateway::{PlacementRequest, PromptPart, WorkEnd, WorkTicket};
 use plumgate::ids::ServerId;
@@ -142,7 +142,7 @@
     table: LoadTable,
     statements: ServerStatements,
     exchange: LoadExchange,
-    desk: NewsDesk,
+    desk: SyncState,
     address: SocketAddr,
 }
 
@@ -505,7 +505,7 @@
         table,
         statements: ServerStatements::new(false, index as u64, Duration::from_secs(2)),
         exchange,
-        desk: NewsDesk::new(Duration::from_secs(5), index as u64),
+        desk: SyncState::new(Duration::from_secs(5), index as u64),
         address: address(index),
     }
 }
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -7,8 +7,8 @@
 
 use plumgate::gateway::{
     CallerLimits, EndSign, ExchangeMoment, GatewayConfig, IdentityHasher, LinkAge, LoadExchange,
-    NewsDesk, QuarantineTable, RequestHead, RequestHold, RequestIdentity, RunFinding, RunTicket,
-    ServerEntry, SuspectState, WorkEnd, WorkspaceKeys,
+    QuarantineTable, RequestHead, RequestHold, RequestIdentity, RunFinding, RunTicket, ServerEntry,
+    SuspectState, SyncState, WorkEnd, WorkspaceKeys,
 };
 use plumgate::ids::WorkspaceId;
 
@@ -54,7 +54,7 @@
 pub(crate) struct SimNode {
     pub(crate) table: QuarantineTable,
     exchange: LoadExchange,
-    desk: NewsDesk,
+    desk: SyncState,
     address: SocketAddr,
     is_down: bool,
 }
@@ -360,7 +360,7 @@
     SimNode {
         table,
         exchange,
-        desk: NewsDesk::new(Duration::from_secs(5), index as u64),
+        desk: SyncState::new(Duration::from_secs(5), index as u64),
         address: own.address,
         is_down: false,
     }
