--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -199,7 +199,7 @@
             .with("retry_ratio", bounds.retry_ratio)
             .with("retry_extra", bounds.retry_extra)
             .info(&self.shared.log);
-        self.view.news().set_longest_age(bounds.key_age);
+        self.view.news().set_max_age(bounds.key_age);
         self.shared.set_bounds(bounds);
     }
 }
--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -93,7 +93,7 @@
                 Err(error) => {
                     since = since.filter(|_| error.keeps_place());
                     cause = CallCause::Outage;
-                    self.view.news().note_lost(topic, asked_at);
+                    self.view.news().record_failure(topic, asked_at);
                     self.note_failure(topic, &error, &mut is_lost);
                     if error != SourceError::HistoryLost {
                         let next = backoff.next(&mut rng);
@@ -162,7 +162,7 @@
     /// enough to find out that it is back.
     fn pause_before(&self, topic: SourceTopic) -> Option<Duration> {
         let waits = topic == SourceTopic::Servers
-            && self.view.news().is_lost(SourceTopic::Config)
+            && self.view.news().is_failing(SourceTopic::Config)
             && self.view.leaves_retries();
         self.view.rest(topic).or(waits.then_some(TICK))
     }
@@ -198,7 +198,7 @@
     fn watch_pause(&self, topic: SourceTopic) -> Duration {
         let now = self.shared.clock.boot_time();
         let key_age = self.shared.bounds.load().key_age;
-        if self.view.news().is_asked(now) {
+        if self.view.news().has_followers(now) {
             return key_age.mul_f64(READER_SHARE);
         }
         match topic {
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -130,7 +130,7 @@
     }
 
     fn told(&self, topic: SourceTopic) -> Option<Duration> {
-        let until = self.news().rests_until(topic, self.is_collector.get())?;
+        let until = self.news().fresh_until(topic, self.is_collector.get())?;
         let left = until.saturating_sub(self.shared.clock.boot_time());
         (!left.is_zero()).then_some(left)
     }
@@ -149,7 +149,7 @@
             self.shared.lease().renew(known_at);
         }
         let now = self.shared.clock.now();
-        for topic in taken.lacks {
+        for topic in taken.missing {
             self.wishes.wish(topic, from, now);
         }
         for news in taken.changes {
@@ -162,7 +162,7 @@
                 ServerUpdate::Unusable(id) => self.remove_server(&id, None, "told"),
             }
         }
-        if taken.must_ask {
+        if taken.must_query {
             self.news_missing.notify(usize::MAX);
         }
     }
@@ -184,7 +184,7 @@
                 false
             }
         };
-        self.news().note_read(topic, asked_at);
+        self.news().record_read(topic, asked_at);
         if topic == SourceTopic::Config {
             self.shared.lease().renew(asked_at);
         }
--- a/crates/plumgate-node/src/gateway/view_copies.rs
+++ b/crates/plumgate-node/src/gateway/view_copies.rs
@@ -48,7 +48,7 @@
             return Err(CopyError::Overtaken);
         }
         let has_config = self.apply_config(config, "told", StoreVersion::default());
-        self.news().note_read(SourceTopic::Config, known_at);
+        self.news().record_read(SourceTopic::Config, known_at);
         self.shared.lease().renew(known_at);
         Ok(has_config)
     }
--- a/crates/plumgate/src/gateway/exchange/load_exchange.rs
+++ b/crates/plumgate/src/gateway/exchange/load_exchange.rs
@@ -249,7 +249,7 @@
     ) -> Vec<ExchangePacket> {
         let now = moment.now;
         self.peers.set_now(now);
-        let sync_request = sync.ask(moment.boot);
+        let sync_request = sync.create_request(moment.boot);
         let ended: Vec<ServerKey> = self.own_reported.keys().copied().collect();
         self.own_reported = work
             .map(|(server, work)| (server_key(server), work))
@@ -417,7 +417,7 @@
         }
         let merged = message
             .sync_response
-            .map(|response| sync.take(response, is_watcher));
+            .map(|response| sync.apply(response, is_watcher));
         Ok(merged.unwrap_or_default())
     }
 
@@ -571,7 +571,7 @@
             let received = peer.sync_request.take();
             messages[0].sync_request = sync_request;
             messages[0].sync_response =
-                received.map(|(request, received_at)| sync.answer(&request, received_at));
+                received.map(|(request, received_at)| sync.respond(&request, received_at));
             let encoded = messages.iter().filter_map(|m| postcard::to_stdvec(m).ok());
             packets.extend(encoded.map(|bytes| (peer.entry.address, bytes)));
         }
--- a/crates/plumgate/src/gateway/sync/change_log.rs
+++ b/crates/plumgate/src/gateway/sync/change_log.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the position of a node that holds all changes up to `version`; `None` before the first read.
-    pub(crate) fn place(&self, version: StoreVersion) -> Option<LogPosition> {
+    pub(crate) fn position(&self, version: StoreVersion) -> Option<LogPosition> {
         (self.epoch != 0).then_some(LogPosition {
             version,
             epoch: Some(self.epoch),
@@ -67,18 +67,18 @@
     }
 
     /// Returns the changes after a position. `newest` is the version up to which this node knows all changes.
-    pub(crate) fn after(&self, place: LogPosition, newest: StoreVersion) -> LogDelta {
-        if place.epoch.is_some_and(|epoch| epoch != self.epoch) {
+    pub(crate) fn after(&self, position: LogPosition, newest: StoreVersion) -> LogDelta {
+        if position.epoch.is_some_and(|epoch| epoch != self.epoch) {
             return LogDelta::ResyncRequired;
         }
-        if self.epoch == 0 || place.version < self.complete_from {
+        if self.epoch == 0 || position.version < self.complete_from {
             return LogDelta::OutOfRange;
         }
-        let mut version = place.version.max(newest);
+        let mut version = position.version.max(newest);
         let mut changes: Vec<ServerUpdate> = Vec::new();
-        let mut included = place.version;
+        let mut included = position.version;
         for (batch_version, batch) in &self.batches {
-            if *batch_version <= place.version {
+            if *batch_version <= position.version {
                 continue;
             }
             if !changes.is_empty() && changes.len() + batch.len() > MAX_RESPONSE_CHANGES {
--- a/crates/plumgate/src/gateway/sync/messages.rs
+++ b/crates/plumgate/src/gateway/sync/messages.rs
@@ -56,7 +56,7 @@
         /// Milliseconds since these changes were last known to be complete.
         age_ms: u32,
         /// Position of the requester once it has applied the changes.
-        place: LogPosition,
+        position: LogPosition,
         changes: Vec<ServerUpdate>,
     },
     /// The requester may have missed a change and must read all servers.
--- a/crates/plumgate/src/gateway/sync/snapshots.rs
+++ b/crates/plumgate/src/gateway/sync/snapshots.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServersState {
     /// Position from which the receiver follows the sender's log.
-    pub(crate) place: LogPosition,
+    pub(crate) position: LogPosition,
     /// Entries of the servers that are in use.
     pub(crate) entries: Vec<ServerEntry>,
     /// Ids of those servers whose entries expired in an outage of the store, and which may be gone.
@@ -46,7 +46,7 @@
 impl ServersState {
     /// Returns the era of the store that the state is from.
     pub fn era(&self) -> StoreEra {
-        self.place.version.era
+        self.position.version.era
     }
 
     /// Returns the servers that are in use, and the ids of those that are unconfirmed.
@@ -80,8 +80,8 @@
     ///
     /// Counting from the moment of the request keeps delays on the way from making the state look newer than
     /// it is. `None` if that moment lies before the start of the clock.
-    pub fn known_at(&self, asked_at: Duration) -> Option<Duration> {
-        asked_at.checked_sub(Duration::from_millis(self.age_ms.into()))
+    pub fn known_at(&self, requested_at: Duration) -> Option<Duration> {
+        requested_at.checked_sub(Duration::from_millis(self.age_ms.into()))
     }
 }
 
--- a/crates/plumgate/src/gateway/sync/state.rs
+++ b/crates/plumgate/src/gateway/sync/state.rs
@@ -48,10 +48,10 @@
     /// Changes of servers, in the order in which they apply.
     pub changes: Vec<ServerUpdate>,
     /// Whether the store has to be called for state that the response lacks.
-    pub must_ask: bool,
+    pub must_query: bool,
     /// Topics whose state the other node holds and this one lacks. A snapshot from that node saves a call
     /// to the store.
-    pub lacks: Vec<SourceTopic>,
+    pub missing: Vec<SourceTopic>,
 }
 
 /// Kind of state that the store holds for the fleet.
@@ -80,18 +80,18 @@
     /// follows.
     known_at: Option<Duration>,
     /// The same by a response of the node that this one follows.
-    told_at: Option<Duration>,
+    reported_at: Option<Duration>,
     /// Whether state is missing that only a whole read or a snapshot brings.
     must_read: bool,
     /// When the last call to the store that failed was made.
-    lost_at: Option<Duration>,
+    failed_at: Option<Duration>,
 }
 
 /// Request to which a response may still come.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
-    question: SyncRequest,
-    asked_at: Duration,
+    request: SyncRequest,
+    requested_at: Duration,
 }
 
 /// State of the store as one node knows it, with its age by topic.
@@ -100,7 +100,7 @@
 /// suspension included.
 #[derive(Debug)]
 pub struct SyncState {
-    longest_age: Duration,
+    max_age: Duration,
     rng: fastrand::Rng,
     pending: VecDeque<PendingRequest>,
     /// When the last request of another node came.
@@ -118,10 +118,10 @@
 }
 
 impl SyncState {
-    /// Creates an empty state. `longest_age` is the time for which keys are trusted at most.
-    pub fn new(longest_age: Duration, seed: u64) -> Self {
+    /// Creates an empty state. `max_age` is the time for which keys are trusted at most.
+    pub fn new(max_age: Duration, seed: u64) -> Self {
         Self {
-            longest_age,
+            max_age,
             rng: fastrand::Rng::with_seed(seed),
             pending: VecDeque::new(),
             last_request_at: None,
@@ -136,8 +136,8 @@
     }
 
     /// Changes the time for which keys are trusted at most.
-    pub fn set_longest_age(&mut self, longest_age: Duration) {
-        self.longest_age = longest_age;
+    pub fn set_max_age(&mut self, max_age: Duration) {
+        self.max_age = max_age;
     }
 
     /// Sets the version of the configuration that is in force on this node.
@@ -146,26 +146,26 @@
     }
 
     /// Records that the state of a topic on this node was the newest at `known_at`, by the store or a snapshot.
-    pub fn note_read(&mut self, topic: SourceTopic, known_at: Duration) {
+    pub fn record_read(&mut self, topic: SourceTopic, known_at: Duration) {
         let state = self.state(topic);
         state.known_at = state.known_at.max(Some(known_at));
         state.must_read = false;
     }
 
-    /// Records that the store did not answer a call for a topic that was made at `asked_at`.
-    pub fn note_lost(&mut self, topic: SourceTopic, asked_at: Duration) {
-        self.state(topic).lost_at = Some(asked_at);
+    /// Records that the store did not answer a call for a topic that was made at `requested_at`.
+    pub fn record_failure(&mut self, topic: SourceTopic, requested_at: Duration) {
+        self.state(topic).failed_at = Some(requested_at);
     }
 
     /// Returns whether a call to the store failed that is newer than all that is known of a topic.
     ///
     /// State received from others during an outage is as old as the outage, and does not end it.
-    pub fn is_lost(&self, topic: SourceTopic) -> bool {
+    pub fn is_failing(&self, topic: SourceTopic) -> bool {
         let state = match topic {
             SourceTopic::Config => &self.config,
             SourceTopic::Servers => &self.servers,
         };
-        state.lost_at > state.known_at
+        state.failed_at > state.known_at
     }
 
     /// Restarts the log after all servers were read as of a version of the store.
@@ -207,7 +207,7 @@
 
     /// Returns until when this node may rely on received state of a topic; `None` if it has to call the
     /// store.
-    pub fn rests_until(&self, topic: SourceTopic, is_collector: bool) -> Option<Duration> {
+    pub fn fresh_until(&self, topic: SourceTopic, is_collector: bool) -> Option<Duration> {
         let state = match topic {
             SourceTopic::Config => &self.config,
             SourceTopic::Servers => &self.servers,
@@ -217,8 +217,8 @@
         } else {
             FOLLOWER_AGE_SHARE
         };
-        let told_at = state.told_at.filter(|_| !state.must_read)?;
-        Some(told_at + self.longest_age.mul_f64(share))
+        let reported_at = state.reported_at.filter(|_| !state.must_read)?;
+        Some(reported_at + self.max_age.mul_f64(share))
     }
 
     /// Returns when the state of a topic was last known to be the newest, by an own read or a response.
@@ -232,63 +232,63 @@
     /// Returns whether this node's state of the servers is too old for others to follow it.
     pub fn is_behind(&self, now: Duration) -> bool {
         let age = self.servers.known_at.map(|known| now.saturating_sub(known));
-        age.is_some_and(|age| age > self.longest_age.mul_f64(BEHIND_AGE_SHARE))
+        age.is_some_and(|age| age > self.max_age.mul_f64(BEHIND_AGE_SHARE))
     }
 
     /// Returns whether other nodes sent requests lately, so that this node's reads serve them too.
-    pub fn is_asked(&self, now: Duration) -> bool {
+    pub fn has_followers(&self, now: Duration) -> bool {
         self.last_request_at
-            .is_some_and(|asked| now.saturating_sub(asked) < FOLLOWER_TIMEOUT)
+            .is_some_and(|sent| now.saturating_sub(sent) < FOLLOWER_TIMEOUT)
     }
 
     /// Creates the request of this round.
-    pub fn ask(&mut self, now: Duration) -> SyncRequest {
-        let place = self.servers_version.map(|version| LogPosition {
+    pub fn create_request(&mut self, now: Duration) -> SyncRequest {
+        let position = self.servers_version.map(|version| LogPosition {
             version,
             epoch: self.followed_epoch,
         });
-        let question = SyncRequest {
+        let request = SyncRequest {
             nonce: self.rng.u32(..),
-            servers: place,
+            servers: position,
         };
         self.pending.push_back(PendingRequest {
-            question,
-            asked_at: now,
+            request,
+            requested_at: now,
         });
         if self.pending.len() > MAX_PENDING_REQUESTS {
             self.pending.pop_front();
         }
-        question
+        request
     }
 
-    /// Responds to a request that came at `came_at`.
-    pub fn answer(&mut self, question: &SyncRequest, came_at: Duration) -> SyncResponse {
-        self.last_request_at = Some(came_at);
+    /// Responds to a request that came at `received_at`.
+    pub fn respond(&mut self, request: &SyncRequest, received_at: Duration) -> SyncResponse {
+        self.last_request_at = Some(received_at);
         let age = |state: &TopicState| {
             let known_at = state.known_at?;
-            u32::try_from(came_at.saturating_sub(known_at).as_millis()).ok()
+            u32::try_from(received_at.saturating_sub(known_at).as_millis()).ok()
         };
         let config = age(&self.config).map(|age_ms| ConfigFreshness {
             version: self.config_version,
             // Rounds up a fraction of a millisecond.
             age_ms: age_ms.saturating_add(1),
         });
-        let servers = question.servers.and_then(|place| {
+        let servers = request.servers.and_then(|position| {
             let age_ms = age(&self.servers)?.saturating_add(1);
-            self.servers_delta(place, age_ms)
+            self.servers_delta(position, age_ms)
         });
         SyncResponse {
-            nonce: question.nonce,
+            nonce: request.nonce,
             config,
             servers,
         }
     }
 
-    fn servers_delta(&self, place: LogPosition, age_ms: u32) -> Option<ServersDelta> {
-        match self.log.after(place, self.servers_version?) {
-            LogDelta::Changes(place, changes) => Some(ServersDelta::Changes {
+    fn servers_delta(&self, position: LogPosition, age_ms: u32) -> Option<ServersDelta> {
+        match self.log.after(position, self.servers_version?) {
+            LogDelta::Changes(position, changes) => Some(ServersDelta::Changes {
                 age_ms,
-                place,
+                position,
                 changes,
             }),
             LogDelta::ResyncRequired => Some(ServersDelta::ResyncRequired),
@@ -304,31 +304,35 @@
     ) -> Option<ServersSnapshot> {
         let known_at = self.servers.known_at?;
         let state = ServersState {
-            place: self.log.place(self.servers_version?)?,
+            position: self.log.position(self.servers_version?)?,
             entries: servers.entries().cloned().collect(),
             doubted: servers.doubted().cloned().collect(),
         };
         Some(ServersSnapshot::new(state, now.saturating_sub(known_at)))
     }
 
-    /// Continues from a snapshot of all servers that was requested at `asked_at`. Returns whether the caller
+    /// Continues from a snapshot of all servers that was requested at `requested_at`. Returns whether the caller
     /// may use it.
     ///
     /// A snapshot that is older than this node's state would bring back servers that have left. So would a
     /// running watch that ends after the snapshot and returns changes from before it.
-    pub fn apply_servers_snapshot(&mut self, copy: &ServersSnapshot, asked_at: Duration) -> bool {
-        let place = copy.state().place;
+    pub fn apply_servers_snapshot(
+        &mut self,
+        snapshot: &ServersSnapshot,
+        requested_at: Duration,
+    ) -> bool {
+        let position = snapshot.state().position;
         let is_older = self
             .servers_version
-            .is_some_and(|version| place.version < version);
-        let Some(known_at) = copy.known_at(asked_at) else {
+            .is_some_and(|version| position.version < version);
+        let Some(known_at) = snapshot.known_at(requested_at) else {
             return false;
         };
         if is_older || self.is_watching {
             return false;
         }
-        self.restart_log(place.version);
-        self.followed_epoch = place.epoch;
+        self.restart_log(position.version);
+        self.followed_epoch = position.epoch;
         self.servers.must_read = false;
         record_response(&mut self.servers, known_at);
         true
@@ -339,71 +343,71 @@
     /// The response replaces own reads, and is passed on, only if it comes from a node `in_charge`, the one
     /// that this node follows: if two nodes relied on each other, neither would read the store. A
     /// response of any other node still confirms that the configuration of this node is in force.
-    pub fn take(&mut self, answer: SyncResponse, in_charge: bool) -> SyncOutcome {
-        let mut taken = SyncOutcome::default();
+    pub fn apply(&mut self, response: SyncResponse, in_charge: bool) -> SyncOutcome {
+        let mut outcome = SyncOutcome::default();
         let mut pending = self.pending.iter();
-        let Some(asked) = pending.find(|asked| asked.question.nonce == answer.nonce) else {
-            return taken;
+        let Some(sent) = pending.find(|sent| sent.request.nonce == response.nonce) else {
+            return outcome;
         };
-        let asked = *asked;
-        if let Some(config) = answer.config {
+        let sent = *sent;
+        if let Some(config) = response.config {
             if config.version > self.config_version {
                 self.config.must_read = true;
-                taken.must_ask = true;
-                taken.lacks.push(SourceTopic::Config);
-            } else if let Some(known_at) = asked.known_at(config.age_ms) {
+                outcome.must_query = true;
+                outcome.missing.push(SourceTopic::Config);
+            } else if let Some(known_at) = sent.known_at(config.age_ms) {
                 if in_charge {
                     record_response(&mut self.config, known_at);
                 }
-                taken.config_known_at = Some(known_at);
+                outcome.config_known_at = Some(known_at);
             }
         }
-        if in_charge && let Some(servers) = answer.servers {
-            self.take_servers(servers, &asked, &mut taken);
+        if in_charge && let Some(servers) = response.servers {
+            self.apply_servers(servers, &sent, &mut outcome);
         }
-        taken
+        outcome
     }
 
-    fn take_servers(
+    fn apply_servers(
         &mut self,
-        news: ServersDelta,
-        asked: &PendingRequest,
-        taken: &mut SyncOutcome,
+        delta: ServersDelta,
+        sent: &PendingRequest,
+        outcome: &mut SyncOutcome,
     ) {
-        let place = asked.question.servers.map(|place| place.version);
-        if place != self.servers_version {
+        let position = sent.request.servers.map(|position| position.version);
+        if position != self.servers_version {
             // The request was made before an earlier response was applied: its changes would apply twice, and
             // undo later ones. The next response fits.
             return;
         }
-        match news {
+        match delta {
             ServersDelta::ResyncRequired => {
                 self.servers.must_read = true;
-                taken.must_ask = true;
-                taken.lacks.push(SourceTopic::Servers);
+                outcome.must_query = true;
+                outcome.missing.push(SourceTopic::Servers);
             }
             ServersDelta::OutOfRange => {
-                taken.must_ask = self.servers.told_at.take().is_some();
-                taken.lacks.push(SourceTopic::Servers);
+                outcome.must_query = self.servers.reported_at.take().is_some();
+                outcome.missing.push(SourceTopic::Servers);
             }
             ServersDelta::Changes {
                 age_ms,
-                place,
+                position,
                 changes,
             } => {
-                let Some(known_at) = asked.known_at(age_ms) else {
+                let Some(known_at) = sent.known_at(age_ms) else {
                     return;
                 };
                 if self.is_watching {
                     // The running watch returns the same changes.
-                    self.servers.told_at = self.servers.told_at.max(Some(known_at));
+                    self.servers.reported_at = self.servers.reported_at.max(Some(known_at));
                     return;
                 }
                 record_response(&mut self.servers, known_at);
-                self.servers_version = Some(place.version);
-                self.followed_epoch = place.epoch;
-                self.log.push(place.version, changes.clone());
-                taken.changes = changes;
+                self.servers_version = Some(position.version);
+                self.followed_epoch = position.epoch;
+                self.log.push(position.version, changes.clone());
+                outcome.changes = changes;
             }
         }
     }
@@ -420,11 +424,11 @@
     /// Returns the moment that a response with this age describes.
     fn known_at(&self, age_ms: u32) -> Option<Duration> {
         let age = Duration::from_millis(age_ms.into());
-        self.asked_at.checked_sub(age)
+        self.requested_at.checked_sub(age)
     }
 }
 
 fn record_response(state: &mut TopicState, known_at: Duration) {
     state.known_at = state.known_at.max(Some(known_at));
-    state.told_at = state.told_at.max(Some(known_at));
+    state.reported_at = state.reported_at.max(Some(known_at));
 }
--- a/crates/plumgate/tests/gateway_news.rs
+++ b/crates/plumgate/tests/gateway_news.rs
@@ -39,8 +39,8 @@
     let mut desk = SyncState::new(KEY_AGE, version);
     desk.set_config(3);
     desk.restart_log(version);
-    desk.note_read(SourceTopic::Config, at);
-    desk.note_read(SourceTopic::Servers, at);
+    desk.record_read(SourceTopic::Config, at);
+    desk.record_read(SourceTopic::Servers, at);
     desk
 }
 
@@ -50,8 +50,8 @@
     asked: Duration,
     came: Duration,
 ) -> SyncResponse {
-    let question: SyncRequest = asker.ask(asked);
-    reader.answer(&question, came)
+    let question: SyncRequest = asker.create_request(asked);
+    reader.respond(&question, came)
 }
 
 // A key that was taken away works for too long. The answer of a reader lies in the queue of a machine
@@ -64,16 +64,16 @@
     asker.set_config(3);
     let answer = ask(&mut asker, &mut reader, ms(1_000), ms(1_100));
     // Four seconds later, by the asker's clock.
-    let taken = asker.take(answer, true);
+    let taken = asker.apply(answer, true);
     assert_eq!(
         taken.config_known_at,
         Some(ms(799)),
         "201 ms before it asked"
     );
-    let rests_until = asker.rests_until(SourceTopic::Config, false);
+    let fresh_until = asker.fresh_until(SourceTopic::Config, false);
     assert!(
-        rests_until.is_some_and(|until| until < ms(4_000)),
-        "{rests_until:?}"
+        fresh_until.is_some_and(|until| until < ms(4_000)),
+        "{fresh_until:?}"
     );
 }
 
@@ -83,12 +83,12 @@
     let mut reader = reader(10, ms(900));
     let mut asker = SyncState::new(KEY_AGE, 1);
     asker.set_config(3);
-    asker.ask(ms(1_000));
-    let stranger = SyncState::new(KEY_AGE, 2).ask(ms(1_000));
-    let answer = reader.answer(&stranger, ms(1_000));
-    let taken = asker.take(answer, true);
+    asker.create_request(ms(1_000));
+    let stranger = SyncState::new(KEY_AGE, 2).create_request(ms(1_000));
+    let answer = reader.respond(&stranger, ms(1_000));
+    let taken = asker.apply(answer, true);
     assert_eq!(taken, plumgate::gateway::SyncOutcome::default());
-    assert_eq!(asker.rests_until(SourceTopic::Config, false), None);
+    assert_eq!(asker.fresh_until(SourceTopic::Config, false), None);
 }
 
 // A node goes on with an old configuration although it is told daily that nothing is older than a
@@ -99,15 +99,15 @@
     let mut asker = SyncState::new(KEY_AGE, 1);
     asker.set_config(2);
     let answer = ask(&mut asker, &mut reader, ms(1_000), ms(1_001));
-    let taken = asker.take(answer, true);
+    let taken = asker.apply(answer, true);
     assert_eq!(taken.config_known_at, None);
-    assert!(taken.must_ask);
+    assert!(taken.must_query);
     assert!(asker.must_read(SourceTopic::Config));
     asker.set_config(3);
-    asker.note_read(SourceTopic::Config, ms(1_100));
+    asker.record_read(SourceTopic::Config, ms(1_100));
     let answer = ask(&mut asker, &mut reader, ms(1_200), ms(1_201));
-    assert!(asker.take(answer, true).config_known_at.is_some());
-    assert!(asker.rests_until(SourceTopic::Config, false).is_some());
+    assert!(asker.apply(answer, true).config_known_at.is_some());
+    assert!(asker.fresh_until(SourceTopic::Config, false).is_some());
 }
 
 #[test]
@@ -118,8 +118,8 @@
     first.extend_log(12, vec![entry("a", ServerState::Ready)]);
     first.extend_log(15, vec![entry("a", ServerState::Draining), gone("b")]);
     let late = ask(&mut asker, &mut first, ms(1_050), ms(1_051));
-    assert_eq!(asker.take(early, true).changes, Vec::new());
-    let told = asker.take(late.clone(), true).changes;
+    assert_eq!(asker.apply(early, true).changes, Vec::new());
+    let told = asker.apply(late.clone(), true).changes;
     assert_eq!(
         told,
         [
@@ -130,7 +130,7 @@
     );
     assert_eq!(asker.servers_version(), Some(15u64.into()));
     // Told again, as by a message that was held up, it would bring the server back.
-    assert_eq!(asker.take(late, true).changes, Vec::new());
+    assert_eq!(asker.apply(late, true).changes, Vec::new());
 }
 
 #[test]
@@ -145,7 +145,7 @@
     for round in 0..10 {
         let at = ms(1_000 + round * 100);
         let answer = ask(&mut asker, &mut first, at, at);
-        told += asker.take(answer, true).changes.len();
+        told += asker.apply(answer, true).changes.len();
     }
     assert_eq!(told, 100);
     assert_eq!(asker.servers_version(), Some(110u64.into()));
@@ -159,15 +159,15 @@
     let mut first = reader(10, ms(900));
     let mut asker = reader(10, ms(800));
     let answer = ask(&mut asker, &mut first, ms(1_000), ms(1_001));
-    asker.take(answer, true);
+    asker.apply(answer, true);
     first.extend_log(20, Vec::new());
     let answer = ask(&mut asker, &mut first, ms(1_100), ms(1_101));
-    asker.take(answer, true);
+    asker.apply(answer, true);
     assert_eq!(asker.servers_version(), Some(20u64.into()));
     first.restart_log(20);
     let answer = ask(&mut asker, &mut first, ms(1_200), ms(1_201));
-    assert!(asker.take(answer, true).must_ask);
-    assert_eq!(asker.rests_until(SourceTopic::Servers, false), None);
+    assert!(asker.apply(answer, true).must_query);
+    assert_eq!(asker.fresh_until(SourceTopic::Servers, false), None);
 }
 
 // All nodes of a large fleet read thousands of entries twice when they start together: each that read
@@ -177,13 +177,13 @@
     let mut first = reader(12, ms(900));
     let mut asker = reader(10, ms(800));
     let answer = ask(&mut asker, &mut first, ms(1_000), ms(1_001));
-    assert!(!asker.take(answer, true).must_ask);
+    assert!(!asker.apply(answer, true).must_query);
     assert!(!asker.must_read(SourceTopic::Servers));
-    assert_eq!(asker.rests_until(SourceTopic::Servers, false), None);
+    assert_eq!(asker.fresh_until(SourceTopic::Servers, false), None);
     asker.extend_log(12, vec![gone("a")]);
     let answer = ask(&mut asker, &mut first, ms(1_100), ms(1_101));
-    asker.take(answer, true);
-    assert!(asker.rests_until(SourceTopic::Servers, false).is_some());
+    asker.apply(answer, true);
+    assert!(asker.fresh_until(SourceTopic::Servers, false).is_some());
 }
 
 // A node goes on with servers that have left, as it rests on what it is told while it has fallen behind
@@ -193,17 +193,17 @@
     let mut first = reader(10, ms(900));
     let mut asker = reader(10, ms(800));
     let answer = ask(&mut asker, &mut first, ms(950), ms(951));
-    asker.take(answer, true);
-    assert!(asker.rests_until(SourceTopic::Servers, false).is_some());
+    asker.apply(answer, true);
+    assert!(asker.fresh_until(SourceTopic::Servers, false).is_some());
     for number in 0..3_000 {
         first.extend_log(11 + number, vec![gone("a")]);
     }
     let answer = ask(&mut asker, &mut first, ms(1_000), ms(1_001));
-    let taken = asker.take(answer, true);
+    let taken = asker.apply(answer, true);
     assert_eq!(taken.changes, Vec::new());
-    assert!(taken.must_ask);
+    assert!(taken.must_query);
     assert!(!asker.must_read(SourceTopic::Servers), "a watch is enough");
-    assert_eq!(asker.rests_until(SourceTopic::Servers, false), None);
+    assert_eq!(asker.fresh_until(SourceTopic::Servers, false), None);
 }
 
 /// A table with these servers.
@@ -224,12 +224,12 @@
     let mut second = reader(12, ms(1_500));
     let mut asker = reader(10, ms(800));
     let answer = ask(&mut asker, &mut first, ms(1_000), ms(1_000));
-    assert!(!asker.take(answer, true).must_ask);
-    assert!(asker.rests_until(SourceTopic::Servers, false).is_some());
+    assert!(!asker.apply(answer, true).must_query);
+    assert!(asker.fresh_until(SourceTopic::Servers, false).is_some());
     let answer = ask(&mut asker, &mut second, ms(2_000), ms(2_000));
-    let taken = asker.take(answer, true);
+    let taken = asker.apply(answer, true);
     assert!(taken.config_known_at.is_some());
-    assert_eq!(taken.lacks, [SourceTopic::Servers]);
+    assert_eq!(taken.missing, [SourceTopic::Servers]);
     let copy = second.servers_snapshot(&table(&["a", "b"]), ms(2_010));
     let copy = copy.expect("it knows the servers");
     assert!(asker.apply_servers_snapshot(&copy, ms(2_005)));
@@ -242,9 +242,9 @@
     );
     second.extend_log(13, vec![gone("a")]);
     let answer = ask(&mut asker, &mut second, ms(2_100), ms(2_100));
-    let taken = asker.take(answer, true);
+    let taken = asker.apply(answer, true);
     assert_eq!(taken.changes, [gone("a")], "it goes on from there");
-    assert!(taken.lacks.is_empty());
+    assert!(taken.missing.is_empty());
 }
 
 // A server that has left gets requests for good: a node was told that it went, and a copy that was asked
@@ -278,18 +278,21 @@
     let mut first = reader(10, ms(900));
     let mut asker = reader(10, ms(800));
     let answer = ask(&mut asker, &mut first, ms(1_000), ms(1_001));
-    asker.take(answer, true);
-    asker.note_lost(SourceTopic::Config, ms(1_200));
+    asker.apply(answer, true);
+    asker.record_failure(SourceTopic::Config, ms(1_200));
     let answer = ask(&mut asker, &mut first, ms(1_300), ms(1_301));
-    asker.take(answer, true);
-    assert!(asker.is_lost(SourceTopic::Config), "what is told is older");
-    first.note_read(SourceTopic::Config, ms(1_400));
+    asker.apply(answer, true);
+    assert!(
+        asker.is_failing(SourceTopic::Config),
+        "what is told is older"
+    );
+    first.record_read(SourceTopic::Config, ms(1_400));
     let answer = ask(&mut asker, &mut first, ms(1_500), ms(1_501));
-    asker.take(answer, true);
-    assert!(!asker.is_lost(SourceTopic::Config));
-    asker.note_lost(SourceTopic::Config, ms(1_600));
-    asker.note_read(SourceTopic::Config, ms(1_700));
-    assert!(!asker.is_lost(SourceTopic::Config));
+    asker.apply(answer, true);
+    assert!(!asker.is_failing(SourceTopic::Config));
+    asker.record_failure(SourceTopic::Config, ms(1_600));
+    asker.record_read(SourceTopic::Config, ms(1_700));
+    assert!(!asker.is_failing(SourceTopic::Config));
 }
 
 // A node that has read nothing itself must not give an empty fleet to others.
@@ -308,11 +311,11 @@
     asker.set_watching(true);
     first.extend_log(12, vec![gone("a")]);
     let answer = ask(&mut asker, &mut first, ms(1_000), ms(1_001));
-    assert_eq!(asker.take(answer, true).changes, Vec::new());
+    assert_eq!(asker.apply(answer, true).changes, Vec::new());
     assert_eq!(asker.servers_version(), Some(10u64.into()));
     asker.set_watching(false);
     let answer = ask(&mut asker, &mut first, ms(1_100), ms(1_101));
-    assert_eq!(asker.take(answer, true).changes, [gone("a")]);
+    assert_eq!(asker.apply(answer, true).changes, [gone("a")]);
 }
 
 /// A store that can be read by whoever reaches it, and nodes that follow it as the product does.
@@ -381,8 +384,8 @@
     fn read(&mut self, node: SocketAddr) {
         for topic in [SourceTopic::Config, SourceTopic::Servers] {
             let (exchange, desk) = self.nodes.get_mut(&node).expect("a node");
-            let rests_until = desk.rests_until(topic, exchange.is_collector());
-            if rests_until.is_some_and(|until| self.at < until) {
+            let fresh_until = desk.fresh_until(topic, exchange.is_collector());
+            if fresh_until.is_some_and(|until| self.at < until) {
                 continue;
             }
             match topic {
@@ -390,7 +393,7 @@
                 SourceTopic::Servers => self.server_reads += 1,
             }
             if !self.store_down && !self.storeless.contains(&node) {
-                desk.note_read(topic, self.at);
+                desk.record_read(topic, self.at);
             }
         }
     }
