--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -246,7 +246,7 @@
                     self.standings_due.set(moment.now + STANDING_PAUSE);
                     loads.set_standings(&statements.notices, moment.boot, moment.now);
                 }
-                let is_known = |life| loads.entries().any(|entry| entry.life_key() == life);
+                let is_known = |life| loads.entries().any(|entry| entry.incarnation_id() == life);
                 statements.notices.forget_old(moment.boot, is_known);
                 if knew_limits {
                     loads.set_limits(&statements.limits);
--- a/crates/plumgate-node/src/gateway/server_notices.rs
+++ b/crates/plumgate-node/src/gateway/server_notices.rs
@@ -50,7 +50,10 @@
         let now = self.clock.now();
         let boot = self.clock.boot_time();
         let mut loads = self.loads();
-        let standing = self.statements().notices.standing(server.life_key(), boot);
+        let standing = self
+            .statements()
+            .notices
+            .standing(server.incarnation_id(), boot);
         loads.set_standing(server, standing, now);
     }
 
@@ -123,7 +126,7 @@
         self.metrics.notices.get_or_create(&labels).inc();
         let line = LogLine::new("server_notice")
             .with("server", &server.id)
-            .with("life", format!("{:016x}", server.life_key()))
+            .with("life", format!("{:016x}", server.incarnation_id()))
             .with("notice", notice)
             .with("source", "answer");
         let line = match change {
@@ -191,7 +194,7 @@
                 page,
                 "server={} life={:016x} pool={} row={}",
                 server.id,
-                server.life_key(),
+                server.incarnation_id(),
                 server.pool,
                 format!("{:?}", server.state).to_lowercase(),
             );
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -101,7 +101,7 @@
             self.note_trouble();
             self.servers
                 .borrow_mut()
-                .note_old_entries(self.shared.clock.now());
+                .on_store_restored(self.shared.clock.now());
             self.era_risen.notify(usize::MAX);
         }
     }
@@ -155,8 +155,8 @@
         for news in taken.changes {
             match news {
                 ServerUpdate::Entry(entry) => self.put_servers(vec![entry], "told"),
-                ServerUpdate::Gone { id, doubted } => {
-                    let doubt = self.doubt(now).or(doubted.then_some(DOUBT));
+                ServerUpdate::Gone { id, unconfirmed } => {
+                    let doubt = self.doubt(now).or(unconfirmed.then_some(DOUBT));
                     self.remove_server(&id, doubt, "told");
                 }
                 ServerUpdate::Unusable(id) => self.remove_server(&id, None, "told"),
--- a/crates/plumgate-node/src/gateway/view_copies.rs
+++ b/crates/plumgate-node/src/gateway/view_copies.rs
@@ -62,11 +62,11 @@
         }
         self.note_era(copy.state().era());
         let now = self.shared.clock.now();
-        let (entries, doubted) = copy.into_state().into_servers();
+        let (entries, unconfirmed) = copy.into_state().into_servers();
         let doubt = self.doubt(now);
         let changes = self.servers.borrow_mut().replace(entries, &[], doubt, now);
         self.publish(&changes, "told");
-        for id in &doubted {
+        for id in &unconfirmed {
             self.remove_server(id, Some(DOUBT), "told");
         }
         Ok(())
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -35,7 +35,7 @@
     }
 
     /// What an event of the source says of a server.
-    fn server_news(&self, event: SourceEvent, doubted: bool) -> Option<ServerUpdate> {
+    fn server_news(&self, event: SourceEvent, unconfirmed: bool) -> Option<ServerUpdate> {
         match event {
             SourceEvent::Server(entry) if self.servers.borrow().is_foreign(&entry) => {
                 LogLine::new("finding")
@@ -46,7 +46,7 @@
                 Some(ServerUpdate::Unusable(entry.id))
             }
             SourceEvent::Server(entry) => Some(ServerUpdate::Entry(entry)),
-            SourceEvent::ServerGone(id) => Some(ServerUpdate::Gone { id, doubted }),
+            SourceEvent::ServerGone(id) => Some(ServerUpdate::Gone { id, unconfirmed }),
             SourceEvent::BadServer(id, findings) => {
                 self.log_findings(SourceTopic::Servers, &findings);
                 Some(ServerUpdate::Unusable(id))
@@ -98,14 +98,14 @@
     fn note_server_end(&self, loads: &LoadTable, change: &ServerChange, now: Instant) {
         let (id, sign) = match change {
             ServerChange::Gone(id) => (id, EndSign::Lapsed),
-            ServerChange::Reborn(entry) => (&entry.id, EndSign::Restarted),
+            ServerChange::Restarted(entry) => (&entry.id, EndSign::Restarted),
             ServerChange::Changed(entry) => {
                 if loads.entry(&entry.id).is_none() {
                     self.shared.quarantine().note_back(entry);
                 }
                 return;
             }
-            ServerChange::Doubted(_) => return,
+            ServerChange::Unconfirmed(_) => return,
         };
         let before = loads.entry(id);
         let stayed = |entry: &&ServerEntry| {
@@ -128,24 +128,24 @@
         for change in changes {
             self.note_server_end(&loads, change, now);
             loads.apply(change, now);
-            if let ServerChange::Changed(entry) | ServerChange::Reborn(entry) = change {
+            if let ServerChange::Changed(entry) | ServerChange::Restarted(entry) = change {
                 let boot = self.shared.clock.boot_time();
                 let statements = self.shared.statements();
-                let standing = statements.notices.standing(entry.life_key(), boot);
+                let standing = statements.notices.standing(entry.incarnation_id(), boot);
                 loads.set_standing(entry, standing, now);
             }
             let line = LogLine::new("server").with("source", source);
             let line = match change {
-                ServerChange::Changed(entry) | ServerChange::Reborn(entry) => line
+                ServerChange::Changed(entry) | ServerChange::Restarted(entry) => line
                     .with("server", &entry.id)
-                    .with_some("born", entry.born)
-                    .with("reborn", matches!(change, ServerChange::Reborn(_)))
+                    .with_some("born", entry.start_time)
+                    .with("reborn", matches!(change, ServerChange::Restarted(_)))
                     .with("state", format!("{:?}", entry.state).to_lowercase())
                     .with("pool", &entry.pool)
                     .with("address", entry.address)
                     .with("data_centre", &entry.data_centre),
                 ServerChange::Gone(id) => line.with("server", id).with("state", "gone"),
-                ServerChange::Doubted(id) => line.with("server", id).with("state", "doubted"),
+                ServerChange::Unconfirmed(id) => line.with("server", id).with("state", "doubted"),
             };
             line.info(&self.shared.log);
             match change {
@@ -153,11 +153,11 @@
                     self.shared.links.clear(id);
                     self.shared.lives.forget(id);
                 }
-                ServerChange::Reborn(entry) => {
+                ServerChange::Restarted(entry) => {
                     self.shared.links.clear(&entry.id);
                     self.shared.lives.end(&entry.id);
                 }
-                ServerChange::Changed(_) | ServerChange::Doubted(_) => {}
+                ServerChange::Changed(_) | ServerChange::Unconfirmed(_) => {}
             }
         }
         let count = i64::try_from(self.servers.borrow().len()).unwrap_or(i64::MAX);
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -42,7 +42,7 @@
     ANSWER_TIMEOUT, ASK_AGAIN, AskId, BootTime, LimitChange, LimitEvent, LimitSighting, MailMoment,
     MailOutcome, RateStatement, RequestRate, SendClaim, SendPermit, ServerLimits,
 };
-pub use servers::{LifeKey, ServerEntry, ServerState, ServerTable};
+pub use servers::{IncarnationId, ServerEntry, ServerState, ServerTable};
 pub use statements::{
     AnswerTimes, LeaveEvent, LeaveStatement, NoticeBook, NoticeChange, RestNotice, RestStatement,
     SendMoment, SendRefusal, ServerStanding, ServerStatement, ServerStatements,
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -90,7 +90,7 @@
     /// Applies what a server reported of itself. A report of another incarnation is ignored.
     pub fn set_standing(&mut self, server: &ServerEntry, standing: ServerStanding, now: Instant) {
         let load = self.servers.get_mut(&server.id);
-        if let Some(load) = load.filter(|load| load.entry.born == server.born) {
+        if let Some(load) = load.filter(|load| load.entry.start_time == server.start_time) {
             load.set_standing(standing, now);
         }
     }
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -91,14 +91,14 @@
                     self.servers.insert(entry.id.clone(), load);
                 }
             },
-            ServerChange::Reborn(entry) => {
+            ServerChange::Restarted(entry) => {
                 let load = ServerLoad::new(entry.clone(), now);
                 self.servers.insert(entry.id.clone(), load);
             }
             ServerChange::Gone(id) => {
                 self.servers.remove(id);
             }
-            ServerChange::Doubted(_) => {}
+            ServerChange::Unconfirmed(_) => {}
         }
     }
 
@@ -359,7 +359,7 @@
     ) -> WorkTicket {
         let ticket = WorkTicket {
             server: pick.server.id.clone(),
-            born: pick.server.born,
+            start_time: pick.server.start_time,
             urgency: usize::from(request.urgency).min(URGENCIES - 1),
             unread_tokens: pick.prefill_tokens,
             read_tokens: pick.ahead_tokens + pick.prefill_tokens,
@@ -460,5 +460,5 @@
     ticket: &WorkTicket,
 ) -> Option<&'a mut ServerLoad> {
     let load = servers.get_mut(&ticket.server)?;
-    (load.entry.born == ticket.born).then_some(load)
+    (load.entry.start_time == ticket.start_time).then_some(load)
 }
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -7,7 +7,7 @@
 use crate::gateway::config::StreamClass;
 use crate::gateway::prompt::{PromptShape, SMALL_PART};
 use crate::gateway::rate_limit::RequestRate;
-use crate::gateway::servers::{LifeKey, ServerEntry, ServerState};
+use crate::gateway::servers::{IncarnationId, ServerEntry, ServerState};
 use crate::gateway::statements::{SendRefusal, ServerStanding};
 use crate::gateway::switches::{PolicyPart, PolicySwitches};
 use crate::gateway::work::{ServerWork, URGENCIES, WorkEnd};
@@ -73,7 +73,7 @@
     /// End of the pause after it could not be reached.
     unreachable_until: Option<Instant>,
     /// Key of its incarnation.
-    incarnation: LifeKey,
+    incarnation: IncarnationId,
     /// Until when it accepts work of last resort, if it reported that it is leaving.
     serves_until: Option<Instant>,
     /// End of the rest that it asked for.
@@ -119,7 +119,7 @@
     /// Creates the state of a server of which nothing is known yet.
     pub(crate) fn new(entry: ServerEntry, now: Instant) -> Self {
         Self {
-            incarnation: entry.life_key(),
+            incarnation: entry.incarnation_id(),
             entry,
             serves_until: None,
             resting_until: None,
@@ -140,12 +140,12 @@
 
     /// Replaces the entry by a newer one of the same incarnation.
     pub(crate) fn set_entry(&mut self, entry: &ServerEntry) {
-        self.incarnation = entry.life_key();
+        self.incarnation = entry.incarnation_id();
         self.entry = entry.clone();
     }
 
     /// Returns the key of its incarnation.
-    pub(crate) fn incarnation(&self) -> LifeKey {
+    pub(crate) fn incarnation(&self) -> IncarnationId {
         self.incarnation
     }
 
--- a/crates/plumgate/src/gateway/servers.rs
+++ b/crates/plumgate/src/gateway/servers.rs
@@ -20,10 +20,10 @@
 }
 
 /// Unix time in milliseconds at which a server started, as it reports itself.
-pub type BirthTime = u64;
+pub type StartTime = u64;
 
 /// Id of one incarnation of a server: a digest of the server's id and start time.
-pub type LifeKey = u64;
+pub type IncarnationId = u64;
 
 /// Registration of one incarnation of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     /// Id of the server. A restarted server may keep its id.
     pub id: ServerId,
     /// Start time, which distinguishes the incarnations of one id; `None` if the server doesn't report it.
-    pub born: Option<BirthTime>,
+    pub start_time: Option<StartTime>,
     /// Pool that the server belongs to.
     pub pool: PoolId,
     /// Address that it listens on. A later server of another pool may get the same address.
@@ -64,12 +64,12 @@
     /// Returns the short id of this incarnation, which nodes use in their messages.
     pub fn incarnation_key(&self) -> u32 {
         // 32 bits are enough to distinguish a few thousand servers.
-        self.life_key() as u32
+        self.incarnation_id() as u32
     }
 
     /// Returns the id of this incarnation, for uses where two incarnations must never be confused.
-    pub fn life_key(&self) -> LifeKey {
-        xxh3_64_with_seed(self.id.as_bytes(), self.born.unwrap_or(0))
+    pub fn incarnation_id(&self) -> IncarnationId {
+        xxh3_64_with_seed(self.id.as_bytes(), self.start_time.unwrap_or(0))
     }
 }
 
@@ -90,7 +90,7 @@
 /// Server that left, by the last known state of its entry.
 #[derive(Clone, Copy, Debug)]
 struct DepartedServer {
-    born: Option<BirthTime>,
+    start_time: Option<StartTime>,
     writes: u64,
     at: Instant,
 }
@@ -110,11 +110,11 @@
     /// A server registered, or its entry changed.
     Changed(ServerEntry),
     /// A server restarted under its id, and has lost all state of its earlier incarnation.
-    Reborn(ServerEntry),
+    Restarted(ServerEntry),
     /// A server's entry is gone; the server gets no new requests.
     Gone(ServerId),
     /// A server's entry is gone, but the store was unavailable shortly before; the server stays in use for now.
-    Doubted(ServerId),
+    Unconfirmed(ServerId),
 }
 
 impl ServerTable {
@@ -139,27 +139,27 @@
             return None;
         }
         let known = self.servers.get(&entry.id);
-        let known_born = known.and_then(|known| known.entry.born);
-        if known_born.is_some() && entry.born < known_born {
+        let known_start = known.and_then(|known| known.entry.start_time);
+        if known_start.is_some() && entry.start_time < known_start {
             return None;
         }
-        if self.has_old_entries && self.is_old(&entry) || self.takes_back(&entry) {
+        if self.has_old_entries && self.is_outdated(&entry) || self.undoes_draining(&entry) {
             return None;
         }
-        let is_reborn = known_born.is_some() && entry.born > known_born;
+        let is_restarted = known_start.is_some() && entry.start_time > known_start;
         let row = TableEntry {
             entry: entry.clone(),
             expires_at: None,
         };
         self.servers.insert(entry.id.clone(), row);
-        if is_reborn {
-            return Some(ServerChange::Reborn(entry));
+        if is_restarted {
+            return Some(ServerChange::Restarted(entry));
         }
         Some(ServerChange::Changed(entry))
     }
 
     /// Allows for outdated entries after the store was restored from a backup.
-    pub fn note_old_entries(&mut self, now: Instant) {
+    pub fn on_store_restored(&mut self, now: Instant) {
         self.has_old_entries = true;
         self.departed
             .retain(|_, departed| now.saturating_duration_since(departed.at) < DEPARTED_RETENTION);
@@ -168,22 +168,23 @@
     /// Returns whether an entry is older than the known state of its server, as entries from a backup of the store
     /// are. If the table accepted it, it would bring back a server that has left, or make a leaving one ready
     /// again. A running server writes its entry again, with a higher number of writes.
-    fn is_old(&self, entry: &ServerEntry) -> bool {
+    fn is_outdated(&self, entry: &ServerEntry) -> bool {
         if let Some(known) = self.servers.get(&entry.id) {
-            let is_same = known.entry.born == entry.born;
+            let is_same = known.entry.start_time == entry.start_time;
             return is_same && entry.writes < known.entry.writes;
         }
         let departed = self.departed.get(&entry.id);
-        departed
-            .is_some_and(|departed| departed.born == entry.born && entry.writes <= departed.writes)
+        departed.is_some_and(|departed| {
+            departed.start_time == entry.start_time && entry.writes <= departed.writes
+        })
     }
 
     /// Returns whether an entry that is no newer than the known one would make a draining server ready. Lists
     /// read from a backup of the store, and late messages of other nodes, arrive after newer entries.
-    fn takes_back(&self, entry: &ServerEntry) -> bool {
+    fn undoes_draining(&self, entry: &ServerEntry) -> bool {
         let known = self.servers.get(&entry.id).map(|known| &known.entry);
         known.is_some_and(|known| {
-            known.born == entry.born
+            known.start_time == entry.start_time
                 && known.state == ServerState::Draining
                 && entry.state == ServerState::Ready
                 && entry.writes <= known.writes
@@ -199,7 +200,7 @@
         }
         if self.departed.len() < MAX_DEPARTED {
             let departed = DepartedServer {
-                born: entry.born,
+                start_time: entry.start_time,
                 writes: entry.writes,
                 at: now,
             };
@@ -211,21 +212,21 @@
     /// server reported before.
     pub fn is_foreign(&self, entry: &ServerEntry) -> bool {
         let known = self.servers.get(&entry.id);
-        entry.born.is_none() && known.is_some_and(|known| known.entry.born.is_some())
+        entry.start_time.is_none() && known.is_some_and(|known| known.entry.start_time.is_some())
     }
 
     /// Removes a server whose entry is gone from the store.
     ///
     /// Entries expire while the store is unavailable, although their servers run; the servers register again soon
-    /// after the outage. With `doubt`, such a server stays in use for that time: refusing all requests for lack
+    /// after the outage. With `grace_period`, such a server stays in use for that time: refusing all requests for lack
     /// of entries would turn an outage of the store into one of the fleet.
     pub fn remove(
         &mut self,
         id: &ServerId,
-        doubt: Option<Duration>,
+        grace_period: Option<Duration>,
         now: Instant,
     ) -> Option<ServerChange> {
-        let Some(doubt) = doubt else {
+        let Some(grace_period) = grace_period else {
             let gone = self.servers.remove(id)?;
             self.record_departed(&gone.entry, now);
             return Some(ServerChange::Gone(id.clone()));
@@ -234,8 +235,8 @@
         if known.expires_at.is_some() {
             return None;
         }
-        known.expires_at = Some(now + doubt);
-        Some(ServerChange::Doubted(id.clone()))
+        known.expires_at = Some(now + grace_period);
+        Some(ServerChange::Unconfirmed(id.clone()))
     }
 
     /// Replaces the table by entries that were read together, and returns the changes. Servers that are not
@@ -244,7 +245,7 @@
         &mut self,
         entries: Vec<ServerEntry>,
         unusable: &[ServerId],
-        doubt: Option<Duration>,
+        grace_period: Option<Duration>,
         now: Instant,
     ) -> Vec<ServerChange> {
         let missing: Vec<ServerId> = self
@@ -256,8 +257,8 @@
         let mut changes: Vec<ServerChange> = missing
             .iter()
             .filter_map(|id| {
-                let doubt = doubt.filter(|_| !unusable.contains(id));
-                self.remove(id, doubt, now)
+                let grace_period = grace_period.filter(|_| !unusable.contains(id));
+                self.remove(id, grace_period, now)
             })
             .collect();
         changes.extend(entries.into_iter().filter_map(|entry| self.put(entry)));
@@ -291,12 +292,12 @@
     }
 
     /// Returns the servers that are in use although their entries are gone.
-    pub fn doubted(&self) -> impl Iterator<Item = &ServerId> {
-        let doubted = self
+    pub fn unconfirmed(&self) -> impl Iterator<Item = &ServerId> {
+        let unconfirmed = self
             .servers
             .iter()
             .filter(|(_, known)| known.expires_at.is_some());
-        doubted.map(|(id, _)| id)
+        unconfirmed.map(|(id, _)| id)
     }
 
     /// Returns the number of servers.
--- a/crates/plumgate/src/gateway/statements/notices.rs
+++ b/crates/plumgate/src/gateway/statements/notices.rs
@@ -5,7 +5,7 @@
 
 use super::telling::LeaveReport;
 use crate::gateway::rate_limit::BootTime;
-use crate::gateway::servers::{LifeKey, ServerEntry};
+use crate::gateway::servers::{IncarnationId, ServerEntry};
 
 /// How long the leaving of a server is retained after it was last confirmed.
 const LEAVE_RETENTION: Duration = Duration::from_secs(600);
@@ -112,7 +112,7 @@
 /// that was in transit revokes them.
 #[derive(Debug)]
 pub struct NoticeBook {
-    notices: BTreeMap<LifeKey, ServerNotice>,
+    notices: BTreeMap<IncarnationId, ServerNotice>,
     /// How long a server continues to serve after it announced that it leaves.
     drain_time: Duration,
     /// Number of notices dropped because the table was full.
@@ -135,7 +135,7 @@
     }
 
     /// Returns what the notices of an incarnation mean for requests now.
-    pub fn standing(&self, life: LifeKey, now: BootTime) -> ServerStanding {
+    pub fn standing(&self, life: IncarnationId, now: BootTime) -> ServerStanding {
         let notice = self.notices.get(&life).copied().unwrap_or_default();
         let serves = self.drain_time.saturating_sub(SERVE_MARGIN);
         ServerStanding {
@@ -152,7 +152,7 @@
     }
 
     /// Records that a server announced that it leaves. Returns whether that is new.
-    pub fn note_leaving(&mut self, life: LifeKey, now: BootTime) -> bool {
+    pub fn note_leaving(&mut self, life: IncarnationId, now: BootTime) -> bool {
         let Some(notice) = self.notice_mut(life, now) else {
             return false;
         };
@@ -206,7 +206,7 @@
         is_collector: bool,
         now: BootTime,
     ) -> Vec<LeaveReport> {
-        let mut due: Vec<(LifeKey, BootTime, &mut LeaveAnnouncement)> = self
+        let mut due: Vec<(IncarnationId, BootTime, &mut LeaveAnnouncement)> = self
             .notices
             .iter_mut()
             .filter_map(|(life, notice)| {
@@ -228,7 +228,7 @@
     /// Records a rest that a server asked for. A rest that ends before a known one is ignored.
     pub fn note_rest(
         &mut self,
-        life: LifeKey,
+        life: IncarnationId,
         rest: Duration,
         now: BootTime,
     ) -> Option<RestNotice> {
@@ -245,7 +245,7 @@
         })
     }
 
-    fn notice_mut(&mut self, life: LifeKey, now: BootTime) -> Option<&mut ServerNotice> {
+    fn notice_mut(&mut self, life: IncarnationId, now: BootTime) -> Option<&mut ServerNotice> {
         if !self.notices.contains_key(&life) && self.notices.len() >= MAX_NOTICES {
             self.forget_old(now, |_| false);
             if self.notices.len() >= MAX_NOTICES {
@@ -258,12 +258,12 @@
 
     /// Returns since when a server is known to leave.
     pub fn leaving_since(&self, server: &ServerEntry) -> Option<BootTime> {
-        self.notices.get(&server.life_key())?.leaving_since
+        self.notices.get(&server.incarnation_id())?.leaving_since
     }
 
     /// Returns how long a server still wants no requests.
     pub fn rest_left(&self, server: &ServerEntry, now: BootTime) -> Option<Duration> {
-        self.notices.get(&server.life_key())?.rest_left(now)
+        self.notices.get(&server.incarnation_id())?.rest_left(now)
     }
 
     /// Returns the number of servers that are known to leave.
@@ -288,7 +288,7 @@
     }
 
     /// Discards notices that no longer apply; the leaving of servers that are still known is retained.
-    pub fn forget_old(&mut self, now: BootTime, is_known: impl Fn(LifeKey) -> bool) {
+    pub fn forget_old(&mut self, now: BootTime, is_known: impl Fn(IncarnationId) -> bool) {
         self.notices.retain(|life, notice| {
             if !notice.is_relevant(now) && notice.leaving_since.is_some() && is_known(*life) {
                 notice.leaving_confirmed_at = now;
--- a/crates/plumgate/src/gateway/statements/table.rs
+++ b/crates/plumgate/src/gateway/statements/table.rs
@@ -92,7 +92,7 @@
         statement: &ServerStatement,
         times: AnswerTimes,
     ) -> Vec<NoticeChange> {
-        let life = server.life_key();
+        let life = server.incarnation_id();
         let mut changes = Vec::new();
         if statement.leaving == LeaveStatement::Leaves
             && self.notices.note_leaving(life, times.seen)
@@ -111,7 +111,7 @@
     ///
     /// Returns the reason if it may not be sent.
     pub fn check(&self, server: &ServerEntry, send: SendMoment<'_>) -> Result<(), SendRefusal> {
-        let standing = self.notices.standing(server.life_key(), send.now);
+        let standing = self.notices.standing(server.incarnation_id(), send.now);
         if let Some(serves_for) = standing.serves_for
             && (serves_for.is_zero() || !send.is_last_resort)
         {
--- a/crates/plumgate/src/gateway/statements/telling.rs
+++ b/crates/plumgate/src/gateway/statements/telling.rs
@@ -8,7 +8,7 @@
 use super::table::ServerStatements;
 use crate::gateway::exchange::{ExchangePacket, LoadExchange, PeerView};
 use crate::gateway::rate_limit::{BootTime, MailMoment, MailOutcome, StatementMessage};
-use crate::gateway::servers::LifeKey;
+use crate::gateway::servers::IncarnationId;
 
 /// Maximum number of reports per message, some 15 bytes each: a message is sealed twice and fits into one
 /// packet.
@@ -19,14 +19,14 @@
 /// Report that a server leaves, with the time given as an age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaveReport {
-    pub(crate) life: LifeKey,
+    pub(crate) life: IncarnationId,
     /// Milliseconds since the sender first knew that the server leaves, rounded up.
     age_ms: u32,
 }
 
 impl LeaveReport {
     /// Creates the report of a server that has been known to leave since `since`.
-    pub(crate) fn new(life: LifeKey, since: BootTime, now: BootTime) -> Self {
+    pub(crate) fn new(life: IncarnationId, since: BootTime, now: BootTime) -> Self {
         let age = now.saturating_sub(since).as_millis() + 1;
         Self {
             life,
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaveEvent {
     /// Key of the server's incarnation.
-    pub life: LifeKey,
+    pub life: IncarnationId,
     /// How long ago the reporting node learnt it.
     pub age: Duration,
 }
--- a/crates/plumgate/src/gateway/sync/messages.rs
+++ b/crates/plumgate/src/gateway/sync/messages.rs
@@ -25,7 +25,7 @@
         /// Id of the server.
         id: ServerId,
         /// Whether the entry may have expired because of an outage of the store.
-        doubted: bool,
+        unconfirmed: bool,
     },
     /// An entry was written that describes no usable server, for example by another writer.
     Unusable(ServerId),
--- a/crates/plumgate/src/gateway/sync/snapshots.rs
+++ b/crates/plumgate/src/gateway/sync/snapshots.rs
@@ -40,7 +40,7 @@
     /// Entries of the servers that are in use.
     pub(crate) entries: Vec<ServerEntry>,
     /// Ids of those servers whose entries expired in an outage of the store, and which may be gone.
-    pub(crate) doubted: Vec<ServerId>,
+    pub(crate) unconfirmed: Vec<ServerId>,
 }
 
 impl ServersState {
@@ -51,7 +51,7 @@
 
     /// Returns the servers that are in use, and the ids of those that are unconfirmed.
     pub fn into_servers(self) -> (Vec<ServerEntry>, Vec<ServerId>) {
-        (self.entries, self.doubted)
+        (self.entries, self.unconfirmed)
     }
 }
 
--- a/crates/plumgate/src/gateway/sync/state.rs
+++ b/crates/plumgate/src/gateway/sync/state.rs
@@ -306,7 +306,7 @@
         let state = ServersState {
             position: self.log.position(self.servers_version?)?,
             entries: servers.entries().cloned().collect(),
-            doubted: servers.doubted().cloned().collect(),
+            unconfirmed: servers.unconfirmed().cloned().collect(),
         };
         Some(ServersSnapshot::new(state, now.saturating_sub(known_at)))
     }
--- a/crates/plumgate/src/gateway/work.rs
+++ b/crates/plumgate/src/gateway/work.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use super::servers::BirthTime;
+use super::servers::StartTime;
 use crate::ids::ServerId;
 
 /// Number of urgency levels that are tracked separately; the last one includes all less urgent levels.
@@ -41,7 +41,7 @@
 pub struct WorkTicket {
     pub(crate) server: ServerId,
     /// Start time of the server, which names its incarnation; a later one under the same id has no such request.
-    pub(crate) born: Option<BirthTime>,
+    pub(crate) start_time: Option<StartTime>,
     pub(crate) urgency: usize,
     pub(crate) unread_tokens: u64,
     /// Prompt tokens that the server prefills before it begins to answer, those of earlier requests included.
--- a/crates/plumgate/tests/entries/mod.rs
+++ b/crates/plumgate/tests/entries/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) fn server_entry(id: &str) -> ServerEntry {
     ServerEntry {
         id: id.into(),
-        born: None,
+        start_time: None,
         pool: "models".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 9000)),
         data_centre: "hall-a".into(),
@@ -24,9 +24,9 @@
 }
 
 /// A server that was born at a moment.
-pub(crate) fn born_entry(id: &str, born: u64) -> ServerEntry {
+pub(crate) fn born_entry(id: &str, start_time: u64) -> ServerEntry {
     ServerEntry {
-        born: Some(born),
+        start_time: Some(start_time),
         ..server_entry(id)
     }
 }
--- a/crates/plumgate/tests/gateway_exchange.rs
+++ b/crates/plumgate/tests/gateway_exchange.rs
@@ -240,6 +240,9 @@
     }
     bench.rounds(4);
     let node = &bench.nodes[&bench.address(1)];
-    let told = |born| node.peer_work(&born_entry("a", born), bench.now).in_flight;
+    let told = |start_time| {
+        node.peer_work(&born_entry("a", start_time), bench.now)
+            .in_flight
+    };
     assert_eq!((told(100), told(200)), (5, 0));
 }
--- a/crates/plumgate/tests/gateway_news.rs
+++ b/crates/plumgate/tests/gateway_news.rs
@@ -30,7 +30,7 @@
 fn gone(id: &str) -> ServerUpdate {
     ServerUpdate::Gone {
         id: id.into(),
-        doubted: false,
+        unconfirmed: false,
     }
 }
 
--- a/crates/plumgate/tests/gateway_servers.rs
+++ b/crates/plumgate/tests/gateway_servers.rs
@@ -111,7 +111,7 @@
         Some(ServerChange::Changed(renewed))
     );
     let next = born_entry("a", 200);
-    assert_eq!(table.put(next.clone()), Some(ServerChange::Reborn(next)));
+    assert_eq!(table.put(next.clone()), Some(ServerChange::Restarted(next)));
     assert_eq!(ready(&table), ["a"], "the one that left is over");
 }
 
@@ -146,7 +146,7 @@
     table.put(server_entry("spoilt"));
     let changes = table.replace(Vec::new(), &["spoilt".into()], doubt, now);
     let expected = [
-        ServerChange::Doubted("lapsed".into()),
+        ServerChange::Unconfirmed("lapsed".into()),
         ServerChange::Gone("spoilt".into()),
     ];
     assert_eq!(changes, expected);
@@ -159,18 +159,18 @@
     fn incarnations_only_go_on(writes: Vec<(u8, Option<u8>)>) -> bool {
         let mut table = ServerTable::new();
         let mut newest = [None; 4];
-        writes.iter().all(|(server, born)| {
+        writes.iter().all(|(server, start_time)| {
             let slot = usize::from(server % 4);
             let id: ServerId = format!("s{slot}").into();
-            let Some(born) = born else {
+            let Some(start_time) = start_time else {
                 table.remove(&id, None, Instant::now());
                 newest[slot] = None;
                 return true;
             };
-            let born = u64::from(*born);
-            table.put(born_entry(&id, born));
-            newest[slot] = newest[slot].max(Some(born));
-            table.ready().all(|entry| *entry.id != *id || entry.born == newest[slot])
+            let start_time = u64::from(*start_time);
+            table.put(born_entry(&id, start_time));
+            newest[slot] = newest[slot].max(Some(start_time));
+            table.ready().all(|entry| *entry.id != *id || entry.start_time == newest[slot])
         })
     }
 }
--- a/crates/plumgate/tests/limit_fleet/faults.rs
+++ b/crates/plumgate/tests/limit_fleet/faults.rs
@@ -55,12 +55,12 @@
 
     /// The server starts again under its id; the nodes learn of it within some time.
     pub(crate) fn rebirth(&mut self, learnt_within: Duration) {
-        let born = self.server.born.unwrap_or(0) + 1;
-        self.server.born = Some(born);
+        let start_time = self.server.start_time.unwrap_or(0) + 1;
+        self.server.start_time = Some(start_time);
         self.words = ServerWords::default();
         for index in 0..self.nodes.len() {
             let at = self.now + self.rng.u64(0..micros(learnt_within).max(1));
-            self.at(at, FleetEvent::Reborn(index, born));
+            self.at(at, FleetEvent::Restarted(index, start_time));
         }
     }
 
--- a/crates/plumgate/tests/limit_fleet/mod.rs
+++ b/crates/plumgate/tests/limit_fleet/mod.rs
@@ -80,7 +80,7 @@
     /// An answer arrives at the node that sent the request.
     Answer(usize, u32, FleetAnswer),
     /// A node learns of another life of the server.
-    Reborn(usize, u64),
+    Restarted(usize, u64),
     /// An ask is sent again.
     AskAgain(usize, u32, u64),
     /// The time of an ask is over.
@@ -143,7 +143,7 @@
         let start = Instant::now() + Duration::from_secs(1_000);
         let mut server = server_entry("limited");
         server.data_centre = "hall-0".into();
-        server.born = Some(1);
+        server.start_time = Some(1);
         let mut rng = fastrand::Rng::with_seed(shape.seed);
         let nodes = entries.iter().map(|own| {
             let offset = Duration::from_secs(rng.u64(100..10_000));
@@ -249,7 +249,7 @@
             FleetEvent::Caller
             | FleetEvent::Resume(_)
             | FleetEvent::Start(_)
-            | FleetEvent::Reborn(..) => None,
+            | FleetEvent::Restarted(..) => None,
             FleetEvent::Packet(_, to, _) => self.places.get(to).copied(),
             FleetEvent::Round(index)
             | FleetEvent::Send(index, ..)
@@ -273,7 +273,9 @@
             }
             FleetEvent::Send(index, life, sending) => self.send(index, life, sending),
             FleetEvent::Answer(index, life, answer) => self.answer(index, life, &answer),
-            FleetEvent::Reborn(index, born) => self.nodes[index].server.born = Some(born),
+            FleetEvent::Restarted(index, start_time) => {
+                self.nodes[index].server.start_time = Some(start_time)
+            }
             FleetEvent::AskAgain(index, life, ask) => {
                 if self.nodes[index].life == life {
                     self.nodes[index].statements.limits.ask_again(ask);
@@ -382,8 +384,8 @@
         let sent = self.nodes[index].boot(now);
         let server = self.nodes[index].server.clone();
         self.judge.note_arrival(self.nodes[index].started, now);
-        if server.born == self.server.born {
-            self.notices.note_arrival(index, server.born, now);
+        if server.start_time == self.server.start_time {
+            self.notices.note_arrival(index, server.start_time, now);
         }
         let words = self.words;
         let answer = FleetAnswer {
--- a/crates/plumgate/tests/limit_fleet/notice_judge.rs
+++ b/crates/plumgate/tests/limit_fleet/notice_judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use plumgate::gateway::servers::BirthTime;
+use plumgate::gateway::servers::StartTime;
 use plumgate::gateway::{LeaveStatement, RestStatement};
 
 use super::node::FleetAnswer;
@@ -18,7 +18,7 @@
 /// What the server told each node, and what came from it all the same.
 #[derive(Debug, Default)]
 pub(crate) struct NoticeJudge {
-    told: BTreeMap<(usize, Option<BirthTime>), ToldWords>,
+    told: BTreeMap<(usize, Option<StartTime>), ToldWords>,
     /// When some node first read that the server leaves.
     first_told: Option<Micros>,
     /// When each node last sent a request to a life that leaves.
@@ -32,7 +32,10 @@
 impl NoticeJudge {
     /// A node reads an answer.
     pub(crate) fn note_answer(&mut self, index: usize, answer: &FleetAnswer, now: Micros) {
-        let told = self.told.entry((index, answer.server.born)).or_default();
+        let told = self
+            .told
+            .entry((index, answer.server.start_time))
+            .or_default();
         if answer.leaving == LeaveStatement::Leaves {
             told.leaves_since.get_or_insert(now);
             self.first_told.get_or_insert(now);
@@ -46,9 +49,14 @@
     }
 
     /// A request arrives from a node at the life of the server that it was sent to.
-    pub(crate) fn note_arrival(&mut self, index: usize, born: Option<BirthTime>, now: Micros) {
+    pub(crate) fn note_arrival(
+        &mut self,
+        index: usize,
+        start_time: Option<StartTime>,
+        now: Micros,
+    ) {
         self.last_sent = Some(now);
-        let Some(told) = self.told.get(&(index, born)) else {
+        let Some(told) = self.told.get(&(index, start_time)) else {
             return;
         };
         if let Some(since) = told.leaves_since {
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -513,7 +513,7 @@
 fn server(engine: usize) -> ServerEntry {
     ServerEntry {
         id: format!("engine-{engine}").into(),
-        born: None,
+        start_time: None,
         pool: "models".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         data_centre: format!("hall-{}", engine % 3).into(),
--- a/crates/plumgate/tests/load/shedding.rs
+++ b/crates/plumgate/tests/load/shedding.rs
@@ -96,7 +96,10 @@
         };
         for node in &mut self.nodes[told] {
             node.statements.note_notices(server, &statement, times);
-            let standing = node.statements.notices.standing(server.life_key(), seen);
+            let standing = node
+                .statements
+                .notices
+                .standing(server.incarnation_id(), seen);
             node.table.set_standing(server, standing, at);
         }
     }
--- a/crates/plumgate/tests/notices/mod.rs
+++ b/crates/plumgate/tests/notices/mod.rs
@@ -95,14 +95,14 @@
     pub(crate) fn apply(&mut self, change: &ServerChange) {
         let now = self.now();
         self.table.apply(change, now);
-        if let ServerChange::Changed(entry) | ServerChange::Reborn(entry) = change {
+        if let ServerChange::Changed(entry) | ServerChange::Restarted(entry) = change {
             self.set_standing(entry);
         }
     }
 
     fn set_standing(&mut self, entry: &ServerEntry) {
         let now = self.now();
-        let standing = (self.statements.notices).standing(entry.life_key(), self.boot);
+        let standing = (self.statements.notices).standing(entry.incarnation_id(), self.boot);
         self.table.set_standing(entry, standing, now);
     }
 
--- a/crates/plumgate/tests/server_notices.rs
+++ b/crates/plumgate/tests/server_notices.rs
@@ -54,7 +54,7 @@
 fn another_life_of_a_server_is_free_of_what_the_last_one_said() {
     let mut bench = NoticeBench::new([born_entry("a", 7), born_entry("b", 7)]);
     bench.hear(&born_entry("a", 7), leaving());
-    bench.apply(&ServerChange::Reborn(born_entry("a", 8)));
+    bench.apply(&ServerChange::Restarted(born_entry("a", 8)));
     assert!(bench.servers_of(40).iter().any(|id| **id == *"a"));
     // An answer that was on its way is of the life that its request went to.
     bench.hear(&born_entry("a", 7), leaving());
@@ -107,7 +107,7 @@
 fn word_is_remembered_for_as_long_as_the_row_stands() {
     let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
     bench.hear(&server_entry("a"), leaving());
-    let life = server_entry("a").life_key();
+    let life = server_entry("a").incarnation_id();
     bench.pass(Duration::from_secs(3_600));
     (bench.statements.notices).forget_old(bench.boot, |known| known == life);
     bench.pass(Duration::from_secs(1));
@@ -192,7 +192,7 @@
     bench.apply(&ServerChange::Gone("a".into()));
     bench.apply(&ServerChange::Changed(born_entry("a", 7)));
     assert!(bench.servers_of(20).iter().all(|id| **id == *"b"));
-    bench.apply(&ServerChange::Reborn(born_entry("a", 8)));
+    bench.apply(&ServerChange::Restarted(born_entry("a", 8)));
     assert!(bench.servers_of(40).iter().any(|id| **id == *"a"));
 }
 
