--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -115,14 +115,14 @@
     /// collector is another node, and others are heard.
     pub(crate) fn leaves_retries(&self) -> bool {
         let hears_others = self.shared.hears_others();
-        self.shared.options.switches.has(PolicyPart::News)
+        self.shared.options.switches.has(PolicyPart::StateSync)
             && hears_others
             && !self.is_collector.get()
     }
 
     /// How long the store need not be asked for a topic, as others tell of it or give it.
     pub(crate) fn rest(&self, topic: SourceTopic) -> Option<Duration> {
-        if !self.shared.options.switches.has(PolicyPart::News) {
+        if !self.shared.options.switches.has(PolicyPart::StateSync) {
             return None;
         }
         let copied = self.wishes.left(topic, self.shared.clock.now());
@@ -215,7 +215,12 @@
     /// later goes for good: doubted too, a server that has left would get work for longer than it
     /// stays.
     pub(super) fn doubt(&self, now: Instant) -> Option<Duration> {
-        if !self.shared.options.switches.has(PolicyPart::Doubt) {
+        if !self
+            .shared
+            .options
+            .switches
+            .has(PolicyPart::UnconfirmedServers)
+        {
             return None;
         }
         let trouble_at = self.trouble_at.get()?;
--- a/crates/plumgate/src/gateway/placement/affinity.rs
+++ b/crates/plumgate/src/gateway/placement/affinity.rs
@@ -97,7 +97,7 @@
         };
         let weight = |id: &ServerId| xxh3_64_with_seed(id.as_bytes(), affinity);
         ranks.first = group.iter().max_by_key(|id| weight(id)).cloned();
-        if !switches.has(PolicyPart::SecondHome) {
+        if !switches.has(PolicyPart::SecondPreferred) {
             return ranks;
         }
         let others = all.iter().filter(|id| Some(*id) != ranks.first.as_ref());
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -230,9 +230,9 @@
         let mut costs: Vec<(f64, CostPrediction, ServerId)> = Vec::with_capacity(candidates.len());
         let groups = self.groups(request.pool);
         let members = groups.members(request.class, &candidates);
-        let shared = request.prompt.filter(|_| self.has(PolicyPart::Homes));
+        let shared = request.prompt.filter(|_| self.has(PolicyPart::Affinity));
         let preferred = PreferredServers::new(shared, &members, &candidates, self.options.switches);
-        let is_cached = self.has(PolicyPart::RereadWeights)
+        let is_cached = self.has(PolicyPart::CacheWeights)
             && members.iter().any(|id| {
                 let load = &self.servers[id];
                 load.caches_shared(request, now)
@@ -249,7 +249,7 @@
         for id in candidates {
             let load = &self.servers[&id];
             let rank = preferred.rank(&id);
-            let has_affinity = self.has(PolicyPart::Homes);
+            let has_affinity = self.has(PolicyPart::Affinity);
             let tokens = TokenCosts {
                 speed,
                 prefill_weight: if has_affinity {
@@ -301,7 +301,7 @@
 
     /// Whether the data centre of a server seems cut off.
     pub(super) fn is_cut_off(&self, server: &ServerEntry) -> bool {
-        self.has(PolicyPart::CutCentres) && self.data_centres.is_cut_off(&server.data_centre)
+        self.has(PolicyPart::DataCentreLoss) && self.data_centres.is_cut_off(&server.data_centre)
     }
 
     /// Finds the server from which another one may copy a prompt's shared parts.
@@ -383,7 +383,7 @@
     /// Records that the answer began, which means that the server has prefilled the prompt.
     pub fn record_first_byte(&mut self, ticket: &mut WorkTicket, now: Instant) {
         let tokens = std::mem::take(&mut ticket.unread_tokens);
-        let learns = self.has(PolicyPart::LearntSpeed);
+        let learns = self.has(PolicyPart::PrefillSpeed);
         let Some(load) = ticket_load(&mut self.servers, ticket) else {
             return;
         };
--- a/crates/plumgate/src/gateway/switches.rs
+++ b/crates/plumgate/src/gateway/switches.rs
@@ -13,11 +13,11 @@
     /// The load that other nodes report counts.
     Exchange,
     /// Prompts that share parts go to the same few preferred servers.
-    Homes,
+    Affinity,
     /// The first preferred server of a prompt has a second one to fall back to.
-    SecondHome,
+    SecondPreferred,
     /// Prefilling a part again costs more if another server holds it in its cache.
-    RereadWeights,
+    CacheWeights,
     /// Interactive and batch streams run on separate servers.
     Groups,
     /// The share of servers for interactive streams follows their load.
@@ -37,13 +37,13 @@
     /// A server that could not be reached gets no requests for a moment.
     UnreachablePause,
     /// Two servers that don't respond count as a loss of their data centre.
-    CutCentres,
+    DataCentreLoss,
     /// One node reads the store and passes its state on to the others.
-    News,
+    StateSync,
     /// Servers whose entries expired in an outage of the store stay in use as unconfirmed.
-    Doubt,
+    UnconfirmedServers,
     /// The prefill speed of a pool's servers is estimated from their answers.
-    LearntSpeed,
+    PrefillSpeed,
     /// Servers copy shared parts from each other instead of prefilling them again.
     PartCopies,
     /// The number of servers is scaled; without it the present servers stay.
@@ -55,9 +55,9 @@
 /// All mechanisms with their names in settings.
 const PARTS: [(PolicyPart, &str); 20] = [
     (PolicyPart::Exchange, "exchange"),
-    (PolicyPart::Homes, "homes"),
-    (PolicyPart::SecondHome, "second-home"),
-    (PolicyPart::RereadWeights, "reread-weights"),
+    (PolicyPart::Affinity, "homes"),
+    (PolicyPart::SecondPreferred, "second-home"),
+    (PolicyPart::CacheWeights, "reread-weights"),
     (PolicyPart::Groups, "groups"),
     (PolicyPart::AdaptiveShare, "adaptive-share"),
     (PolicyPart::Sampling, "sampling"),
@@ -67,10 +67,10 @@
     (PolicyPart::Circuit, "circuit"),
     (PolicyPart::FullPause, "full-pause"),
     (PolicyPart::UnreachablePause, "unreachable-pause"),
-    (PolicyPart::CutCentres, "cut-centres"),
-    (PolicyPart::News, "news"),
-    (PolicyPart::Doubt, "doubt"),
-    (PolicyPart::LearntSpeed, "learnt-speed"),
+    (PolicyPart::DataCentreLoss, "cut-centres"),
+    (PolicyPart::StateSync, "news"),
+    (PolicyPart::UnconfirmedServers, "doubt"),
+    (PolicyPart::PrefillSpeed, "learnt-speed"),
     (PolicyPart::PartCopies, "part-copies"),
     (PolicyPart::Scaling, "scaling"),
     (PolicyPart::ScaleByLoad, "scale-by-load"),
--- a/crates/plumgate/tests/gateway_load.rs
+++ b/crates/plumgate/tests/gateway_load.rs
@@ -248,7 +248,7 @@
         ..plan(20, 20, 2.9)
     };
     let learnt = play("slow engines", plan_of(PolicySwitches::new()));
-    let without = PolicySwitches::new().without(PolicyPart::LearntSpeed);
+    let without = PolicySwitches::new().without(PolicyPart::PrefillSpeed);
     let believed = play("the same, taken for fast ones", plan_of(without));
     assert!(share(&learnt, "briefing") > share(&believed, "briefing") + 0.1);
     assert!(share(&learnt, "hint") > share(&believed, "hint") - 0.02);
--- a/crates/plumgate/tests/gateway_reading.rs
+++ b/crates/plumgate/tests/gateway_reading.rs
@@ -110,7 +110,7 @@
 
 #[test]
 fn nothing_is_learnt_where_that_is_switched_off() {
-    let mut bench = ReadingBench::new(PolicySwitches::new().without(PolicyPart::LearntSpeed));
+    let mut bench = ReadingBench::new(PolicySwitches::new().without(PolicyPart::PrefillSpeed));
     for _ in 0..20 {
         bench.serve(Duration::from_millis(1_600));
     }
