--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, EXPECT};
 use hyper::{Request, Response, Version};
-use plumgate::gateway::{LinkAge, RepeatKind, WorkEnd};
+use plumgate::gateway::{LinkAge, RepeatKind, WorkOutcome};
 
 use super::answer::drop_connection_headers;
 use super::guards::{RunRefusal, WorkGuard};
@@ -45,7 +45,7 @@
     match work.begin_run(order.request.identity, age) {
         Ok(()) => {}
         Err(RunRefusal::Barred(refusal)) => {
-            work.judge(WorkEnd::Unsent);
+            work.judge(WorkOutcome::Unsent);
             return AttemptEnd::Barred(refusal);
         }
         Err(RunRefusal::Held(hold)) => {
@@ -63,24 +63,24 @@
     let exchange = life.run(link.exchange(request));
     match until(&shared.clock, wait_until, exchange).await {
         Some(None) => {
-            work.judge(WorkEnd::Restarted);
+            work.judge(WorkOutcome::Restarted);
             AttemptEnd::InDoubt(RESTARTED)
         }
         Some(Some(Ok(response))) => judge_answer(shared, &order, response, link, work),
         Some(Some(Err(LinkError::Unsent))) => {
-            work.judge(WorkEnd::Unsent);
+            work.judge(WorkOutcome::Unsent);
             AttemptEnd::NotRun {
                 reason: "closed_before_send",
                 arrived: false,
             }
         }
         Some(Some(Err(LinkError::Broken(_)))) => {
-            work.judge(WorkEnd::Broken);
+            work.judge(WorkOutcome::Broken);
             shared.links.clear(&order.server.id);
             AttemptEnd::InDoubt("broken")
         }
         None if shared.clock.now() < order.request.due => {
-            work.judge(WorkEnd::Silent);
+            work.judge(WorkOutcome::Silent);
             shared.links.clear(&order.server.id);
             AttemptEnd::InDoubt("silent")
         }
@@ -105,10 +105,10 @@
         }
     }
 
-    fn work_end(self) -> WorkEnd {
+    fn work_end(self) -> WorkOutcome {
         match self {
-            Self::Refused => WorkEnd::Refused,
-            Self::Silent => WorkEnd::Unreachable,
+            Self::Refused => WorkOutcome::Refused,
+            Self::Silent => WorkOutcome::Unreachable,
         }
     }
 }
@@ -199,9 +199,9 @@
         AnswerMeaning::NotRun { misdirected } => {
             // Another server has the address now: the entry is old, and nothing else says so.
             let end = if misdirected {
-                WorkEnd::Refused
+                WorkOutcome::Refused
             } else {
-                WorkEnd::Full
+                WorkOutcome::Full
             };
             work.judge(end);
             let reason = if misdirected { "misdirected" } else { "full" };
@@ -212,11 +212,11 @@
         }
         // An answer to another request, out of step on this connection, must reach nobody.
         AnswerMeaning::Foreign => {
-            work.judge(WorkEnd::Failed);
+            work.judge(WorkOutcome::Failed);
             AttemptEnd::InDoubt("foreign_answer")
         }
         AnswerMeaning::Untrue => {
-            work.judge(WorkEnd::Failed);
+            work.judge(WorkOutcome::Failed);
             AttemptEnd::InDoubt("untrue_answer")
         }
     }
@@ -241,10 +241,10 @@
     }
 
     /// What it says of the server.
-    pub(crate) fn work_end(self) -> WorkEnd {
+    pub(crate) fn work_end(self) -> WorkOutcome {
         match self {
-            Self::Cut => WorkEnd::Broken,
-            Self::TooLarge => WorkEnd::Failed,
+            Self::Cut => WorkOutcome::Broken,
+            Self::TooLarge => WorkOutcome::Failed,
         }
     }
 }
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -5,7 +5,7 @@
 
 use plumgate::gateway::{
     AnswerTimes, BootTime, LinkAge, RequestHold, RequestIdentity, RunFinding, RunTicket,
-    SendMoment, SendPermit, SendRefusal, ServerEntry, ServerPick, ServerStatement, WorkEnd,
+    SendMoment, SendPermit, SendRefusal, ServerEntry, ServerPick, ServerStatement, WorkOutcome,
     WorkTicket,
 };
 
@@ -73,7 +73,7 @@
     permit: Option<SendPermit>,
     /// Whether the server leaves, and no other can take the request.
     is_last_resort: bool,
-    end: WorkEnd,
+    end: WorkOutcome,
     /// The incarnation of the server that works on it.
     life: Arc<ServerLife>,
 }
@@ -95,7 +95,7 @@
             run: None,
             sent: BootTime::ZERO,
             permit,
-            end: WorkEnd::Unjudged,
+            end: WorkOutcome::Inconclusive,
             life,
         }
     }
@@ -154,7 +154,7 @@
     }
 
     /// What the end of the request says of the server.
-    pub(crate) fn judge(&mut self, end: WorkEnd) {
+    pub(crate) fn judge(&mut self, end: WorkOutcome) {
         self.end = end;
     }
 }
@@ -179,7 +179,7 @@
                 }
             }
         }
-        if self.end == WorkEnd::Refused {
+        if self.end == WorkOutcome::Refused {
             self.shared.note_refused(&self.server);
         }
         self.shared.log_suspects();
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -9,7 +9,7 @@
 use plumgate::attempt::AttemptEvent;
 use plumgate::gateway::{
     AdmissionDecision, AdmissionPolicy, QueuePrediction, RepeatKind, RequestHold, RequestVerdict,
-    SendPermit, SendRefusal, ServerPick, WorkEnd,
+    SendPermit, SendRefusal, ServerPick, WorkOutcome,
 };
 
 use super::answer::{GatewayBody, StreamPiece, own_answer, relayed_head, stream_body, whole_body};
@@ -198,7 +198,7 @@
     /// Until when a server's answer must begin before another server is tried.
     fn head_by(&self, now: Instant) -> Instant {
         let route = &self.request.route;
-        let last_run = self.runs + 1 >= route.attempts_most;
+        let last_run = self.runs + 1 >= route.max_attempts;
         if route.kind != RepeatKind::Idempotent || last_run {
             return self.request.due + Duration::from_secs(1);
         }
@@ -222,7 +222,7 @@
         let body = match until(&self.shared.clock, deadline, life.run(reading)).await {
             None => return NextTry::Fail(self.time_out()),
             Some(None) => {
-                answer.work.judge(WorkEnd::Restarted);
+                answer.work.judge(WorkOutcome::Restarted);
                 drop(answer);
                 return self.after_doubt(RESTARTED);
             }
@@ -236,14 +236,14 @@
         };
         let status = answer.head.status;
         if status.is_server_error() {
-            answer.work.judge(WorkEnd::Failed);
+            answer.work.judge(WorkOutcome::Failed);
             if self.allow_run_again("server_error") {
                 self.apply(AttemptEvent::Cut);
                 self.apply(AttemptEvent::RunAgain);
                 return NextTry::Again;
             }
         } else {
-            answer.work.judge(WorkEnd::Answered);
+            answer.work.judge(WorkOutcome::Answered);
         }
         self.apply(AttemptEvent::Finished);
         // A connection to an incarnation that is over leads nowhere.
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -199,7 +199,7 @@
     pub(crate) fn allow_run_again(&mut self, reason: &'static str) -> bool {
         let tries = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
         may_run_again(RunOutcome::Unknown, self.request.route.kind.is_repeatable())
-            && self.runs < self.request.route.attempts_most
+            && self.runs < self.request.route.max_attempts
             && tries < TRIES_MOST
             && self.left() > SHORTEST_TRY
             && !matches!(self.verdict(), RequestVerdict::Hold(_))
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -11,7 +11,7 @@
 use plumgate::RunOutcome;
 use plumgate::attempt::AttemptEvent;
 use plumgate::gateway::{
-    EventSplitter, RepeatKind, RequestVerdict, SendPermit, ServerPick, WorkEnd,
+    EventSplitter, RepeatKind, RequestVerdict, SendPermit, ServerPick, WorkOutcome,
 };
 
 use super::answer::{StreamPiece, drop_length};
@@ -134,9 +134,9 @@
                 Waited::End => return self.end(),
                 Waited::Cut(reason) => {
                     self.judge(match reason {
-                        RESTARTED => WorkEnd::Restarted,
-                        SILENT => WorkEnd::Silent,
-                        _ => WorkEnd::Broken,
+                        RESTARTED => WorkOutcome::Restarted,
+                        SILENT => WorkOutcome::Silent,
+                        _ => WorkOutcome::Broken,
                     });
                     if !self.resume(reason).await {
                         return self.break_off(reason).await;
@@ -148,7 +148,7 @@
     }
 
     /// What the stream says of its server.
-    fn judge(&mut self, end: WorkEnd) {
+    fn judge(&mut self, end: WorkOutcome) {
         if let Some(source) = &mut self.source {
             source.work.judge(end);
         }
@@ -221,7 +221,7 @@
     fn end(&mut self) -> Option<StreamPiece> {
         self.is_over = true;
         self.count_run(Duration::ZERO);
-        self.judge(WorkEnd::Answered);
+        self.judge(WorkOutcome::Answered);
         self.run.apply(AttemptEvent::Finished);
         self.run
             .report(RunOutcome::Answered, "server", StatusCode::OK);
--- a/crates/plumgate/src/gateway/config.rs
+++ b/crates/plumgate/src/gateway/config.rs
@@ -88,7 +88,7 @@
     /// Pools that serve the route, with their weights.
     pub pools: Vec<PoolSplit>,
     /// Number of servers that one request may be sent to.
-    pub attempts_most: u32,
+    pub max_attempts: u32,
     /// Whether requests are served without an API key.
     pub public: bool,
 }
--- a/crates/plumgate/src/gateway/exchange/messages.rs
+++ b/crates/plumgate/src/gateway/exchange/messages.rs
@@ -7,7 +7,7 @@
 use crate::duty::{ClockNews, UsageNews};
 use crate::gateway::servers::ServerEntry;
 use crate::gateway::sync::messages::{SyncRequest, SyncResponse};
-use crate::gateway::work::{ServerWork, URGENCIES};
+use crate::gateway::work::{ServerWork, URGENCY_LEVELS};
 
 /// Tokens per unit of [`WorkEntry::pending_prefill`].
 const TOKEN_UNIT: u64 = 64;
@@ -119,7 +119,10 @@
 impl WorkEntry {
     /// Encodes the work at a server.
     pub(crate) fn new(server: ServerKey, work: &ServerWork) -> Self {
-        let units = work.unread.iter().map(|tokens| tokens.div_ceil(TOKEN_UNIT));
+        let units = work
+            .pending_prefill
+            .iter()
+            .map(|tokens| tokens.div_ceil(TOKEN_UNIT));
         let mut pending_prefill: Vec<u32> = units
             .map(|units| u32::try_from(units).unwrap_or(u32::MAX))
             .collect();
@@ -139,8 +142,8 @@
             in_flight: self.in_flight,
             ..ServerWork::default()
         };
-        let units = self.pending_prefill.iter().take(URGENCIES);
-        for (tokens, units) in work.unread.iter_mut().zip(units) {
+        let units = self.pending_prefill.iter().take(URGENCY_LEVELS);
+        for (tokens, units) in work.pending_prefill.iter_mut().zip(units) {
             *tokens = u64::from(*units) * TOKEN_UNIT;
         }
         work
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -52,4 +52,4 @@
     ConfigSnapshot, ServerUpdate, ServersSnapshot, ServersState, SourceTopic, StateSnapshot,
     SyncOutcome, SyncRequest, SyncResponse, SyncState,
 };
-pub use work::{ServerWork, WorkEnd, WorkTicket};
+pub use work::{ServerWork, WorkOutcome, WorkTicket};
--- a/crates/plumgate/src/gateway/placement/cache_holder.rs
+++ b/crates/plumgate/src/gateway/placement/cache_holder.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::server_load::ServerLoad;
-use crate::gateway::prompt::{PromptShape, SMALL_PART};
+use crate::gateway::prompt::{MIN_TRACKED_TOKENS, PromptShape};
 use crate::ids::ServerId;
 
 /// The server that caches most of a prompt's shared parts. A leaving server counts too: it stays for some
@@ -45,7 +45,7 @@
         preferred: Option<&'a ServerId>,
     ) -> Option<&'a ServerId> {
         let (uncached, best) = self.best.as_ref()?;
-        if missing < u64::from(SMALL_PART) {
+        if missing < u64::from(MIN_TRACKED_TOKENS) {
             return None;
         }
         if *uncached < missing {
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -16,11 +16,11 @@
 use crate::gateway::config::StreamClass;
 use crate::gateway::exchange::LoadExchange;
 use crate::gateway::exchange::messages::{PartLocation, PoolDemand, ServerKey, server_key};
-use crate::gateway::prompt::{PromptShape, SMALL_PART};
+use crate::gateway::prompt::{MIN_TRACKED_TOKENS, PromptShape};
 use crate::gateway::rate_limit::ServerLimits;
 use crate::gateway::servers::{ServerChange, ServerEntry};
 use crate::gateway::switches::PolicyPart;
-use crate::gateway::work::{ServerWork, URGENCIES, WorkEnd, WorkTicket};
+use crate::gateway::work::{ServerWork, URGENCY_LEVELS, WorkOutcome, WorkTicket};
 use crate::ids::{DataCentreId, PoolId, ServerId};
 
 /// Number of servers of the group sampled for a request that has no preferred server. Short streams answered
@@ -194,7 +194,7 @@
                     load.limited += (1.0 - usable_share).max(0.0);
                 }
             }
-            let unread = server.own.plus(&server.peers).unread;
+            let unread = server.own.plus(&server.peers).pending_prefill;
             load.unread_tokens += unread.iter().sum::<u64>() as f64;
         }
         load
@@ -360,16 +360,19 @@
         let ticket = WorkTicket {
             server: pick.server.id.clone(),
             start_time: pick.server.start_time,
-            urgency: usize::from(request.urgency).min(URGENCIES - 1),
-            unread_tokens: pick.prefill_tokens,
-            read_tokens: pick.ahead_tokens + pick.prefill_tokens,
+            urgency: usize::from(request.urgency).min(URGENCY_LEVELS - 1),
+            prefill_tokens: pick.prefill_tokens,
+            total_prefill_tokens: pick.ahead_tokens + pick.prefill_tokens,
             started: now,
         };
         if let Some(load) = ticket_load(&mut self.servers, &ticket) {
             load.own.in_flight += 1;
-            load.own.unread[ticket.urgency] += ticket.unread_tokens;
+            load.own.pending_prefill[ticket.urgency] += ticket.prefill_tokens;
             let shared = request.prompt.map_or(&[][..], PromptShape::shared);
-            for part in shared.iter().filter(|part| part.tokens >= SMALL_PART) {
+            for part in shared
+                .iter()
+                .filter(|part| part.tokens >= MIN_TRACKED_TOKENS)
+            {
                 let is_new = load.record_part(part.id, now);
                 if is_new {
                     self.new_locations
@@ -382,44 +385,45 @@
 
     /// Records that the answer began, which means that the server has prefilled the prompt.
     pub fn record_first_byte(&mut self, ticket: &mut WorkTicket, now: Instant) {
-        let tokens = std::mem::take(&mut ticket.unread_tokens);
+        let tokens = std::mem::take(&mut ticket.prefill_tokens);
         let learns = self.has(PolicyPart::PrefillSpeed);
         let Some(load) = ticket_load(&mut self.servers, ticket) else {
             return;
         };
         load.record_answer(now);
-        load.own.unread[ticket.urgency] = load.own.unread[ticket.urgency].saturating_sub(tokens);
+        load.own.pending_prefill[ticket.urgency] =
+            load.own.pending_prefill[ticket.urgency].saturating_sub(tokens);
         if learns && tokens > 0 {
             let took = now.saturating_duration_since(ticket.started);
             self.speeds
-                .record(&load.entry.pool, ticket.read_tokens, took, now);
+                .record(&load.entry.pool, ticket.total_prefill_tokens, took, now);
         }
     }
 
     /// Records how a request ended.
-    pub fn finish(&mut self, ticket: WorkTicket, end: WorkEnd, now: Instant) {
+    pub fn finish(&mut self, ticket: WorkTicket, end: WorkOutcome, now: Instant) {
         let Some(load) = ticket_load(&mut self.servers, &ticket) else {
             return;
         };
         load.own.in_flight = load.own.in_flight.saturating_sub(1);
-        let unread = &mut load.own.unread[ticket.urgency];
-        *unread = unread.saturating_sub(ticket.unread_tokens);
+        let unread = &mut load.own.pending_prefill[ticket.urgency];
+        *unread = unread.saturating_sub(ticket.prefill_tokens);
         load.record_end(end, now);
         let data_centre = &load.entry.data_centre;
         match end {
-            WorkEnd::Answered | WorkEnd::Full | WorkEnd::Refused => {
+            WorkOutcome::Answered | WorkOutcome::Full | WorkOutcome::Refused => {
                 self.data_centres.record_answer(data_centre)
             }
-            WorkEnd::Unreachable => {
+            WorkOutcome::Unreachable => {
                 self.data_centres
                     .record_unanswered(data_centre, &load.entry.id, now);
             }
-            WorkEnd::Failed
-            | WorkEnd::Broken
-            | WorkEnd::Silent
-            | WorkEnd::Restarted
-            | WorkEnd::Unsent
-            | WorkEnd::Unjudged => {}
+            WorkOutcome::Failed
+            | WorkOutcome::Broken
+            | WorkOutcome::Silent
+            | WorkOutcome::Restarted
+            | WorkOutcome::Unsent
+            | WorkOutcome::Inconclusive => {}
         }
     }
 
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -5,12 +5,12 @@
 
 use super::choice::{PlacementOptions, PlacementRequest, SendDeferral};
 use crate::gateway::config::StreamClass;
-use crate::gateway::prompt::{PromptShape, SMALL_PART};
+use crate::gateway::prompt::{MIN_TRACKED_TOKENS, PromptShape};
 use crate::gateway::rate_limit::RequestRate;
 use crate::gateway::servers::{IncarnationId, ServerEntry, ServerState};
 use crate::gateway::statements::{SendRefusal, ServerStanding};
 use crate::gateway::switches::{PolicyPart, PolicySwitches};
-use crate::gateway::work::{ServerWork, URGENCIES, WorkEnd};
+use crate::gateway::work::{ServerWork, URGENCY_LEVELS, WorkOutcome};
 use crate::retry::CircuitBreaker;
 
 /// Time, in seconds, that each request already running at an engine adds to a new one: the step of a batch
@@ -239,10 +239,10 @@
                 ahead: 0,
             };
         };
-        let urgency = usize::from(request.urgency).min(URGENCIES - 1);
-        let ahead: u64 = self.own.unread[..=urgency]
+        let urgency = usize::from(request.urgency).min(URGENCY_LEVELS - 1);
+        let ahead: u64 = self.own.pending_prefill[..=urgency]
             .iter()
-            .chain(&self.peers.unread[..=urgency])
+            .chain(&self.peers.pending_prefill[..=urgency])
             .sum();
         let uncached = self.uncached(prompt, now);
         let own_tokens = prompt.parts.last().map_or(0, |part| u64::from(part.tokens));
@@ -276,8 +276,8 @@
     }
 
     fn pending_prefill(&self) -> u64 {
-        let own: u64 = self.own.unread.iter().sum();
-        let peers: u64 = self.peers.unread.iter().sum();
+        let own: u64 = self.own.pending_prefill.iter().sum();
+        let peers: u64 = self.peers.pending_prefill.iter().sum();
         own + peers
     }
 
@@ -287,7 +287,7 @@
         let kept = shared
             .iter()
             .take_while(|part| {
-                part.tokens < SMALL_PART
+                part.tokens < MIN_TRACKED_TOKENS
                     || self
                         .parts
                         .get(&part.id)
@@ -331,24 +331,24 @@
     }
 
     /// Records how a request to it ended.
-    pub(crate) fn record_end(&mut self, end: WorkEnd, now: Instant) {
+    pub(crate) fn record_end(&mut self, end: WorkOutcome, now: Instant) {
         let failed = match end {
-            WorkEnd::Answered => {
+            WorkOutcome::Answered => {
                 self.breaker.record_success();
                 self.record_answer(now);
                 0.0
             }
-            WorkEnd::Failed | WorkEnd::Broken | WorkEnd::Silent => 1.0,
-            WorkEnd::Refused | WorkEnd::Unreachable => {
+            WorkOutcome::Failed | WorkOutcome::Broken | WorkOutcome::Silent => 1.0,
+            WorkOutcome::Refused | WorkOutcome::Unreachable => {
                 self.breaker.record_failure(now);
                 self.unreachable_until = Some(now + UNREACHABLE_PAUSE);
                 1.0
             }
-            WorkEnd::Full => {
+            WorkOutcome::Full => {
                 self.full_until = Some(now + FULL_PAUSE);
                 return;
             }
-            WorkEnd::Restarted | WorkEnd::Unsent | WorkEnd::Unjudged => return,
+            WorkOutcome::Restarted | WorkOutcome::Unsent | WorkOutcome::Inconclusive => return,
         };
         let share = self.failure_share(now);
         self.failures = share + FAILURE_WEIGHT * (failed - share);
--- a/crates/plumgate/src/gateway/prompt.rs
+++ b/crates/plumgate/src/gateway/prompt.rs
@@ -4,7 +4,7 @@
 
 /// Size in tokens from which on a prompt part is tracked. Smaller parts are prefilled again in a few
 /// milliseconds: they are not remembered and give a request no affinity to a server.
-pub(crate) const SMALL_PART: u32 = 512;
+pub(crate) const MIN_TRACKED_TOKENS: u32 = 512;
 /// Part of a prompt, which other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
@@ -20,7 +20,7 @@
     /// Parts in order; the last one belongs to the request or its session.
     pub parts: Vec<PromptPart>,
     /// Maximum number of tokens of the answer.
-    pub output_most: u32,
+    pub max_output_tokens: u32,
 }
 
 impl PromptShape {
@@ -38,7 +38,7 @@
     /// to be tracked.
     pub(crate) fn affinity(&self) -> Option<u64> {
         let last = self.shared().last()?;
-        if last.tokens < SMALL_PART {
+        if last.tokens < MIN_TRACKED_TOKENS {
             return None;
         }
         Some(xxh3_64(&last.id.to_le_bytes()))
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -19,7 +19,7 @@
 use crate::gateway::exchange::messages::{ServerKey, server_key};
 use crate::gateway::notice_keys::NoticeKeys;
 use crate::gateway::servers::ServerEntry;
-use crate::gateway::work::WorkEnd;
+use crate::gateway::work::WorkOutcome;
 
 /// Requests that are remembered, some 400 bytes each: those that were cut at a hundred crashes.
 const MAX_RECORDS: usize = 1_024;
@@ -179,49 +179,52 @@
     }
 
     /// Ends a run and records what its end says of the request and the server.
-    pub fn finish(&mut self, ticket: RunTicket, end: WorkEnd, now: Instant) -> RunFinding {
+    pub fn finish(&mut self, ticket: RunTicket, end: WorkOutcome, now: Instant) -> RunFinding {
         self.in_flight
             .remove(ticket.server, ticket.identity, ticket.began);
-        let is_unexplained = matches!(end, WorkEnd::Broken | WorkEnd::Silent | WorkEnd::Unjudged);
+        let is_unexplained = matches!(
+            end,
+            WorkOutcome::Broken | WorkOutcome::Silent | WorkOutcome::Inconclusive
+        );
         if let Some(run) = ticket.in_doubt_run(end, now).filter(|_| is_unexplained) {
             return self.on_in_doubt_run(run, end, now);
         }
         self.clear_isolated_run(ticket.identity);
         match end {
-            WorkEnd::Answered => {
+            WorkOutcome::Answered => {
                 self.answers.record(ticket.identity, now);
                 self.responses.record(ticket.server, now);
                 self.on_server_alive(ticket.server, ticket.began, now);
                 self.release(ticket.identity, ReleaseReason::Answered, now);
             }
-            WorkEnd::Failed | WorkEnd::Full => {
+            WorkOutcome::Failed | WorkOutcome::Full => {
                 self.responses.record(ticket.server, now);
                 self.on_server_alive(ticket.server, ticket.began, now);
             }
-            WorkEnd::Restarted => {
+            WorkOutcome::Restarted => {
                 if let Some(run) = ticket.in_doubt_run(end, now) {
                     self.believe(run, EndSign::Restarted, now);
                     return RunFinding::ServerEnded(EndSign::Restarted);
                 }
             }
-            WorkEnd::Broken
-            | WorkEnd::Silent
-            | WorkEnd::Unjudged
-            | WorkEnd::Unsent
-            | WorkEnd::Refused
-            | WorkEnd::Unreachable => {}
+            WorkOutcome::Broken
+            | WorkOutcome::Silent
+            | WorkOutcome::Inconclusive
+            | WorkOutcome::Unsent
+            | WorkOutcome::Refused
+            | WorkOutcome::Unreachable => {}
         }
         RunFinding::Nothing
     }
 
-    fn on_in_doubt_run(&mut self, run: InDoubtRun, end: WorkEnd, now: Instant) -> RunFinding {
+    fn on_in_doubt_run(&mut self, run: InDoubtRun, end: WorkOutcome, now: Instant) -> RunFinding {
         if let Some(sign) = self.in_doubt.add_run(run, now) {
             self.believe(run, sign, now);
             return RunFinding::ServerEnded(sign);
         }
         // A silent run may go on for long, and a caller that disconnects says nothing of the server. A server
         // that stopped responding is detected by the lapse of its entry.
-        if end != WorkEnd::Broken {
+        if end != WorkOutcome::Broken {
             self.clear_isolated_run(run.identity);
             return RunFinding::Nothing;
         }
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -7,7 +7,7 @@
 use super::identity::RequestIdentity;
 use super::rule::SuspectState;
 use crate::gateway::exchange::messages::ServerKey;
-use crate::gateway::work::WorkEnd;
+use crate::gateway::work::WorkOutcome;
 
 /// Reason for which a request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,8 +78,8 @@
     /// On a reused connection the run counts from the server's last answer on, as the server may have crashed
     /// at any time since; otherwise runs that one crash cut would look consecutive. The same holds for a run
     /// without any response on a new connection, as the machine of a hung server still accepts connections.
-    pub(crate) fn in_doubt_run(&self, end: WorkEnd, now: Instant) -> Option<InDoubtRun> {
-        let is_silent = matches!(end, WorkEnd::Silent | WorkEnd::Unjudged);
+    pub(crate) fn in_doubt_run(&self, end: WorkOutcome, now: Instant) -> Option<InDoubtRun> {
+        let is_silent = matches!(end, WorkOutcome::Silent | WorkOutcome::Inconclusive);
         let earliest_crash = if is_silent {
             self.earliest_silent_crash
         } else {
--- a/crates/plumgate/src/gateway/rate_limit/issuer.rs
+++ b/crates/plumgate/src/gateway/rate_limit/issuer.rs
@@ -11,7 +11,7 @@
 use super::statement::RequestRate;
 use super::votes::PERMIT_LIFETIME;
 use crate::gateway::exchange::messages::ServerKey;
-use crate::gateway::work::URGENCIES;
+use crate::gateway::work::URGENCY_LEVELS;
 use crate::token_bucket::TokenBucket;
 
 /// Window over which a server's limit is enforced.
@@ -54,7 +54,7 @@
     denials: f64,
     counted_at: BootTime,
     /// When a request of each urgency was last denied.
-    denied_at: [Option<BootTime>; URGENCIES],
+    denied_at: [Option<BootTime>; URGENCY_LEVELS],
     /// Number of permits issued since the last one that was issued regardless of urgency.
     since_unreserved: u32,
 }
@@ -115,7 +115,7 @@
             asked_at: since,
             denials: 0.0,
             counted_at: since,
-            denied_at: [None; URGENCIES],
+            denied_at: [None; URGENCY_LEVELS],
             since_unreserved: 0,
         }
     }
@@ -124,7 +124,7 @@
         self.asked_at = now;
         let issued = issued_rate(rate);
         self.bucket.refill(issued, bucket_depth(rate), now);
-        let urgency = usize::from(urgency).min(URGENCIES - 1);
+        let urgency = usize::from(urgency).min(URGENCY_LEVELS - 1);
         if self.bucket.take(self.required_permits(urgency, now)) {
             self.since_unreserved = if self.is_floor() {
                 0
--- a/crates/plumgate/src/gateway/work.rs
+++ b/crates/plumgate/src/gateway/work.rs
@@ -6,21 +6,21 @@
 use crate::ids::ServerId;
 
 /// Number of urgency levels that are tracked separately; the last one includes all less urgent levels.
-pub const URGENCIES: usize = 10;
+pub const URGENCY_LEVELS: usize = 10;
 /// Requests in flight at one server, as one node knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerWork {
     /// Number of requests that were sent and have not ended.
     pub in_flight: u32,
     /// Prompt tokens of requests that have not begun to answer, by urgency.
-    pub unread: [u64; URGENCIES],
+    pub pending_prefill: [u64; URGENCY_LEVELS],
 }
 
 impl ServerWork {
     /// Returns the sum of both.
     pub fn plus(mut self, other: &Self) -> Self {
         self.in_flight += other.in_flight;
-        for (own, other) in self.unread.iter_mut().zip(other.unread) {
+        for (own, other) in self.pending_prefill.iter_mut().zip(other.pending_prefill) {
             *own += other;
         }
         self
@@ -29,7 +29,7 @@
     /// Returns the difference, 0 where `part` is larger.
     pub fn minus(mut self, part: &Self) -> Self {
         self.in_flight = self.in_flight.saturating_sub(part.in_flight);
-        for (own, part) in self.unread.iter_mut().zip(part.unread) {
+        for (own, part) in self.pending_prefill.iter_mut().zip(part.pending_prefill) {
             *own = own.saturating_sub(part);
         }
         self
@@ -43,9 +43,9 @@
     /// Start time of the server, which names its incarnation; a later one under the same id has no such request.
     pub(crate) start_time: Option<StartTime>,
     pub(crate) urgency: usize,
-    pub(crate) unread_tokens: u64,
+    pub(crate) prefill_tokens: u64,
     /// Prompt tokens that the server prefills before it begins to answer, those of earlier requests included.
-    pub(crate) read_tokens: u64,
+    pub(crate) total_prefill_tokens: u64,
     pub(crate) started: Instant,
 }
 
@@ -58,7 +58,7 @@
 
 /// Outcome of a request at a server, as evidence for or against the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkEnd {
+pub enum WorkOutcome {
     /// The server answered.
     Answered,
     /// The answer reports a failure, or is not an answer to this request.
@@ -78,5 +78,5 @@
     /// The server refused the request because it is full.
     Full,
     /// The outcome says nothing about the server.
-    Unjudged,
+    Inconclusive,
 }
--- a/crates/plumgate/tests/gateway_apart.rs
+++ b/crates/plumgate/tests/gateway_apart.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::servers::ServerChange;
-use plumgate::gateway::{LoadTable, PlacementOptions, PlacementRequest, StreamClass, WorkEnd};
+use plumgate::gateway::{LoadTable, PlacementOptions, PlacementRequest, StreamClass, WorkOutcome};
 use plumgate::ids::{PoolId, ServerId};
 
 use entries::server_entry;
@@ -39,7 +39,7 @@
         let pick = table.pick(&request, now).expect("a server");
         let mut ticket = table.start(&pick, &request, now);
         if name == "dark" {
-            table.finish(ticket, WorkEnd::Answered, now);
+            table.finish(ticket, WorkOutcome::Answered, now);
         } else {
             // Those that live have work under way, and answer now and then.
             now += Duration::from_millis(1_500);
--- a/crates/plumgate/tests/gateway_config.rs
+++ b/crates/plumgate/tests/gateway_config.rs
@@ -23,7 +23,7 @@
             pool: "models".into(),
             weight: 1,
         }],
-        attempts_most: 1,
+        max_attempts: 1,
         public: false,
     }
 }
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -8,7 +8,7 @@
 use plumgate::gateway::{
     LimitSighting, LoadTable, PlacementOptions, PlacementRequest, PolicyPart, PolicySwitches,
     PromptPart, PromptShape, RequestRate, ServerEntry, ServerLimits, ServerPick, ServerStanding,
-    ServerState, StreamClass, WorkEnd,
+    ServerState, StreamClass, WorkOutcome,
 };
 use plumgate::ids::{PoolId, ServerId};
 
@@ -53,7 +53,7 @@
         let mut ticket = self.table.start(&pick, &request, self.now);
         self.now += Duration::from_millis(300);
         self.table.record_first_byte(&mut ticket, self.now);
-        self.table.finish(ticket, WorkEnd::Answered, self.now);
+        self.table.finish(ticket, WorkOutcome::Answered, self.now);
         pick
     }
 
@@ -69,7 +69,7 @@
                     id: 10_000 + number,
                     tokens: 2_000,
                 }],
-                output_most: 100,
+                max_output_tokens: 100,
             };
             let pick = self.pick(&alone, &others);
             let request = request(&pool, &alone, &others);
@@ -98,7 +98,7 @@
     let part = |id, tokens| PromptPart { id, tokens };
     PromptShape {
         parts: vec![part(document, shared_tokens), part(document + 1_000, 900)],
-        output_most: 100,
+        max_output_tokens: 100,
     }
 }
 
--- a/crates/plumgate/tests/gateway_exchange.rs
+++ b/crates/plumgate/tests/gateway_exchange.rs
@@ -69,7 +69,7 @@
             in_flight,
             ..ServerWork::default()
         };
-        work.unread[2] = tokens;
+        work.pending_prefill[2] = tokens;
         let address = self.address(index);
         self.work
             .insert(address, vec![(server_entry(server), work)]);
@@ -114,7 +114,7 @@
     bench.set_work(4, "a", 5, 12_800);
     bench.rounds(6);
     assert_eq!(bench.peers_of(8, "a").in_flight, 8);
-    assert_eq!(bench.peers_of(8, "a").unread[2], 19_200);
+    assert_eq!(bench.peers_of(8, "a").pending_prefill[2], 19_200);
     assert_eq!(bench.peers_of(0, "a").in_flight, 5, "without its own");
     assert_eq!(bench.peers_of(4, "a").in_flight, 3);
     assert_eq!(bench.peers_of(8, "b"), ServerWork::default());
--- a/crates/plumgate/tests/gateway_quarantine.rs
+++ b/crates/plumgate/tests/gateway_quarantine.rs
@@ -7,7 +7,8 @@
 
 use plumgate::gateway::{
     EndSign, HOLD_TIME, HoldReason, KeepChange, KeptVerdict, LinkAge, QuarantineTable,
-    RequestIdentity, RequestVerdict, RunFinding, ServerEntry, ServerState, SuspectState, WorkEnd,
+    RequestIdentity, RequestVerdict, RunFinding, ServerEntry, ServerState, SuspectState,
+    WorkOutcome,
 };
 
 use entries::server_entry;
@@ -33,7 +34,7 @@
     ended: Instant,
 ) {
     let ticket = table.begin(request, server, LinkAge::Fresh, began);
-    let finding = table.finish(ticket.expect("sent"), WorkEnd::Broken, ended);
+    let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, ended);
     assert_eq!(finding, RunFinding::AskServer);
     let ends = table.note_gone(server, EndSign::Refused, ended);
     assert_eq!(ends, [request]);
@@ -144,7 +145,7 @@
             }
             fleet.advance(MOMENT / 10);
             for server in 0..6 {
-                fleet.end_server(server, WorkEnd::Broken);
+                fleet.end_server(server, WorkOutcome::Broken);
             }
             // Callers come all the while, until after the servers are back.
             let back = fleet.now + AWAY;
@@ -216,7 +217,7 @@
     let read = identity("lab", "popular");
     for server in 0..6 {
         fleet.send_to(server, read, server);
-        fleet.end_server(server, WorkEnd::Broken);
+        fleet.end_server(server, WorkOutcome::Broken);
         for node in 0..6 {
             fleet.send(node, read);
             fleet.advance(MOMENT);
@@ -236,7 +237,7 @@
         fleet.send_to(server, read, server);
     }
     for server in 0..4 {
-        fleet.end_server(server, WorkEnd::Silent);
+        fleet.end_server(server, WorkOutcome::Silent);
     }
     // Kept connections lead nowhere, one after the other.
     let before = fleet.now - MOMENT;
@@ -250,7 +251,9 @@
         let ticket = table.begin(read, &dark, link, now).expect("sent");
         fleet.advance(MOMENT);
         let now = fleet.now;
-        fleet.nodes[0].table.finish(ticket, WorkEnd::Silent, now);
+        fleet.nodes[0]
+            .table
+            .finish(ticket, WorkOutcome::Silent, now);
     }
     for server in 0..4 {
         fleet.lapse(server);
@@ -268,7 +271,7 @@
 // only the entry that lapses shows the end.
 #[test]
 fn server_that_goes_dark_counts_once_its_entry_lapses() {
-    for how in [WorkEnd::Silent, WorkEnd::Unjudged] {
+    for how in [WorkOutcome::Silent, WorkOutcome::Inconclusive] {
         let mut table = lone_table();
         let request = identity("lab", "deadly");
         let mut now = Instant::now();
@@ -300,7 +303,7 @@
         .begin(request, &server, LinkAge::Fresh, now)
         .expect("sent");
     table.note_gone(&server, EndSign::Lapsed, now + SECOND);
-    let sign = table.finish(ticket, WorkEnd::Unjudged, now + SECOND * 2);
+    let sign = table.finish(ticket, WorkOutcome::Inconclusive, now + SECOND * 2);
     assert_eq!(sign, RunFinding::ServerEnded(EndSign::Lapsed));
 }
 
@@ -322,7 +325,7 @@
     let sent = start + SECOND * 2;
     let ticket = table.begin(read, &dark, LinkAge::Fresh, sent);
     let late = sent + SECOND * 2;
-    table.finish(ticket.expect("sent"), WorkEnd::Unjudged, late);
+    table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, late);
     table.note_gone(&dark, EndSign::Lapsed, late);
     let verdict = table.judge(read, late);
     assert_eq!(verdict, RequestVerdict::SendApart);
@@ -348,7 +351,7 @@
     }
     assert!(matches!(table.judge(request, now), RequestVerdict::Hold(_)));
     let answered = waiting.pop().expect("a run");
-    table.finish(answered, WorkEnd::Answered, now);
+    table.finish(answered, WorkOutcome::Answered, now);
     assert_eq!(table.judge(request, now), RequestVerdict::Send);
 }
 
@@ -366,14 +369,14 @@
             .expect("sent");
         now += SECOND;
         assert_eq!(
-            table.finish(ticket, WorkEnd::Unjudged, now),
+            table.finish(ticket, WorkOutcome::Inconclusive, now),
             RunFinding::Nothing
         );
         let other = identity("lab", "other");
         let ticket = table
             .begin(other, &server, LinkAge::Fresh, now)
             .expect("sent");
-        table.finish(ticket, WorkEnd::Answered, now + MOMENT);
+        table.finish(ticket, WorkOutcome::Answered, now + MOMENT);
         // It was taken away as planned, or for reasons of its own, after it had lived on.
         table.note_gone(&server, EndSign::Lapsed, now + SECOND);
         now += SECOND * 2;
@@ -413,7 +416,7 @@
         let server = server_entry(&format!("s{}", number % 4));
         let ticket = table.begin(request, &server, LinkAge::Fresh, now);
         now += MOMENT;
-        let finding = table.finish(ticket.expect("sent"), WorkEnd::Broken, now);
+        let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now);
         assert_eq!(finding, RunFinding::AskServer);
         table.note_reached(&server, now, now);
         // Its entry may lapse later, for reasons of its own.
@@ -440,7 +443,7 @@
         .collect();
     let findings = tickets
         .into_iter()
-        .map(|ticket| table.finish(ticket, WorkEnd::Broken, now + MOMENT));
+        .map(|ticket| table.finish(ticket, WorkOutcome::Broken, now + MOMENT));
     let asked = findings.filter(|finding| *finding == RunFinding::AskServer);
     assert_eq!(asked.count(), 1);
     let ends = table.note_gone(&server, EndSign::Refused, now + MOMENT);
@@ -464,7 +467,7 @@
             // It goes one by one by now, and what goes apart opens a connection.
             continue;
         };
-        table.finish(ticket, WorkEnd::Broken, sent + MOMENT);
+        table.finish(ticket, WorkOutcome::Broken, sent + MOMENT);
         table.note_gone(&server, EndSign::Refused, sent + MOMENT);
     }
     let verdict = table.judge(request, now + SECOND * 5);
@@ -472,7 +475,7 @@
     let mut table = lone_table();
     let unknown = LinkAge::Kept { answered: None };
     let ticket = table.begin(request, &server_entry("s9"), unknown, now);
-    let finding = table.finish(ticket.expect("sent"), WorkEnd::Broken, now);
+    let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now);
     assert_eq!(finding, RunFinding::Nothing, "nothing is known of it");
 }
 
@@ -489,7 +492,7 @@
             answered: Some(now - MOMENT),
         };
         let ticket = table.begin(request, &server, link, now);
-        let finding = table.finish(ticket.expect("sent"), WorkEnd::Broken, now + MOMENT);
+        let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now + MOMENT);
         assert_eq!(finding, RunFinding::AskServer);
         table.note_gone(&server, EndSign::Refused, now + MOMENT);
         now += SECOND;
@@ -505,10 +508,10 @@
     let request = identity("lab", "refused");
     let now = Instant::now();
     let ends = [
-        WorkEnd::Full,
-        WorkEnd::Failed,
-        WorkEnd::Unsent,
-        WorkEnd::Refused,
+        WorkOutcome::Full,
+        WorkOutcome::Failed,
+        WorkOutcome::Unsent,
+        WorkOutcome::Refused,
     ];
     for (number, end) in ends.into_iter().enumerate() {
         let server = ServerEntry {
@@ -619,7 +622,7 @@
         fleet.send_to(server, request, server);
     }
     for server in 0..4 {
-        fleet.end_server(server, WorkEnd::Broken);
+        fleet.end_server(server, WorkOutcome::Broken);
     }
     fleet.advance(SECOND);
     assert_eq!(fleet.state(5, request), SuspectState::OneByOne);
@@ -720,7 +723,7 @@
             end_under(&mut table, request, &server, began, now);
         } else {
             let ticket = table.begin(request, &server, LinkAge::Fresh, began);
-            table.finish(ticket.expect("sent"), WorkEnd::Unjudged, now);
+            table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, now);
         }
     }
     assert!(table.len() <= 1_024, "{}", table.len());
--- a/crates/plumgate/tests/gateway_reading.rs
+++ b/crates/plumgate/tests/gateway_reading.rs
@@ -8,7 +8,7 @@
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
     LoadTable, PlacementOptions, PlacementRequest, PolicyPart, PolicySwitches, PromptPart,
-    PromptShape, ServerPick, StreamClass, WorkEnd,
+    PromptShape, ServerPick, StreamClass, WorkOutcome,
 };
 use plumgate::ids::PoolId;
 
@@ -21,7 +21,7 @@
             id: 1,
             tokens: TOKENS,
         }],
-        output_most: 100,
+        max_output_tokens: 100,
     }
 }
 
@@ -59,7 +59,7 @@
         let mut ticket = self.table.start(&pick, &request, self.now);
         self.now += took;
         self.table.record_first_byte(&mut ticket, self.now);
-        self.table.finish(ticket, WorkEnd::Answered, self.now);
+        self.table.finish(ticket, WorkOutcome::Answered, self.now);
     }
 }
 
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -30,7 +30,7 @@
             id: 1,
             tokens: TOKENS,
         }],
-        output_most: 100,
+        max_output_tokens: 100,
     };
     let request = PlacementRequest {
         pool: &pool,
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -15,7 +15,7 @@
     PlacementOptions, PlacementPolicy, PolicySwitches, PromptShape, QueuePrediction, ServerEntry,
     ServerState, ServerStatements, StreamClass, SyncState,
 };
-use plumgate::gateway::{PlacementRequest, PromptPart, WorkEnd, WorkTicket};
+use plumgate::gateway::{PlacementRequest, PromptPart, WorkOutcome, WorkTicket};
 use plumgate::ids::ServerId;
 
 pub(crate) use shedding::{RestWay, ShedPlan};
@@ -239,7 +239,7 @@
                     tokens: own,
                 },
             ],
-            output_most: kind.output * 4,
+            max_output_tokens: kind.output * 4,
         }
     }
 
@@ -340,7 +340,7 @@
         let engine = engine_index(&pick.server.id);
         if self.sheds(engine, now) {
             let node = &mut self.nodes[index];
-            node.table.finish(ticket, WorkEnd::Full, at);
+            node.table.finish(ticket, WorkOutcome::Full, at);
             self.turn_away(wish, index, &pick.server, now);
             return;
         }
@@ -425,12 +425,12 @@
                 } else {
                     result.in_time += 1;
                 }
-                self.end(number, WorkEnd::Answered, at);
+                self.end(number, WorkOutcome::Answered, at);
             }
         }
     }
 
-    fn end(&mut self, number: usize, end: WorkEnd, at: Instant) {
+    fn end(&mut self, number: usize, end: WorkOutcome, at: Instant) {
         let caller = &mut self.callers[number];
         caller.is_over = true;
         if let Some(ticket) = caller.ticket.take() {
@@ -449,7 +449,7 @@
                 self.engines[caller.engine].cancel(number);
                 self.result.kinds.entry(kind.name).or_default().left += 1;
                 let at = self.at(now);
-                self.end(number, WorkEnd::Unjudged, at);
+                self.end(number, WorkOutcome::Inconclusive, at);
             }
         }
     }
--- a/crates/plumgate/tests/notices/mod.rs
+++ b/crates/plumgate/tests/notices/mod.rs
@@ -7,7 +7,7 @@
 use plumgate::gateway::{
     AnswerTimes, LeaveStatement, LoadTable, NoticeChange, PlacementOptions, PlacementRequest,
     RestStatement, SendMoment, SendRefusal, ServerEntry, ServerPick, ServerStatement,
-    ServerStatements, StreamClass, WorkEnd, WorkTicket,
+    ServerStatements, StreamClass, WorkOutcome, WorkTicket,
 };
 use plumgate::ids::{PoolId, ServerId};
 
@@ -175,16 +175,16 @@
         for _ in 0..requests {
             if let Some(sent) = self.send() {
                 names.push(sent.server.id.clone());
-                self.finish(sent, WorkEnd::Answered);
+                self.finish(sent, WorkOutcome::Answered);
             }
         }
         names
     }
 
     /// A request ended.
-    pub(crate) fn finish(&mut self, mut sent: SentRequest, end: WorkEnd) {
+    pub(crate) fn finish(&mut self, mut sent: SentRequest, end: WorkOutcome) {
         let now = self.now();
-        if end == WorkEnd::Answered {
+        if end == WorkOutcome::Answered {
             self.table.record_first_byte(&mut sent.ticket, now);
         }
         self.table.finish(sent.ticket, end, now);
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -8,7 +8,7 @@
 use plumgate::gateway::{
     CallerLimits, EndSign, ExchangeMoment, GatewayConfig, IdentityHasher, LinkAge, LoadExchange,
     QuarantineTable, RequestHead, RequestHold, RequestIdentity, RunFinding, RunTicket, ServerEntry,
-    SuspectState, SyncState, WorkEnd, WorkspaceKeys,
+    SuspectState, SyncState, WorkOutcome, WorkspaceKeys,
 };
 use plumgate::ids::WorkspaceId;
 
@@ -255,15 +255,15 @@
             let run = self.runs.swap_remove(index);
             self.result(run.identity).answered += 1;
             let table = &mut self.nodes[run.node].table;
-            table.finish(run.ticket, WorkEnd::Answered, self.now);
+            table.finish(run.ticket, WorkOutcome::Answered, self.now);
         }
         for server in ended {
-            self.end_server(server, WorkEnd::Broken);
+            self.end_server(server, WorkOutcome::Broken);
         }
     }
 
     /// A server ends: what runs there ends in some way.
-    pub(crate) fn end_server(&mut self, server: usize, how: WorkEnd) {
+    pub(crate) fn end_server(&mut self, server: usize, how: WorkOutcome) {
         self.servers[server].ended.get_or_insert(self.now);
         let (cut, kept): (Vec<SimRun>, Vec<SimRun>) =
             self.runs.drain(..).partition(|run| run.server == server);
