--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -123,7 +123,7 @@
         loop {
             match self.wait().await {
                 Waited::Bytes(bytes) => {
-                    if let Some(whole) = self.splitter.take(&bytes) {
+                    if let Some(whole) = self.splitter.push(&bytes) {
                         self.note_piece();
                         return Some(Ok(Frame::data(whole)));
                     }
@@ -225,7 +225,7 @@
         self.run.apply(AttemptEvent::Finished);
         self.run
             .report(RunOutcome::Answered, "server", StatusCode::OK);
-        let rest = Bytes::copy_from_slice(self.splitter.rest());
+        let rest = Bytes::copy_from_slice(self.splitter.partial());
         (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
     }
 
@@ -249,7 +249,7 @@
         // The connection closes before another server begins: one that was only silent gives the run up
         // then, and no two work on it at once.
         self.source = None;
-        self.splitter.drop_rest();
+        self.splitter.drop_partial();
         if self.run.request.route.kind != RepeatKind::ResumableStream {
             return false;
         }
--- a/crates/plumgate/src/gateway/events.rs
+++ b/crates/plumgate/src/gateway/events.rs
@@ -13,7 +13,7 @@
 /// that the events of another server can follow.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    buffer: BytesMut,
     /// Bytes of the buffer that were searched for the end of an event.
     scanned: usize,
     last_id: Option<u64>,
@@ -29,30 +29,30 @@
     }
 
     /// Adds bytes of the stream and returns the events that are complete now, if any.
-    pub fn take(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        self.held.extend_from_slice(bytes);
+    pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
+        self.buffer.extend_from_slice(bytes);
         let end = self.last_event_end()?;
-        let whole = self.held.split_to(end).freeze();
+        let whole = self.buffer.split_to(end).freeze();
         self.scanned = 0;
         self.record_id(&whole);
         Some(whole)
     }
 
     /// Returns the buffered bytes, which are no complete event.
-    pub fn rest(&self) -> &[u8] {
-        &self.held
+    pub fn partial(&self) -> &[u8] {
+        &self.buffer
     }
 
     /// Drops the buffered beginning of an event whose end will not come.
-    pub fn drop_rest(&mut self) {
-        let held = self.held.len();
-        self.held.advance(held);
+    pub fn drop_partial(&mut self) {
+        let buffer = self.buffer.len();
+        self.buffer.advance(buffer);
         self.scanned = 0;
     }
 
     /// Returns whether the buffered event is larger than an event may be.
     pub fn is_overlong(&self) -> bool {
-        self.held.len() > MAX_EVENT_BYTES
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
     /// Returns the number of the last complete event.
@@ -64,13 +64,13 @@
         // An event ends with an empty line, whose line ends may arrive in separate pieces.
         let from = self.scanned.saturating_sub(3);
         let mut end = None;
-        for at in from..self.held.len() {
-            let seen = &self.held[..=at];
+        for at in from..self.buffer.len() {
+            let seen = &self.buffer[..=at];
             if seen.ends_with(b"\n\n") || seen.ends_with(b"\r\n\r\n") {
                 end = Some(at + 1);
             }
         }
-        self.scanned = self.held.len();
+        self.scanned = self.buffer.len();
         end
     }
 
--- a/crates/plumgate/tests/gateway_events.rs
+++ b/crates/plumgate/tests/gateway_events.rs
@@ -11,13 +11,13 @@
 fn whole_events_go_on_and_the_beginning_of_one_is_held() {
     let mut splitter = EventSplitter::new(None);
     let text = format!("{}{}id: 3\nda", event(1), event(2));
-    let whole = splitter.take(text.as_bytes());
+    let whole = splitter.push(text.as_bytes());
     assert_eq!(
         whole.as_deref(),
         Some(format!("{}{}", event(1), event(2)).as_bytes())
     );
     assert_eq!(splitter.last_id(), Some(2));
-    assert_eq!(splitter.rest(), b"id: 3\nda");
+    assert_eq!(splitter.partial(), b"id: 3\nda");
 }
 
 // The caller sees one stream without a gap or a repeat. Its server stops in the middle of an
@@ -25,9 +25,9 @@
 #[test]
 fn torn_event_is_dropped_before_another_server_goes_on() {
     let mut splitter = EventSplitter::new(None);
-    let first = splitter.take(format!("{}id: 2\ndata: pie", event(1)).as_bytes());
-    splitter.drop_rest();
-    let second = splitter.take(event(2).as_bytes());
+    let first = splitter.push(format!("{}id: 2\ndata: pie", event(1)).as_bytes());
+    splitter.drop_partial();
+    let second = splitter.push(event(2).as_bytes());
     let all: Vec<u8> = first.into_iter().chain(second).flatten().collect();
     assert_eq!(all, format!("{}{}", event(1), event(2)).into_bytes());
     assert_eq!(splitter.last_id(), Some(2));
@@ -55,7 +55,7 @@
             let size = usize::from(sizes.next().unwrap_or(255).max(1)).min(left.len());
             let (piece, rest) = left.split_at(size);
             left = rest;
-            if let Some(whole) = splitter.take(piece) {
+            if let Some(whole) = splitter.push(piece) {
                 let end: &[u8] = if crlf { b"\r\n\r\n" } else { b"\n\n" };
                 if !whole.ends_with(end) {
                     return false;
@@ -63,6 +63,6 @@
                 out.extend_from_slice(&whole);
             }
         }
-        out == text.as_bytes() && splitter.rest().is_empty() && splitter.last_id() == Some(5)
+        out == text.as_bytes() && splitter.partial().is_empty() && splitter.last_id() == Some(5)
     }
 }
