--- a/crates/plumgate/tests/gateway_news.rs
+++ b/crates/plumgate/tests/gateway_sync.rs
@@ -36,12 +36,12 @@
 
 /// A desk that has read the store at a moment.
 fn reader(version: u64, at: Duration) -> SyncState {
-    let mut desk = SyncState::new(KEY_AGE, version);
-    desk.set_config(3);
-    desk.restart_log(version);
-    desk.record_read(SourceTopic::Config, at);
-    desk.record_read(SourceTopic::Servers, at);
-    desk
+    let mut state = SyncState::new(KEY_AGE, version);
+    state.set_config(3);
+    state.restart_log(version);
+    state.record_read(SourceTopic::Config, at);
+    state.record_read(SourceTopic::Servers, at);
+    state
 }
 
 fn ask(
@@ -298,8 +298,8 @@
 // A node that has read nothing itself must not give an empty fleet to others.
 #[test]
 fn node_that_knows_no_servers_gives_no_copy() {
-    let desk = SyncState::new(KEY_AGE, 1);
-    assert_eq!(desk.servers_snapshot(&ServerTable::new(), ms(1_000)), None);
+    let state = SyncState::new(KEY_AGE, 1);
+    assert_eq!(state.servers_snapshot(&ServerTable::new(), ms(1_000)), None);
 }
 
 // While a watch of its own is under way, a node is told of the same changes. Taken twice, the older
@@ -366,14 +366,14 @@
                     continue;
                 }
                 self.read(from);
-                let (exchange, desk) = self.nodes.get_mut(&from).expect("a node");
-                let packets = exchange.tick(std::iter::empty(), desk, moment);
+                let (exchange, state) = self.nodes.get_mut(&from).expect("a node");
+                let packets = exchange.tick(std::iter::empty(), state, moment);
                 for (to, bytes) in packets {
                     if self.down.contains(&to) {
                         continue;
                     }
-                    let (exchange, desk) = self.nodes.get_mut(&to).expect("a node");
-                    let taken = exchange.receive(&bytes, from, desk, moment);
+                    let (exchange, state) = self.nodes.get_mut(&to).expect("a node");
+                    let taken = exchange.receive(&bytes, from, state, moment);
                     taken.expect("a message");
                 }
             }
@@ -383,8 +383,8 @@
     /// Reads what the node may not leave to others.
     fn read(&mut self, node: SocketAddr) {
         for topic in [SourceTopic::Config, SourceTopic::Servers] {
-            let (exchange, desk) = self.nodes.get_mut(&node).expect("a node");
-            let fresh_until = desk.fresh_until(topic, exchange.is_collector());
+            let (exchange, state) = self.nodes.get_mut(&node).expect("a node");
+            let fresh_until = state.fresh_until(topic, exchange.is_collector());
             if fresh_until.is_some_and(|until| self.at < until) {
                 continue;
             }
@@ -393,7 +393,7 @@
                 SourceTopic::Servers => self.server_reads += 1,
             }
             if !self.store_down && !self.storeless.contains(&node) {
-                desk.record_read(topic, self.at);
+                state.record_read(topic, self.at);
             }
         }
     }
@@ -403,8 +403,8 @@
         let at = self.at;
         let running = self.nodes.iter_mut();
         let running = running.filter(|(address, _)| !self.down.contains(address));
-        let ages = running.map(|(_, (_, desk))| {
-            let known_at = desk.known_at(SourceTopic::Config).expect("it has read");
+        let ages = running.map(|(_, (_, state))| {
+            let known_at = state.known_at(SourceTopic::Config).expect("it has read");
             at.saturating_sub(known_at)
         });
         ages.collect()
