--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -190,7 +190,10 @@
             let packets = {
                 let exchange = self.exchange.borrow();
                 let moment = self.mail_moment();
-                self.shared.statements().limits.take_asks(&exchange, moment)
+                self.shared
+                    .statements()
+                    .limits
+                    .take_requests(&exchange, moment)
             };
             if packets.is_empty() {
                 asked.await;
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -163,7 +163,7 @@
     fn drop(&mut self) {
         let now = self.shared.clock.now();
         if let Some(permit) = self.permit.take() {
-            self.shared.statements().limits.give_back(permit);
+            self.shared.statements().limits.return_permit(permit);
         }
         if let Some(ticket) = self.ticket.take() {
             self.shared.loads().finish(ticket, self.end, now);
--- a/crates/plumgate-node/src/gateway/server_limits.rs
+++ b/crates/plumgate-node/src/gateway/server_limits.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use plumgate::gateway::{
-    ANSWER_TIMEOUT, ASK_AGAIN, AnswerTimes, AskId, LimitEvent, LimitSighting, RateStatement,
-    SendClaim, SendPermit, ServerEntry, ServerStatement,
+    AnswerTimes, LimitEvent, LimitSighting, PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT,
+    PermitRequestId, PermitStatus, RateStatement, SendPermit, ServerEntry, ServerStatement,
 };
 
 use super::metrics::ReasonLabels;
@@ -83,33 +83,36 @@
         urgency: u8,
     ) -> Result<Option<SendPermit>, Duration> {
         let now = self.clock.boot_time();
-        let claimed = self.statements().limits.claim(server, urgency, now);
+        let claimed = self
+            .statements()
+            .limits
+            .request_permit(server, urgency, now);
         let claimed = match claimed {
-            SendClaim::Asked(id) => self.await_answer(id).await,
+            PermitStatus::Requested(id) => self.await_answer(id).await,
             known => Some(known),
         };
         match claimed {
-            Some(SendClaim::Free) => Ok(None),
-            Some(SendClaim::Permitted(permit)) => Ok(Some(permit)),
-            Some(SendClaim::Held(pause)) => Err(pause),
-            Some(SendClaim::Asked(_)) | None => {
+            Some(PermitStatus::NotRequired) => Ok(None),
+            Some(PermitStatus::Granted(permit)) => Ok(Some(permit)),
+            Some(PermitStatus::Deferred(pause)) => Err(pause),
+            Some(PermitStatus::Requested(_)) | None => {
                 let now = self.clock.boot_time();
-                let held = self.statements().limits.held_for(server, urgency, now);
-                Err(held.unwrap_or(ANSWER_TIMEOUT))
+                let held = self.statements().limits.deferred_for(server, urgency, now);
+                Err(held.unwrap_or(PERMIT_TIMEOUT))
             }
         }
     }
 
     /// Waits for the answer to an ask.
-    async fn await_answer(&self, id: AskId) -> Option<SendClaim> {
+    async fn await_answer(&self, id: PermitRequestId) -> Option<PermitStatus> {
         let waiting = AskGuard { shared: self, id };
         self.limit_asked.notify(1);
-        let deadline = self.clock.now() + ANSWER_TIMEOUT;
-        let mut ask_again = self.clock.now() + ASK_AGAIN;
+        let deadline = self.clock.now() + PERMIT_TIMEOUT;
+        let mut ask_again = self.clock.now() + PERMIT_RESEND_INTERVAL;
         loop {
             let answered = self.limit_answered.listen();
             let now = self.clock.boot_time();
-            let claim = self.statements().limits.take_answer(waiting.id, now);
+            let claim = self.statements().limits.take_response(waiting.id, now);
             if claim.is_some() {
                 return claim;
             }
@@ -122,8 +125,8 @@
             if self.clock.now() >= deadline {
                 return None;
             }
-            ask_again += ASK_AGAIN;
-            self.statements().limits.ask_again(waiting.id);
+            ask_again += PERMIT_RESEND_INTERVAL;
+            self.statements().limits.resend_request(waiting.id);
             self.limit_asked.notify(1);
         }
     }
@@ -190,7 +193,9 @@
                 continue;
             };
             let key = server.incarnation_key();
-            let held = limits.held_for(server, u8::MAX, now).unwrap_or_default();
+            let held = limits
+                .deferred_for(server, u8::MAX, now)
+                .unwrap_or_default();
             // Writing to a string does not fail.
             let _ = writeln!(
                 page,
@@ -225,7 +230,7 @@
 /// An ask that is waited for; whoever stops waiting leaves its permit to others.
 struct AskGuard<'a, C: Clock, W> {
     shared: &'a GatewayShared<C, W>,
-    id: AskId,
+    id: PermitRequestId,
 }
 
 impl<C: Clock, W> Drop for AskGuard<'_, C, W> {
--- a/crates/plumgate/examples/limit_costs.rs
+++ b/crates/plumgate/examples/limit_costs.rs
@@ -8,7 +8,7 @@
 
 use plumgate::gateway::{
     ExchangeMoment, ExchangePacket, GatewayConfig, LimitSighting, LoadExchange, MailMoment,
-    NodeEntry, RequestRate, SendClaim, ServerLimits, SyncState,
+    NodeEntry, PermitStatus, RequestRate, ServerLimits, SyncState,
 };
 
 use entries::{node_entries, server_entry};
@@ -162,13 +162,14 @@
         let millis = 3_000 + u64::from(round) * 2_500;
         let begun = Instant::now();
         let now = Duration::from_millis(millis);
-        let SendClaim::Asked(id) = nodes[asker].limits.claim(&server, 0, now) else {
+        let PermitStatus::Requested(id) = nodes[asker].limits.request_permit(&server, 0, now)
+        else {
             continue;
         };
         let CostNode {
             limits, exchange, ..
         } = &mut nodes[asker];
-        let asks = limits.take_asks(exchange, mail(millis));
+        let asks = limits.take_requests(exchange, mail(millis));
         for (_, ask) in asks {
             bytes += ask.len();
             let answers = nodes[1 - asker].hear(&entries[asker], &ask, millis);
@@ -177,7 +178,7 @@
                 nodes[asker].hear(&entries[1 - asker], &answer, millis);
             }
         }
-        nodes[asker].limits.take_answer(id, now);
+        nodes[asker].limits.take_response(id, now);
         spent += begun.elapsed();
         count += 1;
     }
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -39,8 +39,9 @@
     RunFinding, RunTicket, SuspectEvent, SuspectState,
 };
 pub use rate_limit::{
-    ANSWER_TIMEOUT, ASK_AGAIN, AskId, BootTime, LimitChange, LimitEvent, LimitSighting, MailMoment,
-    MailOutcome, RateStatement, RequestRate, SendClaim, SendPermit, ServerLimits,
+    BootTime, LimitChange, LimitEvent, LimitSighting, MailMoment, MailOutcome,
+    PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT, PermitRequestId, PermitStatus, RateStatement,
+    RequestRate, SendPermit, ServerLimits,
 };
 pub use servers::{IncarnationId, ServerEntry, ServerState, ServerTable};
 pub use statements::{
--- a/crates/plumgate/src/gateway/rate_limit/desk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/desk.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::messages::{AskId, PermitDecision, PermitRequest, PermitResponse};
+use super::messages::{PermitDecision, PermitRequest, PermitRequestId, PermitResponse};
 use super::observed::BootTime;
 use super::votes::PERMIT_LIFETIME;
 use crate::gateway::exchange::messages::ServerKey;
 
 /// How long a request waits for the response of the issuer.
-pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
+pub const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Interval after which an unanswered request is sent again.
-pub const ASK_AGAIN: Duration = Duration::from_millis(35);
+pub const PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(35);
 /// How long a server is deferred after its issuer did not respond.
 const NO_RESPONSE_PAUSE: Duration = Duration::from_millis(300);
 /// Maximum number of pending requests of one node for one server and urgency.
@@ -27,11 +27,11 @@
 }
 
 impl SendPermit {
-    /// Creates the permit for a request that was made at `asked`.
-    pub(crate) fn new(server: ServerKey, asked: BootTime) -> Self {
+    /// Creates the permit for a request that was made at `requested_at`.
+    pub(crate) fn new(server: ServerKey, requested_at: BootTime) -> Self {
         Self {
             server,
-            until: asked + PERMIT_LIFETIME,
+            until: requested_at + PERMIT_LIFETIME,
         }
     }
 
@@ -44,23 +44,23 @@
 /// A request whose response has not been received, or has not been taken yet.
 #[derive(Clone, Debug)]
 struct PendingRequest {
-    ask: PermitRequest,
-    asked: BootTime,
-    verdict: Option<PermitDecision>,
+    request: PermitRequest,
+    requested_at: BootTime,
+    decision: Option<PermitDecision>,
     /// Whether nothing waits for the response any more.
     is_abandoned: bool,
 }
 
 impl PendingRequest {
     fn server(&self) -> ServerKey {
-        self.ask.report.server
+        self.request.report.server
     }
 }
 
 /// Permits and pending requests of one node.
 #[derive(Debug, Default)]
 pub(crate) struct PermitRequester {
-    asks: BTreeMap<AskId, PendingRequest>,
+    requests: BTreeMap<PermitRequestId, PendingRequest>,
     /// Unused permits, available to later requests.
     spare: Vec<SendPermit>,
     /// Until when a server is deferred for requests of an urgency and for less urgent ones.
@@ -79,12 +79,12 @@
     }
 
     /// Returns an unused permit for use by a later request.
-    pub(crate) fn give_back(&mut self, permit: SendPermit) {
+    pub(crate) fn return_permit(&mut self, permit: SendPermit) {
         self.spare.push(permit);
     }
 
     /// Returns how long a server is still deferred for requests of some urgency.
-    pub(crate) fn held_for(
+    pub(crate) fn deferred_for(
         &self,
         server: ServerKey,
         urgency: u8,
@@ -102,51 +102,51 @@
     }
 
     /// Registers a request. Returns false, and defers the server, if too many requests are pending.
-    pub(crate) fn register(&mut self, ask: PermitRequest, now: BootTime) -> bool {
-        let server = ask.report.server;
-        let asks = self.asks.values();
-        let urgency = ask.urgency;
-        let waiting = asks.filter(|pending| {
+    pub(crate) fn register(&mut self, request: PermitRequest, now: BootTime) -> bool {
+        let server = request.report.server;
+        let requests = self.requests.values();
+        let urgency = request.urgency;
+        let waiting = requests.filter(|pending| {
             pending.server() == server
-                && pending.ask.urgency == urgency
-                && pending.verdict.is_none()
+                && pending.request.urgency == urgency
+                && pending.decision.is_none()
         });
         if waiting.count() >= MAX_PENDING_REQUESTS {
             self.defer(server, urgency, BUSY_PAUSE, now);
             return false;
         }
-        let id = ask.id;
+        let id = request.id;
         let pending = PendingRequest {
-            ask,
-            asked: now,
-            verdict: None,
+            request,
+            requested_at: now,
+            decision: None,
             is_abandoned: false,
         };
-        self.asks.insert(id, pending);
+        self.requests.insert(id, pending);
         true
     }
 
     /// Returns a request that has no response yet, and when it was made.
-    pub(crate) fn unanswered(&self, id: AskId) -> Option<(&PermitRequest, BootTime)> {
+    pub(crate) fn unanswered(&self, id: PermitRequestId) -> Option<(&PermitRequest, BootTime)> {
         let pending = self
-            .asks
+            .requests
             .get(&id)
-            .filter(|pending| pending.verdict.is_none())?;
-        Some((&pending.ask, pending.asked))
+            .filter(|pending| pending.decision.is_none())?;
+        Some((&pending.request, pending.requested_at))
     }
 
     /// Applies a response. A response to an unknown or already answered request is ignored.
     pub(crate) fn apply_response(&mut self, response: &PermitResponse, now: BootTime) {
-        let Some(pending) = self.asks.get_mut(&response.id) else {
+        let Some(pending) = self.requests.get_mut(&response.id) else {
             return;
         };
-        if pending.verdict.is_some() {
+        if pending.decision.is_some() {
             return;
         }
-        pending.verdict = Some(response.verdict);
-        let (server, urgency) = (pending.server(), pending.ask.urgency);
+        pending.decision = Some(response.decision);
+        let (server, urgency) = (pending.server(), pending.request.urgency);
         let is_abandoned = pending.is_abandoned;
-        if let PermitDecision::Denied { pause_ms } = response.verdict {
+        if let PermitDecision::Denied { pause_ms } = response.decision {
             let pause = Duration::from_millis(pause_ms.into());
             self.defer(server, urgency, pause, now);
         }
@@ -156,35 +156,40 @@
     }
 
     /// Removes an answered request that nothing waits for; its permit goes to a later request.
-    fn release_unused(&mut self, id: AskId) {
+    fn release_unused(&mut self, id: PermitRequestId) {
         if let Some((PermitDecision::Granted, permit)) = self.take_decision(id) {
-            self.give_back(permit);
+            self.return_permit(permit);
         }
     }
 
     /// Returns the urgency of a request.
-    pub(crate) fn urgency(&self, id: AskId) -> Option<u8> {
-        self.asks.get(&id).map(|pending| pending.ask.urgency)
+    pub(crate) fn urgency(&self, id: PermitRequestId) -> Option<u8> {
+        self.requests
+            .get(&id)
+            .map(|pending| pending.request.urgency)
     }
 
     /// Takes the decision on a request, if its response was received.
-    pub(crate) fn take_decision(&mut self, id: AskId) -> Option<(PermitDecision, SendPermit)> {
-        let pending = self.asks.get(&id)?;
-        let verdict = pending.verdict?;
-        let permit = SendPermit::new(pending.server(), pending.asked);
-        self.asks.remove(&id);
-        Some((verdict, permit))
+    pub(crate) fn take_decision(
+        &mut self,
+        id: PermitRequestId,
+    ) -> Option<(PermitDecision, SendPermit)> {
+        let pending = self.requests.get(&id)?;
+        let decision = pending.decision?;
+        let permit = SendPermit::new(pending.server(), pending.requested_at);
+        self.requests.remove(&id);
+        Some((decision, permit))
     }
 
     /// Marks a request as no longer waited for.
-    pub(crate) fn abandon(&mut self, id: AskId, now: BootTime) {
-        let Some(pending) = self.asks.get_mut(&id) else {
+    pub(crate) fn abandon(&mut self, id: PermitRequestId, now: BootTime) {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
         pending.is_abandoned = true;
-        let (server, urgency) = (pending.server(), pending.ask.urgency);
-        let has_timed_out = now.saturating_sub(pending.asked) >= ANSWER_TIMEOUT;
-        match pending.verdict {
+        let (server, urgency) = (pending.server(), pending.request.urgency);
+        let has_timed_out = now.saturating_sub(pending.requested_at) >= PERMIT_TIMEOUT;
+        match pending.decision {
             Some(_) => self.release_unused(id),
             None if has_timed_out => self.defer(server, urgency, NO_RESPONSE_PAUSE, now),
             None => {}
@@ -193,8 +198,8 @@
 
     /// Discards requests whose permits would have expired, expired permits and deferrals that are over.
     pub(crate) fn forget_old(&mut self, now: BootTime) {
-        self.asks
-            .retain(|_, ask| now.saturating_sub(ask.asked) < PERMIT_LIFETIME);
+        self.requests
+            .retain(|_, request| now.saturating_sub(request.requested_at) < PERMIT_LIFETIME);
         self.spare.retain(|permit| now < permit.until);
         self.deferred_until.retain(|_, until| now < *until);
     }
--- a/crates/plumgate/src/gateway/rate_limit/issuer.rs
+++ b/crates/plumgate/src/gateway/rate_limit/issuer.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::messages::{AskId, PermitDecision};
+use super::messages::{PermitDecision, PermitRequestId};
 use super::observed::BootTime;
 use super::statement::RequestRate;
 use super::votes::PERMIT_LIFETIME;
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 struct IssuedLimit {
     bucket: TokenBucket<BootTime>,
-    asked_at: BootTime,
+    last_requested_at: BootTime,
     /// Number of requests denied in the last second, with exponential decay.
     denials: f64,
     counted_at: BootTime,
@@ -64,7 +64,7 @@
 pub(crate) struct PermitIssuer {
     limits: BTreeMap<ServerKey, IssuedLimit>,
     /// Decisions on recent requests, which may be received again.
-    judged: BTreeMap<AskId, (PermitDecision, BootTime)>,
+    decisions: BTreeMap<PermitRequestId, (PermitDecision, BootTime)>,
 }
 
 impl PermitIssuer {
@@ -76,19 +76,24 @@
     /// Discards the buckets and decisions that are too old.
     pub(crate) fn forget_old(&mut self, now: BootTime) {
         self.limits
-            .retain(|_, issued| now.saturating_sub(issued.asked_at) < IDLE_RETENTION);
-        self.judged
+            .retain(|_, issued| now.saturating_sub(issued.last_requested_at) < IDLE_RETENTION);
+        self.decisions
             .retain(|_, (_, at)| now.saturating_sub(*at) < PERMIT_LIFETIME);
     }
 
     /// Returns the earlier decision on a request that was received before.
-    pub(crate) fn judged(&self, id: AskId) -> Option<PermitDecision> {
-        self.judged.get(&id).map(|(verdict, _)| *verdict)
+    pub(crate) fn decision(&self, id: PermitRequestId) -> Option<PermitDecision> {
+        self.decisions.get(&id).map(|(decision, _)| *decision)
     }
 
     /// Records the decision on a request for the lifetime of its permit.
-    pub(crate) fn note_judged(&mut self, id: AskId, verdict: PermitDecision, now: BootTime) {
-        self.judged.insert(id, (verdict, now));
+    pub(crate) fn record_decision(
+        &mut self,
+        id: PermitRequestId,
+        decision: PermitDecision,
+        now: BootTime,
+    ) {
+        self.decisions.insert(id, (decision, now));
     }
 
     /// Decides on a request for a limited server whose permits this node has issued since `since`.
@@ -112,7 +117,7 @@
     fn new(since: BootTime) -> Self {
         Self {
             bucket: TokenBucket::new(0.0, since),
-            asked_at: since,
+            last_requested_at: since,
             denials: 0.0,
             counted_at: since,
             denied_at: [None; URGENCY_LEVELS],
@@ -121,7 +126,7 @@
     }
 
     fn decide(&mut self, rate: RequestRate, urgency: u8, now: BootTime) -> PermitDecision {
-        self.asked_at = now;
+        self.last_requested_at = now;
         let issued = issued_rate(rate);
         self.bucket.refill(issued, bucket_depth(rate), now);
         let urgency = usize::from(urgency).min(URGENCY_LEVELS - 1);
--- a/crates/plumgate/src/gateway/rate_limit/messages.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messages.rs
@@ -14,7 +14,7 @@
 const TRANSIT_MOST: Duration = Duration::from_secs(1);
 
 /// Identifies one permit request among the pending ones of its node; drawn at random.
-pub type AskId = u64;
+pub type PermitRequestId = u64;
 /// Identifies one round of a node that issues permits; drawn at random.
 pub(crate) type RoundId = u64;
 
@@ -46,7 +46,7 @@
 /// Request for a permit to send one request to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PermitRequest {
-    pub(crate) id: AskId,
+    pub(crate) id: PermitRequestId,
     /// Address to which the response is sent.
     pub(crate) origin: SocketAddr,
     /// The data centre whose collector issues the permits for this server.
@@ -73,8 +73,8 @@
 /// Response to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PermitResponse {
-    pub(crate) id: AskId,
-    pub(crate) verdict: PermitDecision,
+    pub(crate) id: PermitRequestId,
+    pub(crate) decision: PermitDecision,
     /// The limit as known to the issuer.
     pub(crate) report: Option<LimitReport>,
 }
--- a/crates/plumgate/src/gateway/rate_limit/mod.rs
+++ b/crates/plumgate/src/gateway/rate_limit/mod.rs
@@ -15,10 +15,10 @@
 mod talk;
 mod votes;
 
-pub use desk::{ANSWER_TIMEOUT, ASK_AGAIN, SendPermit};
-pub use messages::AskId;
+pub use desk::{PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT, SendPermit};
+pub use messages::PermitRequestId;
 pub(crate) use messages::StatementMessage;
 pub use observed::{BootTime, LimitChange, LimitSighting};
 pub use statement::{RateStatement, RequestRate};
-pub use table::{LimitEvent, SendClaim, ServerLimits};
+pub use table::{LimitEvent, PermitStatus, ServerLimits};
 pub use talk::{MailMoment, MailOutcome};
--- a/crates/plumgate/src/gateway/rate_limit/table.rs
+++ b/crates/plumgate/src/gateway/rate_limit/table.rs
@@ -6,7 +6,7 @@
 use super::book::LimitTable;
 use super::desk::{PermitRequester, SendPermit};
 use super::issuer::{PermitIssuer, not_elected};
-use super::messages::{AskId, LimitReport, PermitDecision, PermitRequest, RoundId};
+use super::messages::{LimitReport, PermitDecision, PermitRequest, PermitRequestId, RoundId};
 use super::observed::{BootTime, LimitChange, LimitSighting};
 use super::statement::RequestRate;
 use super::votes::{IssuerVotes, SETTLE_TIME};
@@ -22,15 +22,15 @@
 
 /// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendClaim {
+pub enum PermitStatus {
     /// The server is not limited.
-    Free,
+    NotRequired,
     /// The server is limited, and this permit allows the request.
-    Permitted(SendPermit),
+    Granted(SendPermit),
     /// The server is limited, and a permit has been requested from its issuer.
-    Asked(AskId),
+    Requested(PermitRequestId),
     /// The server gets no request from this node for this time.
-    Held(Duration),
+    Deferred(Duration),
 }
 
 /// A change of a limit that was learnt from another node.
@@ -130,21 +130,26 @@
     }
 
     /// Requests permission to send a request of some urgency to a server.
-    pub fn claim(&mut self, server: &ServerEntry, urgency: u8, now: BootTime) -> SendClaim {
+    pub fn request_permit(
+        &mut self,
+        server: &ServerEntry,
+        urgency: u8,
+        now: BootTime,
+    ) -> PermitStatus {
         let key = server.incarnation_key();
         if self.book.rate(key).is_none() {
-            return SendClaim::Free;
+            return PermitStatus::NotRequired;
         }
         if let Some(permit) = self.requester.take_spare(key, now) {
-            return SendClaim::Permitted(permit);
+            return PermitStatus::Granted(permit);
         }
-        if let Some(left) = self.requester.held_for(key, urgency, now) {
-            return SendClaim::Held(left);
+        if let Some(left) = self.requester.deferred_for(key, urgency, now) {
+            return PermitStatus::Deferred(left);
         }
         let data_centre = self.issuing_data_centre(server);
         if self.is_issuer(data_centre.as_ref()) {
-            let verdict = self.decide(key, urgency, now);
-            return self.apply_decision(verdict, SendPermit::new(key, now), urgency, now);
+            let decision = self.decide(key, urgency, now);
+            return self.apply_decision(decision, SendPermit::new(key, now), urgency, now);
         }
         match data_centre {
             Some(data_centre) => self.enqueue_request(key, data_centre, urgency, now),
@@ -153,26 +158,34 @@
     }
 
     /// Queues a request without a response for sending again.
-    pub fn ask_again(&mut self, id: AskId) {
-        let ask = self.requester.unanswered(id).map(|(ask, _)| ask.clone());
-        self.outgoing.extend(ask);
+    pub fn resend_request(&mut self, id: PermitRequestId) {
+        let request = self
+            .requester
+            .unanswered(id)
+            .map(|(request, _)| request.clone());
+        self.outgoing.extend(request);
     }
 
     /// Takes the response to a request, once it was received.
-    pub fn take_answer(&mut self, id: AskId, now: BootTime) -> Option<SendClaim> {
+    pub fn take_response(&mut self, id: PermitRequestId, now: BootTime) -> Option<PermitStatus> {
         let urgency = self.requester.urgency(id)?;
-        let (verdict, permit) = self.requester.take_decision(id)?;
-        Some(self.apply_decision(verdict, permit, urgency, now))
+        let (decision, permit) = self.requester.take_decision(id)?;
+        Some(self.apply_decision(decision, permit, urgency, now))
     }
 
     /// Returns how long a server is still deferred for requests of some urgency.
-    pub fn held_for(&self, server: &ServerEntry, urgency: u8, now: BootTime) -> Option<Duration> {
+    pub fn deferred_for(
+        &self,
+        server: &ServerEntry,
+        urgency: u8,
+        now: BootTime,
+    ) -> Option<Duration> {
         self.requester
-            .held_for(server.incarnation_key(), urgency, now)
+            .deferred_for(server.incarnation_key(), urgency, now)
     }
 
     /// Marks a request as no longer waited for.
-    pub fn abandon(&mut self, id: AskId, now: BootTime) {
+    pub fn abandon(&mut self, id: PermitRequestId, now: BootTime) {
         self.requester.abandon(id, now);
     }
 
@@ -183,28 +196,28 @@
     }
 
     /// Returns an unused permit for use by a later request.
-    pub fn give_back(&mut self, permit: SendPermit) {
-        self.requester.give_back(permit);
+    pub fn return_permit(&mut self, permit: SendPermit) {
+        self.requester.return_permit(permit);
     }
 
     /// Converts a decision into what it means for the request.
     fn apply_decision(
         &mut self,
-        verdict: PermitDecision,
+        decision: PermitDecision,
         permit: SendPermit,
         urgency: u8,
         now: BootTime,
-    ) -> SendClaim {
+    ) -> PermitStatus {
         let key = permit.server;
-        match verdict {
-            PermitDecision::Granted => SendClaim::Permitted(permit),
-            PermitDecision::Unlimited if self.book.rate(key).is_none() => SendClaim::Free,
+        match decision {
+            PermitDecision::Granted => PermitStatus::Granted(permit),
+            PermitDecision::Unlimited if self.book.rate(key).is_none() => PermitStatus::NotRequired,
             // This node knows a newer limit than the issuer.
-            PermitDecision::Unlimited => SendClaim::Held(DISAGREEMENT_PAUSE),
+            PermitDecision::Unlimited => PermitStatus::Deferred(DISAGREEMENT_PAUSE),
             PermitDecision::Denied { pause_ms } => {
                 let pause = Duration::from_millis(pause_ms.into());
                 self.requester.defer(key, urgency, pause, now);
-                SendClaim::Held(pause)
+                PermitStatus::Deferred(pause)
             }
         }
     }
@@ -274,26 +287,26 @@
         data_centre: DataCentreId,
         urgency: u8,
         now: BootTime,
-    ) -> SendClaim {
+    ) -> PermitStatus {
         let (Some(limit), Some(view)) = (self.book.limit(key), &self.view) else {
-            return SendClaim::Held(DISAGREEMENT_PAUSE);
+            return PermitStatus::Deferred(DISAGREEMENT_PAUSE);
         };
-        let ask = PermitRequest {
+        let request = PermitRequest {
             id: self.rng.u64(..),
             origin: view.own.address,
             data_centre: data_centre.to_string(),
             urgency,
             report: LimitReport::new(key, limit, now),
         };
-        if !self.requester.register(ask.clone(), now) {
+        if !self.requester.register(request.clone(), now) {
             let left = self
                 .requester
-                .held_for(key, urgency, now)
+                .deferred_for(key, urgency, now)
                 .unwrap_or_default();
-            return SendClaim::Held(left);
+            return PermitStatus::Deferred(left);
         }
-        let id = ask.id;
-        self.outgoing.push_back(ask);
-        SendClaim::Asked(id)
+        let id = request.id;
+        self.outgoing.push_back(request);
+        PermitStatus::Requested(id)
     }
 }
--- a/crates/plumgate/src/gateway/rate_limit/talk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/talk.rs
@@ -67,15 +67,20 @@
     }
 
     /// Returns the messages for the permit requests queued since the last call.
-    pub fn take_asks(
+    pub fn take_requests(
         &mut self,
         exchange: &LoadExchange,
         moment: MailMoment,
     ) -> Vec<ExchangePacket> {
-        let asks: Vec<PermitRequest> = self.outgoing.drain(..).collect();
-        let packets = asks.into_iter().filter_map(|ask| {
-            let to = self.next_hop(&ask)?;
-            self.message_packet(exchange, to, StatementMessage::PermitRequest(ask), moment)
+        let requests: Vec<PermitRequest> = self.outgoing.drain(..).collect();
+        let packets = requests.into_iter().filter_map(|request| {
+            let to = self.next_hop(&request)?;
+            self.message_packet(
+                exchange,
+                to,
+                StatementMessage::PermitRequest(request),
+                moment,
+            )
         });
         packets.collect()
     }
@@ -99,8 +104,8 @@
                 StatementMessage::LimitUpdate(update) => {
                     self.receive_update(exchange, &received, &update, moment.boot)
                 }
-                StatementMessage::PermitRequest(ask) => {
-                    packets.extend(self.receive_request(exchange, ask, moment))
+                StatementMessage::PermitRequest(request) => {
+                    packets.extend(self.receive_request(exchange, request, moment))
                 }
                 StatementMessage::LeaveReports(leaves) => outcome.leaves.extend(leaves),
                 StatementMessage::LeaveReportsRequest => outcome.wants_leaves = true,
@@ -282,13 +287,13 @@
     fn receive_request(
         &mut self,
         exchange: &LoadExchange,
-        ask: PermitRequest,
+        request: PermitRequest,
         moment: MailMoment,
     ) -> Option<ExchangePacket> {
         let now = moment.boot;
         self.receive_report(
-            &ask.report,
-            ask.report.observation_received_at(now),
+            &request.report,
+            request.report.observation_received_at(now),
             true,
             now,
         );
@@ -296,43 +301,48 @@
         let view = self.view.as_ref()?;
         if view.collector.is_some() {
             // The sender follows another collector than this node.
-            return self.reply(exchange, &ask, not_elected(), moment);
+            return self.reply(exchange, &request, not_elected(), moment);
         }
-        if *view.own.data_centre != *ask.data_centre {
-            let to = self.next_hop(&ask)?;
-            return self.message_packet(exchange, to, StatementMessage::PermitRequest(ask), moment);
+        if *view.own.data_centre != *request.data_centre {
+            let to = self.next_hop(&request)?;
+            return self.message_packet(
+                exchange,
+                to,
+                StatementMessage::PermitRequest(request),
+                moment,
+            );
         }
-        let verdict = self.decide_once(&ask, now);
-        self.reply(exchange, &ask, verdict, moment)
+        let decision = self.decide_once(&request, now);
+        self.reply(exchange, &request, decision, moment)
     }
 
     /// Decides on a request that may be received more than once.
-    fn decide_once(&mut self, ask: &PermitRequest, now: BootTime) -> PermitDecision {
-        if let Some(verdict) = self.issuer.judged(ask.id) {
-            return verdict;
+    fn decide_once(&mut self, request: &PermitRequest, now: BootTime) -> PermitDecision {
+        if let Some(decision) = self.issuer.decision(request.id) {
+            return decision;
         }
-        let verdict = self.decide(ask.report.server, ask.urgency, now);
-        self.issuer.note_judged(ask.id, verdict, now);
-        verdict
+        let decision = self.decide(request.report.server, request.urgency, now);
+        self.issuer.record_decision(request.id, decision, now);
+        decision
     }
 
     fn reply(
         &self,
         exchange: &LoadExchange,
-        ask: &PermitRequest,
-        verdict: PermitDecision,
+        request: &PermitRequest,
+        decision: PermitDecision,
         moment: MailMoment,
     ) -> Option<ExchangePacket> {
-        let key = ask.report.server;
+        let key = request.report.server;
         let limit = self.book.limit(key);
         let response = PermitResponse {
-            id: ask.id,
-            verdict,
+            id: request.id,
+            decision,
             report: limit.map(|limit| LimitReport::new(key, limit, moment.boot)),
         };
         self.message_packet(
             exchange,
-            ask.origin,
+            request.origin,
             StatementMessage::PermitResponse(response),
             moment,
         )
@@ -340,13 +350,13 @@
 
     /// Applies the response to a request of this node. Returns whether it belongs to one.
     fn receive_response(&mut self, response: &PermitResponse, now: BootTime) -> bool {
-        let Some((ask, asked)) = self.requester.unanswered(response.id) else {
+        let Some((request, requested_at)) = self.requester.unanswered(response.id) else {
             return false;
         };
-        let server = ask.report.server;
+        let server = request.report.server;
         if let Some(report) = response.report.filter(|report| report.server == server) {
             // The issuer responded after it got the request, so its report is no older than the request.
-            let sighting = report.observation_sent_after(asked, now);
+            let sighting = report.observation_sent_after(requested_at, now);
             self.apply_report(&report, sighting, false, now);
         }
         self.requester.apply_response(response, now);
@@ -355,12 +365,12 @@
 
     /// Returns the next hop of a request: this node's collector, or for a collector that of the issuing data
     /// centre.
-    fn next_hop(&self, ask: &PermitRequest) -> Option<SocketAddr> {
+    fn next_hop(&self, request: &PermitRequest) -> Option<SocketAddr> {
         let view = self.view.as_ref()?;
         if let Some((_, collector)) = &view.collector {
             return Some(*collector);
         }
-        let data_centre = DataCentreId::from(ask.data_centre.as_str());
+        let data_centre = DataCentreId::from(request.data_centre.as_str());
         let (_, collector) = view.foreign.get(&data_centre)?.as_ref()?;
         Some(*collector)
     }
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -6,7 +6,7 @@
 
 use plumgate::gateway::{
     ExchangeMoment, GatewayConfig, LimitChange, LimitSighting, LoadExchange, MailMoment, NodeEntry,
-    RequestRate, SendClaim, ServerLimits, SyncState, WorkspaceKeys,
+    PermitStatus, RequestRate, ServerLimits, SyncState, WorkspaceKeys,
 };
 
 fn seconds(count: f64) -> Duration {
@@ -30,7 +30,7 @@
         now += Duration::from_millis(10);
         // Either kind alone would use the limit up ten times.
         let urgency = if step % 2 == 0 { 1 } else { 4 };
-        if let SendClaim::Permitted(_) = limits.claim(&server, urgency, now) {
+        if let PermitStatus::Granted(_) = limits.request_permit(&server, urgency, now) {
             sent[usize::from(urgency == 4)] += 1;
         }
     }
@@ -44,7 +44,10 @@
 fn request_that_waited_for_a_connection_needs_a_permit_too() {
     let server = entries::server_entry("limited");
     let mut limits = ServerLimits::new(false, 1);
-    assert_eq!(limits.claim(&server, 0, seconds(1.0)), SendClaim::Free);
+    assert_eq!(
+        limits.request_permit(&server, 0, seconds(1.0)),
+        PermitStatus::NotRequired
+    );
     let named = LimitSighting {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
@@ -52,7 +55,7 @@
     };
     limits.note_answer(&server, named);
     assert!(!limits.allows(&server, None, seconds(1.2)));
-    let SendClaim::Permitted(permit) = limits.claim(&server, 0, seconds(4.0)) else {
+    let PermitStatus::Granted(permit) = limits.request_permit(&server, 0, seconds(4.0)) else {
         panic!("the server gets one a second");
     };
     assert!(limits.allows(&server, Some(&permit), seconds(4.1)));
--- a/crates/plumgate/tests/limit_fleet/mod.rs
+++ b/crates/plumgate/tests/limit_fleet/mod.rs
@@ -278,9 +278,9 @@
             }
             FleetEvent::AskAgain(index, life, ask) => {
                 if self.nodes[index].life == life {
-                    self.nodes[index].statements.limits.ask_again(ask);
+                    self.nodes[index].statements.limits.resend_request(ask);
                     let now = self.now;
-                    let packets = self.nodes[index].take_asks(now);
+                    let packets = self.nodes[index].take_requests(now);
                     self.post_all(index, packets);
                 }
             }
@@ -350,7 +350,7 @@
         match self.nodes[index].claim(now) {
             node::Claimed::Send(sending) => self.begin(index, sending),
             node::Claimed::Wait(ask) => {
-                let packets = self.nodes[index].take_asks(now);
+                let packets = self.nodes[index].take_requests(now);
                 self.post_all(index, packets);
                 let life = self.nodes[index].life;
                 for again in [35_000, 70_000] {
--- a/crates/plumgate/tests/limit_fleet/node.rs
+++ b/crates/plumgate/tests/limit_fleet/node.rs
@@ -5,7 +5,7 @@
 
 use plumgate::gateway::{
     AnswerTimes, ExchangeMoment, ExchangePacket, GatewayConfig, LeaveStatement, LimitSighting,
-    LoadExchange, MailMoment, NodeEntry, RequestRate, RestStatement, SendClaim, SendMoment,
+    LoadExchange, MailMoment, NodeEntry, PermitStatus, RequestRate, RestStatement, SendMoment,
     SendPermit, ServerEntry, ServerStatement, ServerStatements, SyncState,
 };
 
@@ -136,22 +136,22 @@
 
     pub(crate) fn claim(&mut self, now: Micros) -> Claimed {
         let boot = self.boot(now);
-        match self.statements.limits.claim(&self.server, 0, boot) {
-            SendClaim::Free => Claimed::Send(Sending { permit: None }),
-            SendClaim::Permitted(permit) => Claimed::Send(Sending {
+        match self.statements.limits.request_permit(&self.server, 0, boot) {
+            PermitStatus::NotRequired => Claimed::Send(Sending { permit: None }),
+            PermitStatus::Granted(permit) => Claimed::Send(Sending {
                 permit: Some(permit),
             }),
-            SendClaim::Asked(ask) => {
+            PermitStatus::Requested(ask) => {
                 self.asks.push(ask);
                 Claimed::Wait(ask)
             }
-            SendClaim::Held(_) => Claimed::Refused,
+            PermitStatus::Deferred(_) => Claimed::Refused,
         }
     }
 
-    pub(crate) fn take_asks(&mut self, now: Micros) -> Vec<ExchangePacket> {
+    pub(crate) fn take_requests(&mut self, now: Micros) -> Vec<ExchangePacket> {
         let moment = self.mail(now);
-        self.statements.limits.take_asks(&self.exchange, moment)
+        self.statements.limits.take_requests(&self.exchange, moment)
     }
 
     /// The requests whose asks were answered with leave to send.
@@ -160,15 +160,15 @@
         let mut sendings = Vec::new();
         let limits = &mut self.statements.limits;
         self.asks.retain(|ask| {
-            let Some(claim) = limits.take_answer(*ask, boot) else {
+            let Some(claim) = limits.take_response(*ask, boot) else {
                 return true;
             };
             match claim {
-                SendClaim::Free => sendings.push(Sending { permit: None }),
-                SendClaim::Permitted(permit) => sendings.push(Sending {
+                PermitStatus::NotRequired => sendings.push(Sending { permit: None }),
+                PermitStatus::Granted(permit) => sendings.push(Sending {
                     permit: Some(permit),
                 }),
-                SendClaim::Asked(_) | SendClaim::Held(_) => {}
+                PermitStatus::Requested(_) | PermitStatus::Deferred(_) => {}
             }
             false
         });
@@ -192,7 +192,7 @@
         };
         let may = self.statements.check(&self.server, send).is_ok();
         if let Some(permit) = sending.permit.filter(|_| !may) {
-            self.statements.limits.give_back(permit);
+            self.statements.limits.return_permit(permit);
         }
         may
     }
