--- a/crates/plumgate-node/src/gateway/server_limits.rs
+++ b/crates/plumgate-node/src/gateway/server_limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use plumgate::gateway::{
-    AnswerTimes, LimitEvent, LimitSighting, PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT,
+    AnswerTimes, LimitEvent, LimitObservation, PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT,
     PermitRequestId, PermitStatus, RateStatement, SendPermit, ServerEntry, ServerStatement,
 };
 
@@ -58,12 +58,12 @@
                 return;
             }
         };
-        let sighting = LimitSighting {
+        let observation = LimitObservation {
             rate,
             sent: times.sent,
             seen: times.seen,
         };
-        let change = self.statements().limits.note_answer(server, sighting);
+        let change = self.statements().limits.record_answer(server, observation);
         if let Some(change) = change {
             LogLine::new("server_limit")
                 .with("server", &server.id)
--- a/crates/plumgate/examples/limit_costs.rs
+++ b/crates/plumgate/examples/limit_costs.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangeMoment, ExchangePacket, GatewayConfig, LimitSighting, LoadExchange, MailMoment,
+    ExchangeMoment, ExchangePacket, GatewayConfig, LimitObservation, LoadExchange, MailMoment,
     NodeEntry, PermitStatus, RequestRate, ServerLimits, SyncState,
 };
 
@@ -44,12 +44,12 @@
     fn limit(&mut self, servers: usize) {
         for number in 0..servers {
             let server = server_entry(&format!("server-{number}"));
-            let sighting = LimitSighting {
+            let observation = LimitObservation {
                 rate: RequestRate::new(5.0),
                 sent: Duration::from_secs(1),
                 seen: Duration::from_secs(1),
             };
-            self.limits.note_answer(&server, sighting);
+            self.limits.record_answer(&server, observation);
         }
     }
 
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -39,7 +39,7 @@
     RunFinding, RunTicket, SuspectEvent, SuspectState,
 };
 pub use rate_limit::{
-    BootTime, LimitChange, LimitEvent, LimitSighting, MailMoment, MailOutcome,
+    BootTime, LimitChange, LimitEvent, LimitObservation, MailMoment, MailOutcome,
     PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT, PermitRequestId, PermitStatus, RateStatement,
     RequestRate, SendPermit, ServerLimits,
 };
--- a/crates/plumgate/src/gateway/rate_limit/book.rs
+++ b/crates/plumgate/src/gateway/rate_limit/book.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::messages::LimitReport;
-use super::observed::{BootTime, LimitChange, LimitSighting, ObservedLimit};
+use super::observed::{BootTime, LimitChange, LimitObservation, ObservedLimit};
 use super::statement::RequestRate;
 use crate::gateway::exchange::messages::ServerKey;
 
@@ -63,23 +63,23 @@
     fn apply(
         &mut self,
         key: ServerKey,
-        sighting: LimitSighting,
+        observation: LimitObservation,
         forwards: bool,
         now: BootTime,
     ) -> Option<LimitChange> {
         let is_full = self.entries.len() >= MAX_SERVERS;
         let change = match self.entries.get_mut(&key) {
-            Some(entry) => entry.limit.apply(sighting),
-            None if sighting.rate.is_none() || is_full => None,
+            Some(entry) => entry.limit.apply(observation),
+            None if observation.rate.is_none() || is_full => None,
             None => {
                 let entry = LimitEntry {
-                    limit: ObservedLimit::new(sighting, now),
+                    limit: ObservedLimit::new(observation, now),
                     rounds_left: 0,
                     reported_at: now,
                     answered_at: None,
                 };
                 self.entries.insert(key, entry);
-                LimitChange::between(None, sighting.rate)
+                LimitChange::between(None, observation.rate)
             }
         };
         if let Some(entry) = self.entries.get_mut(&key)
@@ -95,11 +95,11 @@
     pub(crate) fn apply_answer(
         &mut self,
         key: ServerKey,
-        sighting: LimitSighting,
+        observation: LimitObservation,
     ) -> Option<LimitChange> {
-        let change = self.apply(key, sighting, true, sighting.seen);
+        let change = self.apply(key, observation, true, observation.seen);
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.answered_at = Some(sighting.seen);
+            entry.answered_at = Some(observation.seen);
         }
         change
     }
@@ -108,11 +108,11 @@
     pub(crate) fn apply_report(
         &mut self,
         report: &LimitReport,
-        sighting: LimitSighting,
+        observation: LimitObservation,
         forwards: bool,
         now: BootTime,
     ) -> Option<LimitChange> {
-        let change = self.apply(report.server, sighting, forwards, now);
+        let change = self.apply(report.server, observation, forwards, now);
         if let Some(entry) = self.entries.get_mut(&report.server) {
             entry.limit.merge_first_named(report.first_named(now));
         }
@@ -157,7 +157,7 @@
 impl LimitEntry {
     fn is_due(&self, is_collector: bool, now: BootTime) -> bool {
         let seen = if is_collector {
-            Some(self.limit.sighting().seen)
+            Some(self.limit.observation().seen)
         } else {
             self.answered_at
         };
--- a/crates/plumgate/src/gateway/rate_limit/messages.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messages.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::observed::{BootTime, LimitSighting, ObservedLimit};
+use super::observed::{BootTime, LimitObservation, ObservedLimit};
 use super::statement::RequestRate;
 use crate::gateway::exchange::messages::ServerKey;
 use crate::gateway::statements::LeaveReport;
@@ -97,12 +97,12 @@
             let age = now.saturating_sub(at).as_millis() + more;
             u32::try_from(age).unwrap_or(u32::MAX)
         };
-        let sighting = limit.sighting();
+        let observation = limit.observation();
         Self {
             server,
-            rate: sighting.rate,
-            sent_ms: age(sighting.sent, 1),
-            seen_ms: age(sighting.seen, 0),
+            rate: observation.rate,
+            sent_ms: age(observation.sent, 1),
+            seen_ms: age(observation.seen, 0),
             named_ms: age(limit.first_named(), 1),
         }
     }
@@ -114,7 +114,7 @@
 
     /// Returns the observation by the clock of the receiver, for a message received at `now`. The message may
     /// have been in transit for some time, so the server wrote the answer somewhere between the two bounds.
-    pub(crate) fn observation_received_at(&self, now: BootTime) -> LimitSighting {
+    pub(crate) fn observation_received_at(&self, now: BootTime) -> LimitObservation {
         self.observation_sent_after(now.saturating_sub(TRANSIT_MOST), now)
     }
 
@@ -123,8 +123,8 @@
         &self,
         earliest: BootTime,
         now: BootTime,
-    ) -> LimitSighting {
-        LimitSighting {
+    ) -> LimitObservation {
+        LimitObservation {
             rate: self.rate,
             sent: earliest.saturating_sub(Duration::from_millis(self.sent_ms.into())),
             seen: now.saturating_sub(Duration::from_millis(self.seen_ms.into())),
--- a/crates/plumgate/src/gateway/rate_limit/mod.rs
+++ b/crates/plumgate/src/gateway/rate_limit/mod.rs
@@ -18,7 +18,7 @@
 pub use desk::{PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT, SendPermit};
 pub use messages::PermitRequestId;
 pub(crate) use messages::StatementMessage;
-pub use observed::{BootTime, LimitChange, LimitSighting};
+pub use observed::{BootTime, LimitChange, LimitObservation};
 pub use statement::{RateStatement, RequestRate};
 pub use table::{LimitEvent, PermitStatus, ServerLimits};
 pub use talk::{MailMoment, MailOutcome};
--- a/crates/plumgate/src/gateway/rate_limit/observed.rs
+++ b/crates/plumgate/src/gateway/rate_limit/observed.rs
@@ -9,7 +9,7 @@
 
 /// The limit named by one answer, and the interval in which the server wrote that answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LimitSighting {
+pub struct LimitObservation {
     /// The limit; none if the answer names none.
     pub rate: Option<RequestRate>,
     /// When the request was sent: the server wrote the answer after this.
@@ -61,7 +61,7 @@
 /// What is known about one server's limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservedLimit {
-    known: LimitSighting,
+    known: LimitObservation,
     /// When the server first named a limit, as far as any reporting node knows.
     first_named: BootTime,
     /// When an answer that names a limit was last received.
@@ -70,11 +70,11 @@
 
 impl ObservedLimit {
     /// Creates the state of a limit that was first named at `first_named`.
-    pub(crate) fn new(sighting: LimitSighting, first_named: BootTime) -> Self {
+    pub(crate) fn new(observation: LimitObservation, first_named: BootTime) -> Self {
         Self {
-            known: sighting,
+            known: observation,
             first_named,
-            last_named: sighting.seen,
+            last_named: observation.seen,
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Returns the observation that determines the limit.
-    pub(crate) fn sighting(&self) -> LimitSighting {
+    pub(crate) fn observation(&self) -> LimitObservation {
         self.known
     }
 
@@ -108,19 +108,19 @@
     /// Answers can overtake each other. An answer is certainly newer only if its request was sent after the
     /// known answer was received. Of two answers that may have been written in either order, the stricter
     /// limit applies.
-    pub(crate) fn apply(&mut self, sighting: LimitSighting) -> Option<LimitChange> {
-        let is_newer = sighting.sent >= self.known.seen;
-        let is_older = sighting.seen <= self.known.sent;
-        let is_stricter = strictness(sighting.rate) < strictness(self.known.rate);
+    pub(crate) fn apply(&mut self, observation: LimitObservation) -> Option<LimitChange> {
+        let is_newer = observation.sent >= self.known.seen;
+        let is_older = observation.seen <= self.known.sent;
+        let is_stricter = strictness(observation.rate) < strictness(self.known.rate);
         if is_older || !is_newer && !is_stricter {
             return None;
         }
         let before = self.known.rate;
-        self.known = sighting;
-        if sighting.rate.is_some() {
-            self.last_named = sighting.seen;
+        self.known = observation;
+        if observation.rate.is_some() {
+            self.last_named = observation.seen;
         }
-        LimitChange::between(before, sighting.rate)
+        LimitChange::between(before, observation.rate)
     }
 }
 
--- a/crates/plumgate/src/gateway/rate_limit/table.rs
+++ b/crates/plumgate/src/gateway/rate_limit/table.rs
@@ -7,7 +7,7 @@
 use super::desk::{PermitRequester, SendPermit};
 use super::issuer::{PermitIssuer, not_elected};
 use super::messages::{LimitReport, PermitDecision, PermitRequest, PermitRequestId, RoundId};
-use super::observed::{BootTime, LimitChange, LimitSighting};
+use super::observed::{BootTime, LimitChange, LimitObservation};
 use super::statement::RequestRate;
 use super::votes::{IssuerVotes, SETTLE_TIME};
 use crate::gateway::config::GatewayConfig;
@@ -95,13 +95,13 @@
     }
 
     /// Records an answer of a server to this node. Returns how it changes the known limit, if at all.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         server: &ServerEntry,
-        sighting: LimitSighting,
+        observation: LimitObservation,
     ) -> Option<LimitChange> {
         let key = server.incarnation_key();
-        self.book.apply_answer(key, sighting)
+        self.book.apply_answer(key, observation)
     }
 
     /// Takes the changes learnt from other nodes since the last call.
--- a/crates/plumgate/src/gateway/rate_limit/talk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/talk.rs
@@ -7,7 +7,7 @@
 use super::messages::{
     LimitReport, LimitUpdate, PermitDecision, PermitRequest, PermitResponse, StatementMessage,
 };
-use super::observed::{BootTime, LimitSighting};
+use super::observed::{BootTime, LimitObservation};
 use super::table::{LimitEvent, ServerLimits};
 use super::votes::VoterName;
 use crate::errors::{Error, Result};
@@ -255,30 +255,30 @@
     fn receive_report(
         &mut self,
         report: &LimitReport,
-        sighting: LimitSighting,
+        observation: LimitObservation,
         forwards: bool,
         now: BootTime,
     ) {
         let known = self.book.rate(report.server);
-        let is_looser = known.is_some_and(|known| sighting.rate.is_none_or(|rate| rate > known));
+        let is_looser = known.is_some_and(|known| observation.rate.is_none_or(|rate| rate > known));
         if is_looser && now < self.distrust_until {
             return;
         }
-        self.apply_report(report, sighting, forwards, now);
+        self.apply_report(report, observation, forwards, now);
     }
 
     fn apply_report(
         &mut self,
         report: &LimitReport,
-        sighting: LimitSighting,
+        observation: LimitObservation,
         forwards: bool,
         now: BootTime,
     ) {
-        let change = self.book.apply_report(report, sighting, forwards, now);
+        let change = self.book.apply_report(report, observation, forwards, now);
         let event = change.map(|change| LimitEvent {
             server: report.server,
             change,
-            age: now.saturating_sub(sighting.seen),
+            age: now.saturating_sub(observation.seen),
         });
         self.events.extend(event);
     }
@@ -356,8 +356,8 @@
         let server = request.report.server;
         if let Some(report) = response.report.filter(|report| report.server == server) {
             // The issuer responded after it got the request, so its report is no older than the request.
-            let sighting = report.observation_sent_after(requested_at, now);
-            self.apply_report(&report, sighting, false, now);
+            let observation = report.observation_sent_after(requested_at, now);
+            self.apply_report(&report, observation, false, now);
         }
         self.requester.apply_response(response, now);
         true
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -6,7 +6,7 @@
 
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
-    LimitSighting, LoadTable, PlacementOptions, PlacementRequest, PolicyPart, PolicySwitches,
+    LimitObservation, LoadTable, PlacementOptions, PlacementRequest, PolicyPart, PolicySwitches,
     PromptPart, PromptShape, RequestRate, ServerEntry, ServerLimits, ServerPick, ServerStanding,
     ServerState, StreamClass, WorkOutcome,
 };
@@ -187,13 +187,13 @@
     let keeper = bench.serve(&prompt).server;
     let elsewhere = bench.pick(&prompt, std::slice::from_ref(&keeper.id));
     assert_eq!(copy_from(&elsewhere), Some(&keeper.id));
-    let sighting = LimitSighting {
+    let observation = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: Duration::from_secs(1),
         seen: Duration::from_secs(1),
     };
     let mut limits = ServerLimits::new(false, 1);
-    limits.note_answer(&keeper, sighting);
+    limits.record_answer(&keeper, observation);
     bench.table.set_limits(&limits);
     let elsewhere = bench.pick(&prompt, std::slice::from_ref(&keeper.id));
     assert_eq!(copy_from(&elsewhere), None);
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangeMoment, GatewayConfig, LimitChange, LimitSighting, LoadExchange, MailMoment, NodeEntry,
-    PermitStatus, RequestRate, ServerLimits, SyncState, WorkspaceKeys,
+    ExchangeMoment, GatewayConfig, LimitChange, LimitObservation, LoadExchange, MailMoment,
+    NodeEntry, PermitStatus, RequestRate, ServerLimits, SyncState, WorkspaceKeys,
 };
 
 fn seconds(count: f64) -> Duration {
@@ -18,12 +18,12 @@
 fn most_urgent_requests_go_first_and_others_are_not_starved() {
     let server = entries::server_entry("limited");
     let mut limits = ServerLimits::new(false, 1);
-    let named = LimitSighting {
+    let named = LimitObservation {
         rate: RequestRate::new(5.0),
         sent: seconds(1.0),
         seen: seconds(1.0),
     };
-    limits.note_answer(&server, named);
+    limits.record_answer(&server, named);
     let mut sent = [0_u32; 2];
     let mut now = seconds(2.0);
     for step in 0..6_000 {
@@ -48,12 +48,12 @@
         limits.request_permit(&server, 0, seconds(1.0)),
         PermitStatus::NotRequired
     );
-    let named = LimitSighting {
+    let named = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
         seen: seconds(1.1),
     };
-    limits.note_answer(&server, named);
+    limits.record_answer(&server, named);
     assert!(!limits.allows(&server, None, seconds(1.2)));
     let PermitStatus::Granted(permit) = limits.request_permit(&server, 0, seconds(4.0)) else {
         panic!("the server gets one a second");
@@ -70,26 +70,26 @@
 fn answers_that_overtake_each_other_neither_lift_nor_restore_a_limit() {
     let server = entries::server_entry("limited");
     let mut limits = ServerLimits::new(false, 1);
-    let sighting = |rate: Option<f64>, sent: f64, seen: f64| LimitSighting {
+    let observation = |rate: Option<f64>, sent: f64, seen: f64| LimitObservation {
         rate: rate.and_then(RequestRate::new),
         sent: seconds(sent),
         seen: seconds(seen),
     };
-    limits.note_answer(&server, sighting(Some(1.0), 10.0, 10.5));
+    limits.record_answer(&server, observation(Some(1.0), 10.0, 10.5));
     // It left before the limit was seen: it may have been written before.
     assert_eq!(
-        limits.note_answer(&server, sighting(None, 10.2, 11.0)),
+        limits.record_answer(&server, observation(None, 10.2, 11.0)),
         None
     );
     assert_eq!(
-        limits.note_answer(&server, sighting(Some(9.0), 10.2, 11.0)),
+        limits.record_answer(&server, observation(Some(9.0), 10.2, 11.0)),
         None
     );
-    let ended = limits.note_answer(&server, sighting(None, 11.0, 11.2));
+    let ended = limits.record_answer(&server, observation(None, 11.0, 11.2));
     assert_eq!(ended, Some(LimitChange::Ended));
     // It came after the end, and was written before it.
     assert_eq!(
-        limits.note_answer(&server, sighting(Some(1.0), 9.0, 10.9)),
+        limits.record_answer(&server, observation(Some(1.0), 9.0, 10.9)),
         None
     );
     assert_eq!(limits.rate(&server), None);
@@ -100,12 +100,12 @@
 fn server_that_starts_again_has_no_limit_and_its_entry_may_lapse_and_return() {
     let mut limits = ServerLimits::new(false, 1);
     let before = entries::born_entry("limited", 1);
-    let named = LimitSighting {
+    let named = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
         seen: seconds(1.0),
     };
-    limits.note_answer(&before, named);
+    limits.record_answer(&before, named);
     assert_eq!(limits.rate(&entries::born_entry("limited", 2)), None);
     assert!(limits.rate(&entries::born_entry("limited", 1)).is_some());
 }
@@ -130,12 +130,12 @@
     let (sender, mut told) = talker(&entries[0], &entries, key);
     let (mut receiver, mut limits) = talker(&entries[1], &entries, "key-1");
     let server = entries::server_entry("limited");
-    let named = LimitSighting {
+    let named = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
         seen: seconds(1.0),
     };
-    told.note_answer(&server, named);
+    told.record_answer(&server, named);
     let mut desk = SyncState::new(seconds(5.0), 1);
     let sent = MailMoment {
         boot: seconds(1.1),
@@ -181,7 +181,7 @@
     let (sender, mut teller) = talker(&entries[0], &entries, "key-1");
     let (mut receiver, mut limits) = talker(&entries[1], &entries, "key-1");
     let server = entries::server_entry("limited");
-    let sighting = |rate: Option<f64>, sent: f64| LimitSighting {
+    let observation = |rate: Option<f64>, sent: f64| LimitObservation {
         rate: rate.and_then(RequestRate::new),
         sent: seconds(sent),
         seen: seconds(sent + 0.01),
@@ -190,9 +190,9 @@
         boot: seconds(at),
         unix_ms: 1_767_225_600_000,
     };
-    teller.note_answer(&server, sighting(Some(1.0), 5.0));
-    teller.note_answer(&server, sighting(None, end_sent));
-    limits.note_answer(&server, sighting(Some(1.0), known_seen));
+    teller.record_answer(&server, observation(Some(1.0), 5.0));
+    teller.record_answer(&server, observation(None, end_sent));
+    limits.record_answer(&server, observation(Some(1.0), known_seen));
     for at in rounds {
         limits.talk(&receiver, mail(*at));
     }
--- a/crates/plumgate/tests/limit_fleet/node.rs
+++ b/crates/plumgate/tests/limit_fleet/node.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    AnswerTimes, ExchangeMoment, ExchangePacket, GatewayConfig, LeaveStatement, LimitSighting,
+    AnswerTimes, ExchangeMoment, ExchangePacket, GatewayConfig, LeaveStatement, LimitObservation,
     LoadExchange, MailMoment, NodeEntry, PermitStatus, RequestRate, RestStatement, SendMoment,
     SendPermit, ServerEntry, ServerStatement, ServerStatements, SyncState,
 };
@@ -205,12 +205,14 @@
             seen,
             seen_unix_ms: UNIX_START_MS + now / 1_000,
         };
-        let sighting = LimitSighting {
+        let observation = LimitObservation {
             rate: answer.rate,
             sent: answer.sent,
             seen,
         };
-        self.statements.limits.note_answer(&answer.server, sighting);
+        self.statements
+            .limits
+            .record_answer(&answer.server, observation);
         let statement = ServerStatement {
             leaving: answer.leaving,
             rest: answer.rest,
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -7,7 +7,7 @@
 use plumgate::duty::{FollowLoad, PoolLoad, PoolScaling, ScalePolicy, SiteLoad};
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
-    LimitSighting, LoadExchange, LoadTable, PlacementOptions, PlacementRequest, PromptPart,
+    LimitObservation, LoadExchange, LoadTable, PlacementOptions, PlacementRequest, PromptPart,
     PromptShape, RequestRate, ServerLimits, StreamClass,
 };
 use plumgate::ids::PoolId;
@@ -45,13 +45,13 @@
     now += Duration::from_secs(2);
     let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
     table.sync_with(&mut exchange, now);
-    let sighting = LimitSighting {
+    let observation = LimitObservation {
         rate: RequestRate::new(rate),
         sent: Duration::from_secs(1),
         seen: Duration::from_secs(1),
     };
     let mut limits = ServerLimits::new(false, 1);
-    limits.note_answer(&server_entry("a"), sighting);
+    limits.record_answer(&server_entry("a"), observation);
     table.set_limits(&limits);
     table.pool_load(&pool, 0, now)
 }
