--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -247,7 +247,7 @@
                 packets.extend(statements.talk(&exchange, self.mail_moment()));
                 if moment.now >= self.standings_due.get() && !statements.notices.is_empty() {
                     self.standings_due.set(moment.now + STANDING_PAUSE);
-                    loads.set_standings(&statements.notices, moment.boot, moment.now);
+                    loads.set_availabilities(&statements.notices, moment.boot, moment.now);
                 }
                 let is_known = |life| loads.entries().any(|entry| entry.incarnation_id() == life);
                 statements.notices.forget_old(moment.boot, is_known);
--- a/crates/plumgate-node/src/gateway/server_notices.rs
+++ b/crates/plumgate-node/src/gateway/server_notices.rs
@@ -35,9 +35,9 @@
         if statement.rest == RestStatement::Malformed {
             self.note_malformed(RESTING, server);
         }
-        let changes = self.statements().note_notices(server, statement, times);
+        let changes = self.statements().record_notices(server, statement, times);
         if !changes.is_empty() {
-            self.set_standing(server);
+            self.set_availability(server);
         }
         for change in changes {
             self.log_notice(server, change, times);
@@ -46,15 +46,15 @@
     }
 
     /// Has placement keep to what a server said of itself.
-    fn set_standing(&self, server: &ServerEntry) {
+    fn set_availability(&self, server: &ServerEntry) {
         let now = self.clock.now();
         let boot = self.clock.boot_time();
         let mut loads = self.loads();
-        let standing = self
+        let availability = self
             .statements()
             .notices
-            .standing(server.incarnation_id(), boot);
-        loads.set_standing(server, standing, now);
+            .availability(server.incarnation_id(), boot);
+        loads.set_availability(server, availability, now);
     }
 
     /// Logs and counts a request that did not leave for its server.
@@ -65,7 +65,7 @@
         refusal: SendRefusal,
     ) {
         // Placement knows it now, or the request would be offered there again and again.
-        self.set_standing(server);
+        self.set_availability(server);
         let labels = ReasonLabels {
             reason: refusal.as_str(),
         };
@@ -85,7 +85,7 @@
         let now = self.clock.now();
         let boot = self.clock.boot_time();
         let mut loads = self.loads();
-        loads.set_standings(&self.statements().notices, boot, now);
+        loads.set_availabilities(&self.statements().notices, boot, now);
         drop(loads);
         let labels = NoticeLabels {
             notice: LEAVING,
@@ -94,7 +94,7 @@
         for event in leaves {
             self.metrics.notices.get_or_create(&labels).inc();
             LogLine::new("server_notice")
-                .with("life", format!("{:016x}", event.life))
+                .with("life", format!("{:016x}", event.incarnation))
                 .with("notice", LEAVING)
                 .with("source", "peer")
                 .with("age_ms", event.age.as_millis())
--- a/crates/plumgate-node/src/gateway/view_copies.rs
+++ b/crates/plumgate-node/src/gateway/view_copies.rs
@@ -84,7 +84,7 @@
     pub(crate) fn servers_snapshot(&self) -> Option<Vec<u8>> {
         let now = self.shared.clock.boot_time();
         // Rows don't say what servers said to nodes.
-        self.shared.statements().notices.tell_again(now);
+        self.shared.statements().notices.restart_reports(now);
         let copy = self.news().servers_snapshot(&self.servers.borrow(), now)?;
         self.encode(&copy)
     }
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -131,8 +131,10 @@
             if let ServerChange::Changed(entry) | ServerChange::Restarted(entry) = change {
                 let boot = self.shared.clock.boot_time();
                 let statements = self.shared.statements();
-                let standing = statements.notices.standing(entry.incarnation_id(), boot);
-                loads.set_standing(entry, standing, now);
+                let availability = statements
+                    .notices
+                    .availability(entry.incarnation_id(), boot);
+                loads.set_availability(entry, availability, now);
             }
             let line = LogLine::new("server").with("source", source);
             let line = match change {
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -45,8 +45,8 @@
 };
 pub use servers::{IncarnationId, ServerEntry, ServerState, ServerTable};
 pub use statements::{
-    AnswerTimes, LeaveEvent, LeaveStatement, NoticeBook, NoticeChange, RestNotice, RestStatement,
-    SendMoment, SendRefusal, ServerStanding, ServerStatement, ServerStatements,
+    AnswerTimes, LeaveEvent, LeaveStatement, NoticeChange, NoticeTable, RestNotice, RestStatement,
+    SendMoment, SendRefusal, ServerAvailability, ServerStatement, ServerStatements,
 };
 pub use switches::{PolicyPart, PolicySwitches};
 pub use sync::{
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -8,7 +8,7 @@
 use super::server_load::ServerLoad;
 use crate::gateway::rate_limit::BootTime;
 use crate::gateway::servers::ServerEntry;
-use crate::gateway::statements::{NoticeBook, ServerStanding};
+use crate::gateway::statements::{NoticeTable, ServerAvailability};
 use crate::ids::{PoolId, ServerId};
 
 impl LoadTable {
@@ -88,19 +88,24 @@
     }
 
     /// Applies what a server reported of itself. A report of another incarnation is ignored.
-    pub fn set_standing(&mut self, server: &ServerEntry, standing: ServerStanding, now: Instant) {
+    pub fn set_availability(
+        &mut self,
+        server: &ServerEntry,
+        availability: ServerAvailability,
+        now: Instant,
+    ) {
         let load = self.servers.get_mut(&server.id);
         if let Some(load) = load.filter(|load| load.entry.start_time == server.start_time) {
-            load.set_standing(standing, now);
+            load.set_availability(availability, now);
         }
     }
 
     /// Applies what all servers reported of themselves. `boot` and `now` are the same moment on the two
     /// clocks.
-    pub fn set_standings(&mut self, notices: &NoticeBook, boot: BootTime, now: Instant) {
+    pub fn set_availabilities(&mut self, notices: &NoticeTable, boot: BootTime, now: Instant) {
         for load in self.servers.values_mut() {
-            let standing = notices.standing(load.incarnation(), boot);
-            load.set_standing(standing, now);
+            let availability = notices.availability(load.incarnation(), boot);
+            load.set_availability(availability, now);
         }
     }
 }
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -8,7 +8,7 @@
 use crate::gateway::prompt::{MIN_TRACKED_TOKENS, PromptShape};
 use crate::gateway::rate_limit::RequestRate;
 use crate::gateway::servers::{IncarnationId, ServerEntry, ServerState};
-use crate::gateway::statements::{SendRefusal, ServerStanding};
+use crate::gateway::statements::{SendRefusal, ServerAvailability};
 use crate::gateway::switches::{PolicyPart, PolicySwitches};
 use crate::gateway::work::{ServerWork, URGENCY_LEVELS, WorkOutcome};
 use crate::retry::CircuitBreaker;
@@ -150,9 +150,9 @@
     }
 
     /// Applies what the server reported of itself.
-    pub(crate) fn set_standing(&mut self, standing: ServerStanding, now: Instant) {
-        self.serves_until = standing.serves_for.map(|serves| now + serves);
-        let rest = standing.rest_left.map(|left| left.min(MAX_REST));
+    pub(crate) fn set_availability(&mut self, availability: ServerAvailability, now: Instant) {
+        self.serves_until = availability.serves_for.map(|serves| now + serves);
+        let rest = availability.rest_left.map(|left| left.min(MAX_REST));
         self.resting_until = rest.map(|left| now + left);
     }
 
--- a/crates/plumgate/src/gateway/statements/mod.rs
+++ b/crates/plumgate/src/gateway/statements/mod.rs
@@ -7,7 +7,7 @@
 mod table;
 mod telling;
 
-pub use notices::{NoticeBook, NoticeChange, RestNotice, ServerStanding};
+pub use notices::{NoticeChange, NoticeTable, RestNotice, ServerAvailability};
 pub use statement::{LeaveStatement, RestStatement, ServerStatement};
 pub use table::{AnswerTimes, SendMoment, SendRefusal, ServerStatements};
 pub use telling::LeaveEvent;
--- a/crates/plumgate/src/gateway/statements/notices.rs
+++ b/crates/plumgate/src/gateway/statements/notices.rs
@@ -13,7 +13,7 @@
 /// for a connection, and is then in transit.
 const SERVE_MARGIN: Duration = Duration::from_millis(500);
 /// Number of consecutive rounds in which a new leaving server is reported.
-const TELL_ROUNDS: u32 = 3;
+const REPORT_ROUNDS: u32 = 3;
 /// Interval before the first repeated report; each further interval is twice as long.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of times that the interval doubles, up to half a minute.
@@ -41,7 +41,7 @@
 
 /// What the notices of a server mean for requests now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ServerStanding {
+pub struct ServerAvailability {
     /// How much longer the server serves requests, if it leaves.
     pub serves_for: Option<Duration>,
     /// How much longer the server wants no requests, if it rests.
@@ -84,7 +84,7 @@
         self.sent_count += 1;
         let doublings = self
             .sent_count
-            .saturating_sub(TELL_ROUNDS)
+            .saturating_sub(REPORT_ROUNDS)
             .min(MAX_INTERVAL_DOUBLINGS);
         let pause = match doublings {
             0 => Duration::ZERO,
@@ -111,7 +111,7 @@
 /// Notices apply until the server starts a new incarnation: neither an older row of the store nor an answer
 /// that was in transit revokes them.
 #[derive(Debug)]
-pub struct NoticeBook {
+pub struct NoticeTable {
     notices: BTreeMap<IncarnationId, ServerNotice>,
     /// How long a server continues to serve after it announced that it leaves.
     drain_time: Duration,
@@ -119,7 +119,7 @@
     dropped: u64,
 }
 
-impl NoticeBook {
+impl NoticeTable {
     /// Creates an empty table; leaving servers continue to serve for `drain_time`.
     pub fn new(drain_time: Duration) -> Self {
         Self {
@@ -135,10 +135,10 @@
     }
 
     /// Returns what the notices of an incarnation mean for requests now.
-    pub fn standing(&self, life: IncarnationId, now: BootTime) -> ServerStanding {
-        let notice = self.notices.get(&life).copied().unwrap_or_default();
+    pub fn availability(&self, incarnation: IncarnationId, now: BootTime) -> ServerAvailability {
+        let notice = self.notices.get(&incarnation).copied().unwrap_or_default();
         let serves = self.drain_time.saturating_sub(SERVE_MARGIN);
-        ServerStanding {
+        ServerAvailability {
             serves_for: notice
                 .leaving_since
                 .map(|since| (since + serves).saturating_sub(now)),
@@ -152,8 +152,8 @@
     }
 
     /// Records that a server announced that it leaves. Returns whether that is new.
-    pub fn note_leaving(&mut self, life: IncarnationId, now: BootTime) -> bool {
-        let Some(notice) = self.notice_mut(life, now) else {
+    pub fn record_leaving(&mut self, incarnation: IncarnationId, now: BootTime) -> bool {
+        let Some(notice) = self.notice_mut(incarnation, now) else {
             return false;
         };
         notice.leaving_confirmed_at = now;
@@ -167,13 +167,13 @@
 
     /// Merges another node's report that a server leaves. Returns whether that is new. `forwards` says whether
     /// this node passes it on.
-    pub(crate) fn note_told(
+    pub(crate) fn apply_report(
         &mut self,
         report: &LeaveReport,
         forwards: bool,
         now: BootTime,
     ) -> bool {
-        let Some(notice) = self.notice_mut(report.life, now) else {
+        let Some(notice) = self.notice_mut(report.incarnation, now) else {
             return false;
         };
         let since = now.saturating_sub(report.age());
@@ -190,7 +190,7 @@
     }
 
     /// Restarts the reports of all leaving servers, after a node requested them.
-    pub fn tell_again(&mut self, now: BootTime) {
+    pub fn restart_reports(&mut self, now: BootTime) {
         for notice in self.notices.values_mut() {
             if notice.leaving_since.is_some() {
                 notice.announcement.start(now);
@@ -209,8 +209,12 @@
         let mut due: Vec<(IncarnationId, BootTime, &mut LeaveAnnouncement)> = self
             .notices
             .iter_mut()
-            .filter_map(|(life, notice)| {
-                Some((*life, notice.leaving_since?, &mut notice.announcement))
+            .filter_map(|(incarnation, notice)| {
+                Some((
+                    *incarnation,
+                    notice.leaving_since?,
+                    &mut notice.announcement,
+                ))
             })
             .filter(|(.., announcement)| {
                 (announcement.is_active || is_collector) && announcement.next_at <= now
@@ -218,22 +222,22 @@
             .collect();
         due.sort_by_key(|(.., announcement)| announcement.sent_count);
         due.truncate(max);
-        let reports = due.into_iter().map(|(life, since, announcement)| {
+        let reports = due.into_iter().map(|(incarnation, since, announcement)| {
             announcement.record_sent(now);
-            LeaveReport::new(life, since, now)
+            LeaveReport::new(incarnation, since, now)
         });
         reports.collect()
     }
 
     /// Records a rest that a server asked for. A rest that ends before a known one is ignored.
-    pub fn note_rest(
+    pub fn record_rest(
         &mut self,
-        life: IncarnationId,
+        incarnation: IncarnationId,
         rest: Duration,
         now: BootTime,
     ) -> Option<RestNotice> {
         let until = now.saturating_add(rest);
-        let notice = self.notice_mut(life, now)?;
+        let notice = self.notice_mut(incarnation, now)?;
         let before = notice.rest_until.filter(|before| now < *before);
         if rest.is_zero() || before.is_some_and(|before| until <= before) {
             return None;
@@ -245,15 +249,19 @@
         })
     }
 
-    fn notice_mut(&mut self, life: IncarnationId, now: BootTime) -> Option<&mut ServerNotice> {
-        if !self.notices.contains_key(&life) && self.notices.len() >= MAX_NOTICES {
+    fn notice_mut(
+        &mut self,
+        incarnation: IncarnationId,
+        now: BootTime,
+    ) -> Option<&mut ServerNotice> {
+        if !self.notices.contains_key(&incarnation) && self.notices.len() >= MAX_NOTICES {
             self.forget_old(now, |_| false);
             if self.notices.len() >= MAX_NOTICES {
                 self.dropped += 1;
                 return None;
             }
         }
-        Some(self.notices.entry(life).or_default())
+        Some(self.notices.entry(incarnation).or_default())
     }
 
     /// Returns since when a server is known to leave.
@@ -289,8 +297,9 @@
 
     /// Discards notices that no longer apply; the leaving of servers that are still known is retained.
     pub fn forget_old(&mut self, now: BootTime, is_known: impl Fn(IncarnationId) -> bool) {
-        self.notices.retain(|life, notice| {
-            if !notice.is_relevant(now) && notice.leaving_since.is_some() && is_known(*life) {
+        self.notices.retain(|incarnation, notice| {
+            if !notice.is_relevant(now) && notice.leaving_since.is_some() && is_known(*incarnation)
+            {
                 notice.leaving_confirmed_at = now;
             }
             notice.is_relevant(now)
--- a/crates/plumgate/src/gateway/statements/table.rs
+++ b/crates/plumgate/src/gateway/statements/table.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::notices::{NoticeBook, NoticeChange};
+use super::notices::{NoticeChange, NoticeTable};
 use super::statement::{LeaveStatement, ServerStatement};
 use crate::gateway::config::GatewayConfig;
 use crate::gateway::rate_limit::{BootTime, SendPermit, ServerLimits};
@@ -62,7 +62,7 @@
     /// The rate limits of servers.
     pub limits: ServerLimits,
     /// Notices of leaving and resting servers.
-    pub notices: NoticeBook,
+    pub notices: NoticeTable,
     /// Number of rounds in which this node still requests reports of leaving servers.
     pub(super) requests_left: u32,
 }
@@ -75,7 +75,7 @@
     pub fn new(has_peers: bool, seed: u64, drain_time: Duration) -> Self {
         Self {
             limits: ServerLimits::new(has_peers, seed),
-            notices: NoticeBook::new(drain_time),
+            notices: NoticeTable::new(drain_time),
             requests_left: REQUEST_ROUNDS,
         }
     }
@@ -86,22 +86,23 @@
     }
 
     /// Records the leaving and resting that a server states in an answer. Returns what was not known yet.
-    pub fn note_notices(
+    pub fn record_notices(
         &mut self,
         server: &ServerEntry,
         statement: &ServerStatement,
         times: AnswerTimes,
     ) -> Vec<NoticeChange> {
-        let life = server.incarnation_id();
+        let incarnation = server.incarnation_id();
         let mut changes = Vec::new();
         if statement.leaving == LeaveStatement::Leaves
-            && self.notices.note_leaving(life, times.seen)
+            && self.notices.record_leaving(incarnation, times.seen)
         {
             changes.push(NoticeChange::Leaves);
         }
         let rest = statement.rest.duration(times.seen_unix_ms);
         let rest = rest.unwrap_or(Duration::ZERO);
-        let rest = (!rest.is_zero()).then(|| self.notices.note_rest(life, rest, times.seen));
+        let rest =
+            (!rest.is_zero()).then(|| self.notices.record_rest(incarnation, rest, times.seen));
         changes.extend(rest.flatten().map(NoticeChange::Rests));
         changes
     }
@@ -111,13 +112,13 @@
     ///
     /// Returns the reason if it may not be sent.
     pub fn check(&self, server: &ServerEntry, send: SendMoment<'_>) -> Result<(), SendRefusal> {
-        let standing = self.notices.standing(server.incarnation_id(), send.now);
-        if let Some(serves_for) = standing.serves_for
+        let availability = self.notices.availability(server.incarnation_id(), send.now);
+        if let Some(serves_for) = availability.serves_for
             && (serves_for.is_zero() || !send.is_last_resort)
         {
             return Err(SendRefusal::Leaving);
         }
-        if standing.rest_left.is_some() {
+        if availability.rest_left.is_some() {
             return Err(SendRefusal::Resting);
         }
         if !self.limits.allows(server, send.permit, send.now) {
--- a/crates/plumgate/src/gateway/statements/telling.rs
+++ b/crates/plumgate/src/gateway/statements/telling.rs
@@ -19,17 +19,17 @@
 /// Report that a server leaves, with the time given as an age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaveReport {
-    pub(crate) life: IncarnationId,
+    pub(crate) incarnation: IncarnationId,
     /// Milliseconds since the sender first knew that the server leaves, rounded up.
     age_ms: u32,
 }
 
 impl LeaveReport {
     /// Creates the report of a server that has been known to leave since `since`.
-    pub(crate) fn new(life: IncarnationId, since: BootTime, now: BootTime) -> Self {
+    pub(crate) fn new(incarnation: IncarnationId, since: BootTime, now: BootTime) -> Self {
         let age = now.saturating_sub(since).as_millis() + 1;
         Self {
-            life,
+            incarnation,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         }
     }
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaveEvent {
     /// Key of the server's incarnation.
-    pub life: IncarnationId,
+    pub incarnation: IncarnationId,
     /// How long ago the reporting node learnt it.
     pub age: Duration,
 }
@@ -54,9 +54,9 @@
     pub fn talk(&mut self, exchange: &LoadExchange, moment: MailMoment) -> Vec<ExchangePacket> {
         let mut packets = self.limits.talk(exchange, moment);
         packets.extend(self.request_reports(exchange, moment));
-        let collects = exchange.is_collector();
+        let is_collector = exchange.is_collector();
         let max = MAX_REPORTS * MAX_MESSAGES;
-        let reports = self.notices.due_reports(max, collects, moment.boot);
+        let reports = self.notices.due_reports(max, is_collector, moment.boot);
         if reports.is_empty() {
             return packets;
         }
@@ -100,14 +100,14 @@
         let messages = exchange.take_statements();
         let (packets, mut outcome) = self.limits.hear(exchange, messages, moment);
         if outcome.wants_leaves {
-            self.notices.tell_again(moment.boot);
+            self.notices.restart_reports(moment.boot);
         }
-        let collects = exchange.is_collector();
+        let is_collector = exchange.is_collector();
         let reports = std::mem::take(&mut outcome.leaves);
         let events = reports.iter().filter_map(|report| {
-            let is_new = self.notices.note_told(report, collects, moment.boot);
+            let is_new = self.notices.apply_report(report, is_collector, moment.boot);
             is_new.then(|| LeaveEvent {
-                life: report.life,
+                incarnation: report.incarnation,
                 age: report.age(),
             })
         });
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -7,8 +7,8 @@
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
     LimitObservation, LoadTable, PlacementOptions, PlacementRequest, PolicyPart, PolicySwitches,
-    PromptPart, PromptShape, RequestRate, ServerEntry, ServerLimits, ServerPick, ServerStanding,
-    ServerState, StreamClass, WorkOutcome,
+    PromptPart, PromptShape, RequestRate, ServerAvailability, ServerEntry, ServerLimits,
+    ServerPick, ServerState, StreamClass, WorkOutcome,
 };
 use plumgate::ids::{PoolId, ServerId};
 
@@ -202,14 +202,14 @@
 /// A server that leaves or rests was copied from, for requests that others took.
 #[test]
 fn leaving_or_resting_server_is_not_copied_from() {
-    for standing in [
-        ServerStanding {
+    for availability in [
+        ServerAvailability {
             serves_for: Some(Duration::from_secs(1)),
-            ..ServerStanding::default()
+            ..ServerAvailability::default()
         },
-        ServerStanding {
+        ServerAvailability {
             rest_left: Some(Duration::from_secs(1)),
-            ..ServerStanding::default()
+            ..ServerAvailability::default()
         },
     ] {
         let mut bench = CopyBench::new(PolicySwitches::new());
@@ -217,8 +217,10 @@
         let keeper = bench.serve(&prompt).server;
         let elsewhere = bench.pick(&prompt, std::slice::from_ref(&keeper.id));
         assert_eq!(copy_from(&elsewhere), Some(&keeper.id));
-        bench.table.set_standing(&keeper, standing, bench.now);
+        bench
+            .table
+            .set_availability(&keeper, availability, bench.now);
         let elsewhere = bench.pick(&prompt, std::slice::from_ref(&keeper.id));
-        assert_ne!(copy_from(&elsewhere), Some(&keeper.id), "{standing:?}");
+        assert_ne!(copy_from(&elsewhere), Some(&keeper.id), "{availability:?}");
     }
 }
--- a/crates/plumgate/tests/limit_fleet/node.rs
+++ b/crates/plumgate/tests/limit_fleet/node.rs
@@ -219,6 +219,6 @@
             ..ServerStatement::default()
         };
         self.statements
-            .note_notices(&answer.server, &statement, times);
+            .record_notices(&answer.server, &statement, times);
     }
 }
--- a/crates/plumgate/tests/load/shedding.rs
+++ b/crates/plumgate/tests/load/shedding.rs
@@ -95,12 +95,12 @@
             ..ServerStatement::default()
         };
         for node in &mut self.nodes[told] {
-            node.statements.note_notices(server, &statement, times);
-            let standing = node
+            node.statements.record_notices(server, &statement, times);
+            let availability = node
                 .statements
                 .notices
-                .standing(server.incarnation_id(), seen);
-            node.table.set_standing(server, standing, at);
+                .availability(server.incarnation_id(), seen);
+            node.table.set_availability(server, availability, at);
         }
     }
 
--- a/crates/plumgate/tests/notices/mod.rs
+++ b/crates/plumgate/tests/notices/mod.rs
@@ -88,7 +88,7 @@
     fn round(&mut self) {
         let now = self.now();
         self.table
-            .set_standings(&self.statements.notices, self.boot, now);
+            .set_availabilities(&self.statements.notices, self.boot, now);
     }
 
     /// A change of the servers, as the node takes it over.
@@ -96,14 +96,15 @@
         let now = self.now();
         self.table.apply(change, now);
         if let ServerChange::Changed(entry) | ServerChange::Restarted(entry) = change {
-            self.set_standing(entry);
+            self.set_availability(entry);
         }
     }
 
-    fn set_standing(&mut self, entry: &ServerEntry) {
+    fn set_availability(&mut self, entry: &ServerEntry) {
         let now = self.now();
-        let standing = (self.statements.notices).standing(entry.incarnation_id(), self.boot);
-        self.table.set_standing(entry, standing, now);
+        let availability =
+            (self.statements.notices).availability(entry.incarnation_id(), self.boot);
+        self.table.set_availability(entry, availability, now);
     }
 
     /// An answer came in that left its server now.
@@ -117,8 +118,8 @@
             seen: self.boot,
             seen_unix_ms: UNIX_MS,
         };
-        let changes = (self.statements).note_notices(server, &statement, times);
-        self.set_standing(server);
+        let changes = (self.statements).record_notices(server, &statement, times);
+        self.set_availability(server);
         changes
     }
 
