--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -8,7 +8,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use plumgate::gateway::{ExchangeMoment, ExchangePacket, LoadExchange, MailMoment, NodeEntry};
+use plumgate::gateway::{ExchangeMoment, ExchangePacket, LoadExchange, MessageTime, NodeEntry};
 use plumgate::ids::NodeId;
 
 use super::duties::DutyState;
@@ -159,11 +159,11 @@
             let mut exchange = self.exchange.borrow_mut();
             let moment = self.mail_moment();
             let mut statements = self.shared.statements();
-            let (packets, outcome, leaves) = statements.hear(&mut exchange, moment);
+            let (packets, outcome, leaves) = statements.receive(&mut exchange, moment);
             drop(statements);
             self.note_refused(outcome.refused);
             self.shared.note_told_leaves(&leaves);
-            if outcome.is_answer {
+            if outcome.is_permit_response {
                 self.shared.limit_answered.notify(usize::MAX);
             }
             packets
@@ -209,8 +209,8 @@
         }
     }
 
-    fn mail_moment(&self) -> MailMoment {
-        MailMoment {
+    fn mail_moment(&self) -> MessageTime {
+        MessageTime {
             boot: self.shared.clock.boot_time(),
             unix_ms: self.shared.clock.unix_ms(),
         }
@@ -244,7 +244,7 @@
                 let mut packets = exchange.tick(loads.own_work(), &mut self.view.news(), moment);
                 let mut statements = self.shared.statements();
                 let knew_limits = !statements.limits.is_empty();
-                packets.extend(statements.talk(&exchange, self.mail_moment()));
+                packets.extend(statements.run_round(&exchange, self.mail_moment()));
                 if moment.now >= self.standings_due.get() && !statements.notices.is_empty() {
                     self.standings_due.set(moment.now + STANDING_PAUSE);
                     loads.set_availabilities(&statements.notices, moment.boot, moment.now);
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -5,7 +5,7 @@
 
 use plumgate::gateway::{
     AnswerTimes, BootTime, LinkAge, RequestHold, RequestIdentity, RunFinding, RunTicket,
-    SendMoment, SendPermit, SendRefusal, ServerEntry, ServerPick, ServerStatement, WorkOutcome,
+    SendContext, SendPermit, SendRefusal, ServerEntry, ServerPick, ServerStatement, WorkOutcome,
     WorkTicket,
 };
 
@@ -113,7 +113,7 @@
     ) -> Result<(), RunRefusal> {
         let now = self.shared.clock.now();
         self.sent = self.shared.clock.boot_time();
-        let send = SendMoment {
+        let send = SendContext {
             now: self.sent,
             permit: self.permit.as_ref(),
             is_last_resort: self.is_last_resort,
--- a/crates/plumgate/examples/limit_costs.rs
+++ b/crates/plumgate/examples/limit_costs.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangeMoment, ExchangePacket, GatewayConfig, LimitObservation, LoadExchange, MailMoment,
+    ExchangeMoment, ExchangePacket, GatewayConfig, LimitObservation, LoadExchange, MessageTime,
     NodeEntry, PermitStatus, RequestRate, ServerLimits, SyncState,
 };
 
@@ -60,7 +60,7 @@
     }
 
     fn talk(&mut self, millis: u64) -> Vec<ExchangePacket> {
-        self.limits.talk(&self.exchange, mail(millis))
+        self.limits.run_round(&self.exchange, mail(millis))
     }
 
     fn hear(&mut self, from: &NodeEntry, bytes: &[u8], millis: u64) -> Vec<ExchangePacket> {
@@ -70,7 +70,7 @@
             .receive(bytes, from.address, &mut self.desk, moment);
         taken.expect("a message");
         let mails = self.exchange.take_statements();
-        let (packets, _) = self.limits.hear(&self.exchange, mails, mail(millis));
+        let (packets, _) = self.limits.receive(&self.exchange, mails, mail(millis));
         packets
     }
 
@@ -82,8 +82,8 @@
     }
 }
 
-fn mail(millis: u64) -> MailMoment {
-    MailMoment {
+fn mail(millis: u64) -> MessageTime {
+    MessageTime {
         boot: Duration::from_millis(millis),
         unix_ms: 1_767_225_600_000 + millis,
     }
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -39,14 +39,14 @@
     RunFinding, RunTicket, SuspectEvent, SuspectState,
 };
 pub use rate_limit::{
-    BootTime, LimitChange, LimitEvent, LimitObservation, MailMoment, MailOutcome,
+    BootTime, LimitChange, LimitEvent, LimitObservation, MessageOutcome, MessageTime,
     PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT, PermitRequestId, PermitStatus, RateStatement,
     RequestRate, SendPermit, ServerLimits,
 };
 pub use servers::{IncarnationId, ServerEntry, ServerState, ServerTable};
 pub use statements::{
     AnswerTimes, LeaveEvent, LeaveStatement, NoticeChange, NoticeTable, RestNotice, RestStatement,
-    SendMoment, SendRefusal, ServerAvailability, ServerStatement, ServerStatements,
+    SendContext, SendRefusal, ServerAvailability, ServerStatement, ServerStatements,
 };
 pub use switches::{PolicyPart, PolicySwitches};
 pub use sync::{
--- a/crates/plumgate/src/gateway/rate_limit/mod.rs
+++ b/crates/plumgate/src/gateway/rate_limit/mod.rs
@@ -21,4 +21,4 @@
 pub use observed::{BootTime, LimitChange, LimitObservation};
 pub use statement::{RateStatement, RequestRate};
 pub use table::{LimitEvent, PermitStatus, ServerLimits};
-pub use talk::{MailMoment, MailOutcome};
+pub use talk::{MessageOutcome, MessageTime};
--- a/crates/plumgate/src/gateway/rate_limit/talk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/talk.rs
@@ -29,20 +29,20 @@
 
 /// Result of handling received messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct MailOutcome {
+pub struct MessageOutcome {
     /// Whether a request of this node got its response.
-    pub is_answer: bool,
+    pub is_permit_response: bool,
     /// Number of messages that were forged, too old or malformed.
     pub refused: u64,
     /// Leaving servers reported by other nodes.
-    pub(crate) leaves: Vec<LeaveReport>,
+    pub(crate) leave_reports: Vec<LeaveReport>,
     /// Whether a node requested reports of leaving servers.
-    pub(crate) wants_leaves: bool,
+    pub(crate) wants_leave_reports: bool,
 }
 
 /// The current time on both clocks that messages need.
 #[derive(Clone, Copy, Debug)]
-pub struct MailMoment {
+pub struct MessageTime {
     /// Time since the VM started, including suspension.
     pub boot: BootTime,
     /// Milliseconds since the Unix epoch.
@@ -51,7 +51,11 @@
 
 impl ServerLimits {
     /// Runs one round and returns the messages to other nodes; none while no limit is known.
-    pub fn talk(&mut self, exchange: &LoadExchange, moment: MailMoment) -> Vec<ExchangePacket> {
+    pub fn run_round(
+        &mut self,
+        exchange: &LoadExchange,
+        moment: MessageTime,
+    ) -> Vec<ExchangePacket> {
         let now = moment.boot;
         self.record_activity(now);
         self.requester.forget_old(now);
@@ -70,7 +74,7 @@
     pub fn take_requests(
         &mut self,
         exchange: &LoadExchange,
-        moment: MailMoment,
+        moment: MessageTime,
     ) -> Vec<ExchangePacket> {
         let requests: Vec<PermitRequest> = self.outgoing.drain(..).collect();
         let packets = requests.into_iter().filter_map(|request| {
@@ -86,13 +90,13 @@
     }
 
     /// Handles messages, and returns the packets that answer or forward them.
-    pub fn hear(
+    pub fn receive(
         &mut self,
         exchange: &LoadExchange,
         messages: Vec<ReceivedStatement>,
-        moment: MailMoment,
-    ) -> (Vec<ExchangePacket>, MailOutcome) {
-        let mut outcome = MailOutcome::default();
+        moment: MessageTime,
+    ) -> (Vec<ExchangePacket>, MessageOutcome) {
+        let mut outcome = MessageOutcome::default();
         let mut packets = Vec::new();
         for received in messages {
             self.record_activity(moment.boot);
@@ -107,10 +111,12 @@
                 StatementMessage::PermitRequest(request) => {
                     packets.extend(self.receive_request(exchange, request, moment))
                 }
-                StatementMessage::LeaveReports(leaves) => outcome.leaves.extend(leaves),
-                StatementMessage::LeaveReportsRequest => outcome.wants_leaves = true,
+                StatementMessage::LeaveReports(leave_reports) => {
+                    outcome.leave_reports.extend(leave_reports)
+                }
+                StatementMessage::LeaveReportsRequest => outcome.wants_leave_reports = true,
                 StatementMessage::PermitResponse(response) => {
-                    outcome.is_answer |= self.receive_response(&response, moment.boot);
+                    outcome.is_permit_response |= self.receive_response(&response, moment.boot);
                 }
             }
         }
@@ -129,7 +135,7 @@
     fn round_packets(
         &mut self,
         exchange: &LoadExchange,
-        moment: MailMoment,
+        moment: MessageTime,
     ) -> Vec<ExchangePacket> {
         let now = moment.boot;
         let Some(view) = &self.view else {
@@ -177,7 +183,7 @@
         to: SocketAddr,
         update: LimitUpdate,
         reports: &[LimitReport],
-        moment: MailMoment,
+        moment: MessageTime,
     ) -> Vec<ExchangePacket> {
         let mut parts: Vec<LimitUpdate> = reports
             .chunks(MAX_REPORTS)
@@ -205,13 +211,13 @@
         exchange: &LoadExchange,
         to: SocketAddr,
         message: StatementMessage,
-        moment: MailMoment,
+        moment: MessageTime,
     ) -> Option<ExchangePacket> {
         let sealed = self.keys.seal(message, moment.unix_ms);
         exchange.statement_packet(to, sealed)
     }
 
-    fn open(&self, received: &ReceivedStatement, moment: MailMoment) -> Result<StatementMessage> {
+    fn open(&self, received: &ReceivedStatement, moment: MessageTime) -> Result<StatementMessage> {
         let mut opened = Err(Error::MalformedMessage);
         for sealed in &received.sealed {
             opened = self.keys.open(sealed, moment.unix_ms);
@@ -288,7 +294,7 @@
         &mut self,
         exchange: &LoadExchange,
         request: PermitRequest,
-        moment: MailMoment,
+        moment: MessageTime,
     ) -> Option<ExchangePacket> {
         let now = moment.boot;
         self.receive_report(
@@ -331,7 +337,7 @@
         exchange: &LoadExchange,
         request: &PermitRequest,
         decision: PermitDecision,
-        moment: MailMoment,
+        moment: MessageTime,
     ) -> Option<ExchangePacket> {
         let key = request.report.server;
         let limit = self.book.limit(key);
--- a/crates/plumgate/src/gateway/statements/mod.rs
+++ b/crates/plumgate/src/gateway/statements/mod.rs
@@ -9,6 +9,6 @@
 
 pub use notices::{NoticeChange, NoticeTable, RestNotice, ServerAvailability};
 pub use statement::{LeaveStatement, RestStatement, ServerStatement};
-pub use table::{AnswerTimes, SendMoment, SendRefusal, ServerStatements};
+pub use table::{AnswerTimes, SendContext, SendRefusal, ServerStatements};
 pub use telling::LeaveEvent;
 pub(crate) use telling::LeaveReport;
--- a/crates/plumgate/src/gateway/statements/table.rs
+++ b/crates/plumgate/src/gateway/statements/table.rs
@@ -25,7 +25,7 @@
 
 /// Circumstances of a request that is about to be sent to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct SendMoment<'a> {
+pub struct SendContext<'a> {
     /// Time since the VM started.
     pub now: BootTime,
     /// The permit that the request holds, if any.
@@ -111,7 +111,7 @@
     /// checked here right before it is written.
     ///
     /// Returns the reason if it may not be sent.
-    pub fn check(&self, server: &ServerEntry, send: SendMoment<'_>) -> Result<(), SendRefusal> {
+    pub fn check(&self, server: &ServerEntry, send: SendContext<'_>) -> Result<(), SendRefusal> {
         let availability = self.notices.availability(server.incarnation_id(), send.now);
         if let Some(serves_for) = availability.serves_for
             && (serves_for.is_zero() || !send.is_last_resort)
--- a/crates/plumgate/src/gateway/statements/telling.rs
+++ b/crates/plumgate/src/gateway/statements/telling.rs
@@ -7,7 +7,7 @@
 
 use super::table::ServerStatements;
 use crate::gateway::exchange::{ExchangePacket, LoadExchange, PeerView};
-use crate::gateway::rate_limit::{BootTime, MailMoment, MailOutcome, StatementMessage};
+use crate::gateway::rate_limit::{BootTime, MessageOutcome, MessageTime, StatementMessage};
 use crate::gateway::servers::IncarnationId;
 
 /// Maximum number of reports per message, some 15 bytes each: a message is sealed twice and fits into one
@@ -51,8 +51,12 @@
 
 impl ServerStatements {
     /// Runs one round and returns the messages to other nodes.
-    pub fn talk(&mut self, exchange: &LoadExchange, moment: MailMoment) -> Vec<ExchangePacket> {
-        let mut packets = self.limits.talk(exchange, moment);
+    pub fn run_round(
+        &mut self,
+        exchange: &LoadExchange,
+        moment: MessageTime,
+    ) -> Vec<ExchangePacket> {
+        let mut packets = self.limits.run_round(exchange, moment);
         packets.extend(self.request_reports(exchange, moment));
         let is_collector = exchange.is_collector();
         let max = MAX_REPORTS * MAX_MESSAGES;
@@ -74,7 +78,7 @@
     fn request_reports(
         &mut self,
         exchange: &LoadExchange,
-        moment: MailMoment,
+        moment: MessageTime,
     ) -> Vec<ExchangePacket> {
         if self.requests_left == 0 {
             return Vec::new();
@@ -92,18 +96,18 @@
 
     /// Handles received messages. Returns the packets that answer or forward them, the outcome and new leaving
     /// servers.
-    pub fn hear(
+    pub fn receive(
         &mut self,
         exchange: &mut LoadExchange,
-        moment: MailMoment,
-    ) -> (Vec<ExchangePacket>, MailOutcome, Vec<LeaveEvent>) {
+        moment: MessageTime,
+    ) -> (Vec<ExchangePacket>, MessageOutcome, Vec<LeaveEvent>) {
         let messages = exchange.take_statements();
-        let (packets, mut outcome) = self.limits.hear(exchange, messages, moment);
-        if outcome.wants_leaves {
+        let (packets, mut outcome) = self.limits.receive(exchange, messages, moment);
+        if outcome.wants_leave_reports {
             self.notices.restart_reports(moment.boot);
         }
         let is_collector = exchange.is_collector();
-        let reports = std::mem::take(&mut outcome.leaves);
+        let reports = std::mem::take(&mut outcome.leave_reports);
         let events = reports.iter().filter_map(|report| {
             let is_new = self.notices.apply_report(report, is_collector, moment.boot);
             is_new.then(|| LeaveEvent {
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangeMoment, GatewayConfig, LimitChange, LimitObservation, LoadExchange, MailMoment,
+    ExchangeMoment, GatewayConfig, LimitChange, LimitObservation, LoadExchange, MessageTime,
     NodeEntry, PermitStatus, RequestRate, ServerLimits, SyncState, WorkspaceKeys,
 };
 
@@ -137,11 +137,11 @@
     };
     told.record_answer(&server, named);
     let mut desk = SyncState::new(seconds(5.0), 1);
-    let sent = MailMoment {
+    let sent = MessageTime {
         boot: seconds(1.1),
         unix_ms: 1_767_225_600_000,
     };
-    let came = MailMoment {
+    let came = MessageTime {
         boot: seconds(500.0),
         unix_ms: sent.unix_ms + late_ms,
     };
@@ -149,7 +149,7 @@
         now: Instant::now(),
         boot: came.boot,
     };
-    let packets = told.talk(&sender, sent);
+    let packets = told.run_round(&sender, sent);
     assert!(!packets.is_empty(), "a limit is told");
     for (_, bytes) in packets {
         let from = entries[0].address;
@@ -157,7 +157,7 @@
         taken.expect("a message");
     }
     let mail = receiver.take_statements();
-    let (_, outcome) = limits.hear(&receiver, mail, came);
+    let (_, outcome) = limits.receive(&receiver, mail, came);
     let is_believed = limits.rate(&server).is_some();
     assert_eq!(outcome.refused == 0, is_believed);
     is_believed
@@ -186,7 +186,7 @@
         sent: seconds(sent),
         seen: seconds(sent + 0.01),
     };
-    let mail = |at: f64| MailMoment {
+    let mail = |at: f64| MessageTime {
         boot: seconds(at),
         unix_ms: 1_767_225_600_000,
     };
@@ -194,19 +194,19 @@
     teller.record_answer(&server, observation(None, end_sent));
     limits.record_answer(&server, observation(Some(1.0), known_seen));
     for at in rounds {
-        limits.talk(&receiver, mail(*at));
+        limits.run_round(&receiver, mail(*at));
     }
     let mut desk = SyncState::new(seconds(5.0), 1);
     let moment = ExchangeMoment {
         now: Instant::now(),
         boot: seconds(heard),
     };
-    for (_, bytes) in teller.talk(&sender, mail(told)) {
+    for (_, bytes) in teller.run_round(&sender, mail(told)) {
         let taken = receiver.receive(&bytes, entries[0].address, &mut desk, moment);
         taken.expect("a message");
     }
     let mails = receiver.take_statements();
-    limits.hear(&receiver, mails, mail(heard));
+    limits.receive(&receiver, mails, mail(heard));
     limits.rate(&server).is_none()
 }
 
--- a/crates/plumgate/tests/limit_fleet/node.rs
+++ b/crates/plumgate/tests/limit_fleet/node.rs
@@ -5,7 +5,7 @@
 
 use plumgate::gateway::{
     AnswerTimes, ExchangeMoment, ExchangePacket, GatewayConfig, LeaveStatement, LimitObservation,
-    LoadExchange, MailMoment, NodeEntry, PermitStatus, RequestRate, RestStatement, SendMoment,
+    LoadExchange, MessageTime, NodeEntry, PermitStatus, RequestRate, RestStatement, SendContext,
     SendPermit, ServerEntry, ServerStatement, ServerStatements, SyncState,
 };
 
@@ -93,8 +93,8 @@
         self.offset + Duration::from_micros(now)
     }
 
-    fn mail(&self, now: Micros) -> MailMoment {
-        MailMoment {
+    fn mail(&self, now: Micros) -> MessageTime {
+        MessageTime {
             boot: self.boot(now),
             unix_ms: UNIX_START_MS + now / 1_000,
         }
@@ -113,7 +113,7 @@
             .exchange
             .tick(std::iter::empty(), &mut self.desk, moment);
         let mail = self.mail(now);
-        packets.extend(self.statements.talk(&self.exchange, mail));
+        packets.extend(self.statements.run_round(&self.exchange, mail));
         packets
     }
 
@@ -129,9 +129,9 @@
             .receive(bytes, from, &mut self.desk, moment)
             .expect("a message");
         let moment = self.mail(now);
-        let (packets, outcome, _) = self.statements.hear(&mut self.exchange, moment);
+        let (packets, outcome, _) = self.statements.receive(&mut self.exchange, moment);
         assert_eq!(outcome.refused, 0, "all nodes have the same keys");
-        (packets, outcome.is_answer)
+        (packets, outcome.is_permit_response)
     }
 
     pub(crate) fn claim(&mut self, now: Micros) -> Claimed {
@@ -185,7 +185,7 @@
 
     /// Whether a request may leave now.
     pub(crate) fn may_send(&mut self, sending: Sending, now: Micros) -> bool {
-        let send = SendMoment {
+        let send = SendContext {
             now: self.boot(now),
             permit: sending.permit.as_ref(),
             is_last_resort: false,
--- a/crates/plumgate/tests/notices/mod.rs
+++ b/crates/plumgate/tests/notices/mod.rs
@@ -6,7 +6,7 @@
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
     AnswerTimes, LeaveStatement, LoadTable, NoticeChange, PlacementOptions, PlacementRequest,
-    RestStatement, SendMoment, SendRefusal, ServerEntry, ServerPick, ServerStatement,
+    RestStatement, SendContext, SendRefusal, ServerEntry, ServerPick, ServerStatement,
     ServerStatements, StreamClass, WorkOutcome, WorkTicket,
 };
 use plumgate::ids::{PoolId, ServerId};
@@ -148,7 +148,7 @@
 
     /// Whether a request may leave for the server that was chosen for it.
     pub(crate) fn check(&self, pick: &ServerPick) -> Result<(), SendRefusal> {
-        let send = SendMoment {
+        let send = SendContext {
             now: self.boot,
             permit: None,
             is_last_resort: pick.is_last_resort,
