--- a/crates/plumgate/src/gateway/rate_limit/issuer.rs
+++ b/crates/plumgate/src/gateway/rate_limit/issuer.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::messages::{PermitDecision, PermitRequestId};
-use super::observed::BootTime;
+use super::observation::BootTime;
 use super::statement::RequestRate;
 use super::votes::PERMIT_LIFETIME;
 use crate::gateway::exchange::messages::ServerKey;
@@ -131,7 +131,7 @@
         self.bucket.refill(issued, bucket_depth(rate), now);
         let urgency = usize::from(urgency).min(URGENCY_LEVELS - 1);
         if self.bucket.take(self.required_permits(urgency, now)) {
-            self.since_unreserved = if self.is_floor() {
+            self.since_unreserved = if self.is_unreserved() {
                 0
             } else {
                 self.since_unreserved + 1
@@ -151,7 +151,7 @@
         self.counted_at = now;
     }
 
-    fn is_floor(&self) -> bool {
+    fn is_unreserved(&self) -> bool {
         self.since_unreserved + 1 >= UNRESERVED_EVERY
     }
 
@@ -161,7 +161,7 @@
         let has_urgent = denied
             .into_iter()
             .any(|at| now.saturating_sub(*at) < URGENT_RESERVATION);
-        if has_urgent && !self.is_floor() {
+        if has_urgent && !self.is_unreserved() {
             2.0
         } else {
             1.0
--- a/crates/plumgate/src/gateway/rate_limit/book.rs
+++ b/crates/plumgate/src/gateway/rate_limit/limit_table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::messages::LimitReport;
-use super::observed::{BootTime, LimitChange, LimitObservation, ObservedLimit};
+use super::observation::{BootTime, LimitChange, LimitObservation, ObservedLimit};
 use super::statement::RequestRate;
 use crate::gateway::exchange::messages::ServerKey;
 
--- a/crates/plumgate/src/gateway/rate_limit/messages.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messages.rs
@@ -5,13 +5,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::observed::{BootTime, LimitObservation, ObservedLimit};
+use super::observation::{BootTime, LimitObservation, ObservedLimit};
 use super::statement::RequestRate;
 use crate::gateway::exchange::messages::ServerKey;
 use crate::gateway::statements::LeaveReport;
 
 /// Longest expected transit time of a message between two nodes.
-const TRANSIT_MOST: Duration = Duration::from_secs(1);
+const MAX_TRANSIT: Duration = Duration::from_secs(1);
 
 /// Identifies one permit request among the pending ones of its node; drawn at random.
 pub type PermitRequestId = u64;
@@ -115,7 +115,7 @@
     /// Returns the observation by the clock of the receiver, for a message received at `now`. The message may
     /// have been in transit for some time, so the server wrote the answer somewhere between the two bounds.
     pub(crate) fn observation_received_at(&self, now: BootTime) -> LimitObservation {
-        self.observation_sent_after(now.saturating_sub(TRANSIT_MOST), now)
+        self.observation_sent_after(now.saturating_sub(MAX_TRANSIT), now)
     }
 
     /// Returns the observation for a message that was sent at `earliest` or later.
--- a/crates/plumgate/src/gateway/rate_limit/talk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messaging.rs
@@ -7,8 +7,8 @@
 use super::messages::{
     LimitReport, LimitUpdate, PermitDecision, PermitRequest, PermitResponse, StatementMessage,
 };
-use super::observed::{BootTime, LimitObservation};
-use super::table::{LimitEvent, ServerLimits};
+use super::observation::{BootTime, LimitObservation};
+use super::server_limits::{LimitEvent, ServerLimits};
 use super::votes::VoterName;
 use crate::errors::{Error, Result};
 use crate::gateway::exchange::{ExchangePacket, LoadExchange, PeerAddress, ReceivedStatement};
@@ -60,8 +60,8 @@
         self.record_activity(now);
         self.requester.forget_old(now);
         self.issuer.forget_old(now);
-        self.book.forget_old(now);
-        if self.book.is_empty() {
+        self.table.forget_old(now);
+        if self.table.is_empty() {
             self.view = None;
             return Vec::new();
         }
@@ -168,7 +168,7 @@
             }
         }
         let reports = self
-            .book
+            .table
             .due_reports(MAX_REPORTS * MAX_MESSAGES, is_collector, now);
         let packets = outgoing
             .into_iter()
@@ -265,7 +265,7 @@
         forwards: bool,
         now: BootTime,
     ) {
-        let known = self.book.rate(report.server);
+        let known = self.table.rate(report.server);
         let is_looser = known.is_some_and(|known| observation.rate.is_none_or(|rate| rate > known));
         if is_looser && now < self.distrust_until {
             return;
@@ -280,7 +280,7 @@
         forwards: bool,
         now: BootTime,
     ) {
-        let change = self.book.apply_report(report, observation, forwards, now);
+        let change = self.table.apply_report(report, observation, forwards, now);
         let event = change.map(|change| LimitEvent {
             server: report.server,
             change,
@@ -340,7 +340,7 @@
         moment: MessageTime,
     ) -> Option<ExchangePacket> {
         let key = request.report.server;
-        let limit = self.book.limit(key);
+        let limit = self.table.limit(key);
         let response = PermitResponse {
             id: request.id,
             decision,
--- a/crates/plumgate/src/gateway/rate_limit/mod.rs
+++ b/crates/plumgate/src/gateway/rate_limit/mod.rs
@@ -5,20 +5,20 @@
 //! of the nodes there follow it. Every request to a limited server needs a permit, including retries and
 //! resumed streams.
 
-mod book;
-mod desk;
 mod issuer;
+mod limit_table;
 mod messages;
-mod observed;
+mod messaging;
+mod observation;
+mod permit_requester;
+mod server_limits;
 mod statement;
-mod table;
-mod talk;
 mod votes;
 
-pub use desk::{PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT, SendPermit};
 pub use messages::PermitRequestId;
 pub(crate) use messages::StatementMessage;
-pub use observed::{BootTime, LimitChange, LimitObservation};
+pub use messaging::{MessageOutcome, MessageTime};
+pub use observation::{BootTime, LimitChange, LimitObservation};
+pub use permit_requester::{PERMIT_RESEND_INTERVAL, PERMIT_TIMEOUT, SendPermit};
+pub use server_limits::{LimitEvent, PermitStatus, ServerLimits};
 pub use statement::{RateStatement, RequestRate};
-pub use table::{LimitEvent, PermitStatus, ServerLimits};
-pub use talk::{MessageOutcome, MessageTime};
--- a/crates/plumgate/src/gateway/rate_limit/desk.rs
+++ b/crates/plumgate/src/gateway/rate_limit/permit_requester.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::messages::{PermitDecision, PermitRequest, PermitRequestId, PermitResponse};
-use super::observed::BootTime;
+use super::observation::BootTime;
 use super::votes::PERMIT_LIFETIME;
 use crate::gateway::exchange::messages::ServerKey;
 
--- a/crates/plumgate/src/gateway/rate_limit/table.rs
+++ b/crates/plumgate/src/gateway/rate_limit/server_limits.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use super::book::LimitTable;
-use super::desk::{PermitRequester, SendPermit};
 use super::issuer::{PermitIssuer, not_elected};
+use super::limit_table::LimitTable;
 use super::messages::{LimitReport, PermitDecision, PermitRequest, PermitRequestId, RoundId};
-use super::observed::{BootTime, LimitChange, LimitObservation};
+use super::observation::{BootTime, LimitChange, LimitObservation};
+use super::permit_requester::{PermitRequester, SendPermit};
 use super::statement::RequestRate;
 use super::votes::{IssuerVotes, SETTLE_TIME};
 use crate::gateway::config::GatewayConfig;
@@ -47,7 +47,7 @@
 /// State of one node about the limits of all servers.
 #[derive(Debug)]
 pub struct ServerLimits {
-    pub(super) book: LimitTable,
+    pub(super) table: LimitTable,
     pub(super) requester: PermitRequester,
     pub(super) issuer: PermitIssuer,
     pub(super) votes: IssuerVotes,
@@ -73,7 +73,7 @@
     /// others.
     pub fn new(has_peers: bool, seed: u64) -> Self {
         Self {
-            book: LimitTable::default(),
+            table: LimitTable::default(),
             requester: PermitRequester::default(),
             issuer: PermitIssuer::default(),
             votes: IssuerVotes::default(),
@@ -101,7 +101,7 @@
         observation: LimitObservation,
     ) -> Option<LimitChange> {
         let key = server.incarnation_key();
-        self.book.apply_answer(key, observation)
+        self.table.apply_answer(key, observation)
     }
 
     /// Takes the changes learnt from other nodes since the last call.
@@ -111,17 +111,17 @@
 
     /// Returns the current limit of a server.
     pub fn rate(&self, server: &ServerEntry) -> Option<RequestRate> {
-        self.book.rate(server.incarnation_key())
+        self.table.rate(server.incarnation_key())
     }
 
     /// Returns whether no limit is known.
     pub fn is_empty(&self) -> bool {
-        self.book.is_empty()
+        self.table.is_empty()
     }
 
     /// Returns the servers that are limited, by the digest of id and start time.
     pub fn limited(&self) -> impl Iterator<Item = (u32, RequestRate)> {
-        self.book.limited()
+        self.table.limited()
     }
 
     /// Returns whether this node issues permits now.
@@ -137,7 +137,7 @@
         now: BootTime,
     ) -> PermitStatus {
         let key = server.incarnation_key();
-        if self.book.rate(key).is_none() {
+        if self.table.rate(key).is_none() {
             return PermitStatus::NotRequired;
         }
         if let Some(permit) = self.requester.take_spare(key, now) {
@@ -192,7 +192,7 @@
     /// Returns whether a request with this permit may be sent to a server now.
     pub fn allows(&self, server: &ServerEntry, permit: Option<&SendPermit>, now: BootTime) -> bool {
         let key = server.incarnation_key();
-        self.book.rate(key).is_none() || permit.is_some_and(|permit| permit.allows(key, now))
+        self.table.rate(key).is_none() || permit.is_some_and(|permit| permit.allows(key, now))
     }
 
     /// Returns an unused permit for use by a later request.
@@ -211,7 +211,9 @@
         let key = permit.server;
         match decision {
             PermitDecision::Granted => PermitStatus::Granted(permit),
-            PermitDecision::Unlimited if self.book.rate(key).is_none() => PermitStatus::NotRequired,
+            PermitDecision::Unlimited if self.table.rate(key).is_none() => {
+                PermitStatus::NotRequired
+            }
             // This node knows a newer limit than the issuer.
             PermitDecision::Unlimited => PermitStatus::Deferred(DISAGREEMENT_PAUSE),
             PermitDecision::Denied { pause_ms } => {
@@ -264,7 +266,7 @@
             // Votes may have expired while this node was suspended.
             self.update_election(now);
         }
-        let Some(limit) = self.book.limit(key) else {
+        let Some(limit) = self.table.limit(key) else {
             return not_elected();
         };
         let Some(rate) = limit.rate() else {
@@ -288,7 +290,7 @@
         urgency: u8,
         now: BootTime,
     ) -> PermitStatus {
-        let (Some(limit), Some(view)) = (self.book.limit(key), &self.view) else {
+        let (Some(limit), Some(view)) = (self.table.limit(key), &self.view) else {
             return PermitStatus::Deferred(DISAGREEMENT_PAUSE);
         };
         let request = PermitRequest {
--- a/crates/plumgate/src/gateway/rate_limit/votes.rs
+++ b/crates/plumgate/src/gateway/rate_limit/votes.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use super::messages::RoundId;
-use super::observed::BootTime;
+use super::observation::BootTime;
 use crate::gateway::exchange::PeerView;
 use crate::ids::{DataCentreId, NodeId};
 
--- a/crates/plumgate/src/gateway/statements/telling.rs
+++ b/crates/plumgate/src/gateway/statements/leave_reports.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::table::ServerStatements;
+use super::server_statements::ServerStatements;
 use crate::gateway::exchange::{ExchangePacket, LoadExchange, PeerView};
 use crate::gateway::rate_limit::{BootTime, MessageOutcome, MessageTime, StatementMessage};
 use crate::gateway::servers::IncarnationId;
--- a/crates/plumgate/src/gateway/statements/mod.rs
+++ b/crates/plumgate/src/gateway/statements/mod.rs
@@ -2,13 +2,13 @@
 //! long they want no requests. They apply to every request to the server, whatever the store or other nodes
 //! report.
 
-mod notices;
+mod leave_reports;
+mod notice_table;
+mod server_statements;
 mod statement;
-mod table;
-mod telling;
 
-pub use notices::{NoticeChange, NoticeTable, RestNotice, ServerAvailability};
+pub use leave_reports::LeaveEvent;
+pub(crate) use leave_reports::LeaveReport;
+pub use notice_table::{NoticeChange, NoticeTable, RestNotice, ServerAvailability};
+pub use server_statements::{AnswerTimes, SendContext, SendRefusal, ServerStatements};
 pub use statement::{LeaveStatement, RestStatement, ServerStatement};
-pub use table::{AnswerTimes, SendContext, SendRefusal, ServerStatements};
-pub use telling::LeaveEvent;
-pub(crate) use telling::LeaveReport;
--- a/crates/plumgate/src/gateway/statements/notices.rs
+++ b/crates/plumgate/src/gateway/statements/notice_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::telling::LeaveReport;
+use super::leave_reports::LeaveReport;
 use crate::gateway::rate_limit::BootTime;
 use crate::gateway::servers::{IncarnationId, ServerEntry};
 
--- a/crates/plumgate/src/gateway/statements/table.rs
+++ b/crates/plumgate/src/gateway/statements/server_statements.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::notices::{NoticeChange, NoticeTable};
+use super::notice_table::{NoticeChange, NoticeTable};
 use super::statement::{LeaveStatement, ServerStatement};
 use crate::gateway::config::GatewayConfig;
 use crate::gateway::rate_limit::{BootTime, SendPermit, ServerLimits};
