--- a/crates/plumgate/src/gateway/quarantine/flights.rs
+++ b/crates/plumgate/src/gateway/quarantine/in_flight.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::doubts::InDoubtRun;
 use super::identity::RequestIdentity;
+use super::in_doubt::InDoubtRun;
 use super::verdict::RunTicket;
 use crate::gateway::exchange::messages::ServerKey;
 
--- a/crates/plumgate/src/gateway/quarantine/mod.rs
+++ b/crates/plumgate/src/gateway/quarantine/mod.rs
@@ -7,16 +7,16 @@
 //! server, refutes evidence.
 
 mod answers;
-mod doubts;
 mod evidence;
-mod flights;
 mod identity;
-mod keeping;
-mod life_signs;
+mod in_doubt;
+mod in_flight;
 mod notice;
+mod notice_exchange;
+mod response_times;
 mod rule;
+mod stored_verdicts;
 mod table;
-mod telling;
 mod verdict;
 
 pub use evidence::{EndCount, EndSign};
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use super::answers::RecentAnswers;
-use super::doubts::{InDoubtQueue, InDoubtRun};
 use super::evidence::{CrashEvidence, CrashHistory, EndCount, EndSign, EvidenceSource};
-use super::flights::InFlightTable;
 use super::identity::RequestIdentity;
-use super::life_signs::ResponseTimes;
+use super::in_doubt::{InDoubtQueue, InDoubtRun};
+use super::in_flight::InFlightTable;
 use super::notice::SEND_ROUNDS;
+use super::response_times::ResponseTimes;
 use super::rule::{HOLD_TIME, SuspectState, TURN_DURATION, has_turn};
 use super::verdict::{
     HoldReason, KeepChange, LinkAge, ReleaseReason, RequestHold, RequestVerdict, RunFinding,
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use super::doubts::InDoubtRun;
 use super::evidence::{EndCount, EndSign};
 use super::identity::RequestIdentity;
+use super::in_doubt::InDoubtRun;
 use super::rule::SuspectState;
 use crate::gateway::exchange::messages::ServerKey;
 use crate::gateway::work::WorkOutcome;
