--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -173,8 +173,8 @@
             let finding = self.shared.quarantine().finish(run, self.end, now);
             match finding {
                 RunFinding::Nothing => {}
-                RunFinding::AskServer => ask_server(&self.shared, &self.server),
-                RunFinding::ServerEnded(sign) => {
+                RunFinding::ProbeServer => ask_server(&self.shared, &self.server),
+                RunFinding::ServerCrashed(sign) => {
                     self.shared.note_server_end(&[identity], &self.server, sign);
                 }
             }
--- a/crates/plumgate-node/src/gateway/suspects.rs
+++ b/crates/plumgate-node/src/gateway/suspects.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use hyper::{Method, Response, StatusCode};
-use plumgate::gateway::{EndSign, RequestIdentity, ServerEntry, SuspectEvent, SuspectState};
+use plumgate::gateway::{CrashSign, RequestIdentity, ServerEntry, SuspectEvent, SuspectState};
 
 use super::attempt::CONNECT_TIMEOUT;
 use super::metrics::ReasonLabels;
@@ -49,7 +49,7 @@
         &self,
         identities: &[RequestIdentity],
         server: &ServerEntry,
-        sign: EndSign,
+        sign: CrashSign,
     ) {
         let labels = ReasonLabels {
             reason: sign.as_str(),
@@ -68,8 +68,8 @@
     /// A server's machine refused a connection.
     pub(crate) fn note_refused(&self, server: &ServerEntry) {
         let now = self.clock.now();
-        let ended = self.quarantine().note_gone(server, EndSign::Refused, now);
-        self.note_server_end(&ended, server, EndSign::Refused);
+        let ended = self.quarantine().note_gone(server, CrashSign::Refused, now);
+        self.note_server_end(&ended, server, CrashSign::Refused);
     }
 
     /// Logs and counts what has changed of requests that end servers.
@@ -104,7 +104,7 @@
             .with("state", event.state.as_str())
             .with_some("released", event.release.map(|release| release.as_str()))
             .with("servers", event.count.servers)
-            .with("in_turn", event.count.in_turn)
+            .with("in_turn", event.count.consecutive)
             .with("evidence", evidence);
         if event.state == SuspectState::Free {
             line.info(&self.log);
@@ -127,9 +127,9 @@
     fn quarantine_page(&self) -> String {
         let quarantine = self.quarantine();
         let lines = quarantine.suspects().map(|(identity, state, count)| {
-            let (servers, in_turn) = (count.servers, count.in_turn);
+            let (servers, consecutive) = (count.servers, count.consecutive);
             let state = state.as_str();
-            format!("digest={identity} state={state} servers={servers} in_turn={in_turn}\n")
+            format!("digest={identity} state={state} servers={servers} in_turn={consecutive}\n")
         });
         lines.collect()
     }
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::servers::ServerChange;
-use plumgate::gateway::{EndSign, LoadTable, ServerEntry, ServerState, ServerUpdate};
+use plumgate::gateway::{CrashSign, LoadTable, ServerEntry, ServerState, ServerUpdate};
 use plumgate::ids::ServerId;
 
 use super::ports::{SourceChange, SourceEvent, SourceTopic};
@@ -97,8 +97,8 @@
     /// ended under a request.
     fn note_server_end(&self, loads: &LoadTable, change: &ServerChange, now: Instant) {
         let (id, sign) = match change {
-            ServerChange::Gone(id) => (id, EndSign::Lapsed),
-            ServerChange::Restarted(entry) => (&entry.id, EndSign::Restarted),
+            ServerChange::Gone(id) => (id, CrashSign::Lapsed),
+            ServerChange::Restarted(entry) => (&entry.id, CrashSign::Restarted),
             ServerChange::Changed(entry) => {
                 if loads.entry(&entry.id).is_none() {
                     self.shared.quarantine().note_back(entry);
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -34,7 +34,7 @@
 pub use placement::{LoadTable, PlacementOptions, PlacementPolicy, PlacementRequest, ServerPick};
 pub use prompt::{PromptPart, PromptShape};
 pub use quarantine::{
-    EndCount, EndSign, HOLD_TIME, HoldReason, IdentityHasher, KeepChange, KeptVerdict, LinkAge,
+    CrashCount, CrashSign, HOLD_TIME, HoldReason, IdentityHasher, KeepChange, KeptVerdict, LinkAge,
     QuarantineTable, ReleaseReason, RequestHead, RequestHold, RequestIdentity, RequestVerdict,
     RunFinding, RunTicket, SuspectEvent, SuspectState,
 };
--- a/crates/plumgate/src/gateway/quarantine/evidence.rs
+++ b/crates/plumgate/src/gateway/quarantine/evidence.rs
@@ -17,7 +17,7 @@
 
 /// Sign by which a server's crash is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum EndSign {
+pub enum CrashSign {
     /// The answer broke off or did not come, and the server's machine refused the next connection.
     Refused,
     /// The answer broke off or did not come, and the server's entry lapsed without its having drained.
@@ -26,7 +26,7 @@
     Restarted,
 }
 
-impl EndSign {
+impl CrashSign {
     /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -43,7 +43,7 @@
     /// Incarnation of the server.
     pub(crate) server: ServerKey,
     /// Sign by which the crash is believed.
-    pub(crate) sign: EndSign,
+    pub(crate) sign: CrashSign,
     /// When the request was sent.
     pub(crate) began: Instant,
     /// When the run ended.
@@ -74,11 +74,11 @@
 
 /// Totals of a crash history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EndCount {
+pub struct CrashCount {
     /// Crashed servers.
     pub servers: usize,
     /// Consecutive crashes: each run began a while after the run before had ended.
-    pub in_turn: usize,
+    pub consecutive: usize,
 }
 
 impl CrashHistory {
@@ -110,7 +110,7 @@
     /// Refuted crashes are evicted first, then the newest one: many simultaneous runs may fill the history,
     /// and the next crash shows whether they were a coincidence.
     fn evict_one(&mut self) -> bool {
-        if self.count().in_turn > 1 {
+        if self.count().consecutive > 1 {
             return false;
         }
         let refuted = self.crashes.iter().position(|crash| crash.is_refuted);
@@ -155,24 +155,24 @@
     }
 
     /// Computes the totals, without the refuted crashes.
-    pub(crate) fn count(&self) -> EndCount {
+    pub(crate) fn count(&self) -> CrashCount {
         let mut runs: Vec<(Instant, Instant)> = self
             .unrefuted()
             .map(|crash| (crash.ended, crash.began))
             .collect();
         runs.sort();
         // Greedy choice by the earliest end gives the longest sequence of runs that don't overlap.
-        let mut in_turn = 0;
+        let mut consecutive = 0;
         let mut last: Option<Instant> = None;
         for (ended, began) in &runs {
             if last.is_none_or(|last| *began > last + TURN_GAP) {
-                in_turn += 1;
+                consecutive += 1;
                 last = Some(*ended);
             }
         }
-        EndCount {
+        CrashCount {
             servers: runs.len(),
-            in_turn,
+            consecutive,
         }
     }
 }
--- a/crates/plumgate/src/gateway/quarantine/in_doubt.rs
+++ b/crates/plumgate/src/gateway/quarantine/in_doubt.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::evidence::EndSign;
+use super::evidence::CrashSign;
 use super::identity::RequestIdentity;
 use crate::gateway::exchange::messages::ServerKey;
 
@@ -36,7 +36,7 @@
 struct GoneServer {
     server: ServerKey,
     /// Sign by which the server is known to be gone.
-    sign: EndSign,
+    sign: CrashSign,
     at: Instant,
 }
 
@@ -57,7 +57,7 @@
 
 impl InDoubtQueue {
     /// Adds a run. Returns the sign by which its server is already known to be gone, if it is.
-    pub(crate) fn add_run(&mut self, run: InDoubtRun, now: Instant) -> Option<EndSign> {
+    pub(crate) fn add_run(&mut self, run: InDoubtRun, now: Instant) -> Option<CrashSign> {
         self.expire(now);
         if let Some(gone) = self.gone.iter().find(|gone| gone.server == run.server) {
             return Some(gone.sign);
@@ -117,7 +117,7 @@
     pub(crate) fn on_server_gone(
         &mut self,
         server: ServerKey,
-        sign: EndSign,
+        sign: CrashSign,
         now: Instant,
     ) -> Vec<InDoubtRun> {
         self.expire(now);
--- a/crates/plumgate/src/gateway/quarantine/mod.rs
+++ b/crates/plumgate/src/gateway/quarantine/mod.rs
@@ -19,7 +19,7 @@
 mod table;
 mod verdict;
 
-pub use evidence::{EndCount, EndSign};
+pub use evidence::{CrashCount, CrashSign};
 pub use identity::{IdentityHasher, RequestHead, RequestIdentity};
 pub use rule::{HOLD_TIME, SuspectState};
 pub use table::QuarantineTable;
--- a/crates/plumgate/src/gateway/quarantine/notice.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::evidence::{CrashEvidence, EndSign, age_us, instant_from_age};
+use super::evidence::{CrashEvidence, CrashSign, age_us, instant_from_age};
 use super::identity::RequestIdentity;
 use crate::gateway::exchange::messages::ServerKey;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ReportedCrash {
     server: ServerKey,
-    sign: EndSign,
+    sign: CrashSign,
     /// Microseconds since the request was sent, rounded up. A run must not look shorter than it was, or
     /// simultaneous runs would look consecutive.
     began_us: u64,
--- a/crates/plumgate/src/gateway/quarantine/rule.rs
+++ b/crates/plumgate/src/gateway/quarantine/rule.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::evidence::EndCount;
+use super::evidence::CrashCount;
 
 /// Crashed servers from which on a request is suspected; the operators accept this many.
 const SERVERS_MOST: usize = 3;
@@ -56,13 +56,13 @@
 
 impl SuspectState {
     /// Derives the state from the crash counts.
-    pub(crate) fn from_count(count: EndCount) -> Self {
-        if count.servers >= SERVERS_MOST && count.in_turn >= IN_TURN {
+    pub(crate) fn from_count(count: CrashCount) -> Self {
+        if count.servers >= SERVERS_MOST && count.consecutive >= IN_TURN {
             return Self::HeldBack;
         }
         // One of the two alone is a rare coincidence, so the request goes on with care, but too frequent to
         // block it.
-        if count.servers >= SERVERS_MOST || count.in_turn >= IN_TURN {
+        if count.servers >= SERVERS_MOST || count.consecutive >= IN_TURN {
             return Self::OneByOne;
         }
         Self::Free
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::answers::RecentAnswers;
-use super::evidence::{CrashEvidence, CrashHistory, EndCount, EndSign, EvidenceSource};
+use super::evidence::{CrashCount, CrashEvidence, CrashHistory, CrashSign, EvidenceSource};
 use super::identity::RequestIdentity;
 use super::in_doubt::{InDoubtQueue, InDoubtRun};
 use super::in_flight::InFlightTable;
@@ -203,8 +203,8 @@
             }
             WorkOutcome::Restarted => {
                 if let Some(run) = ticket.in_doubt_run(end, now) {
-                    self.believe(run, EndSign::Restarted, now);
-                    return RunFinding::ServerEnded(EndSign::Restarted);
+                    self.believe(run, CrashSign::Restarted, now);
+                    return RunFinding::ServerCrashed(CrashSign::Restarted);
                 }
             }
             WorkOutcome::Broken
@@ -220,7 +220,7 @@
     fn on_in_doubt_run(&mut self, run: InDoubtRun, end: WorkOutcome, now: Instant) -> RunFinding {
         if let Some(sign) = self.in_doubt.add_run(run, now) {
             self.believe(run, sign, now);
-            return RunFinding::ServerEnded(sign);
+            return RunFinding::ServerCrashed(sign);
         }
         // A silent run may go on for long, and a caller that disconnects says nothing of the server. A server
         // that stopped responding is detected by the lapse of its entry.
@@ -229,7 +229,7 @@
             return RunFinding::Nothing;
         }
         if self.in_doubt.start_probe(run.server, now) {
-            return RunFinding::AskServer;
+            return RunFinding::ProbeServer;
         }
         RunFinding::Nothing
     }
@@ -241,7 +241,7 @@
         }
     }
 
-    fn believe(&mut self, run: InDoubtRun, sign: EndSign, now: Instant) {
+    fn believe(&mut self, run: InDoubtRun, sign: CrashSign, now: Instant) {
         self.clear_isolated_run(run.identity);
         let evidence = CrashEvidence {
             server: run.server,
@@ -259,12 +259,12 @@
     pub fn note_gone(
         &mut self,
         server: &ServerEntry,
-        sign: EndSign,
+        sign: CrashSign,
         now: Instant,
     ) -> Vec<RequestIdentity> {
         let key = server_key(server);
         let mut runs = self.in_doubt.on_server_gone(key, sign, now);
-        if sign == EndSign::Lapsed {
+        if sign == CrashSign::Lapsed {
             // Their callers may wait for long. If the server is alive after all, the answers refute the
             // evidence.
             runs.extend(self.in_flight.runs_at(key, now));
@@ -500,7 +500,7 @@
     }
 
     /// Returns the requests that are not `SuspectState::Free`, with their state and crash totals.
-    pub fn suspects(&self) -> impl Iterator<Item = (RequestIdentity, SuspectState, EndCount)> {
+    pub fn suspects(&self) -> impl Iterator<Item = (RequestIdentity, SuspectState, CrashCount)> {
         let suspects = self.records.iter();
         let suspects = suspects.filter(|(_, record)| record.state != SuspectState::Free);
         suspects.map(|(identity, record)| (*identity, record.state, record.history.count()))
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::evidence::{EndCount, EndSign};
+use super::evidence::{CrashCount, CrashSign};
 use super::identity::RequestIdentity;
 use super::in_doubt::InDoubtRun;
 use super::rule::SuspectState;
@@ -67,9 +67,9 @@
     /// Nothing to do.
     Nothing,
     /// The connection broke; a new connection to the server shows whether the server crashed.
-    AskServer,
+    ProbeServer,
     /// The server crashed under the request.
-    ServerEnded(EndSign),
+    ServerCrashed(CrashSign),
 }
 
 impl RunTicket {
@@ -152,9 +152,9 @@
     /// Reason, where the new state is less restrictive.
     pub release: Option<ReleaseReason>,
     /// Crash totals behind the state.
-    pub count: EndCount,
+    pub count: CrashCount,
     /// Evidence: key of the server's incarnation, sign, milliseconds since the crash.
-    pub evidence: Vec<(ServerKey, EndSign, u64)>,
+    pub evidence: Vec<(ServerKey, CrashSign, u64)>,
 }
 
 /// Verdict as it is stored in the fleet's store.
--- a/crates/plumgate/tests/gateway_quarantine.rs
+++ b/crates/plumgate/tests/gateway_quarantine.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    EndSign, HOLD_TIME, HoldReason, KeepChange, KeptVerdict, LinkAge, QuarantineTable,
+    CrashSign, HOLD_TIME, HoldReason, KeepChange, KeptVerdict, LinkAge, QuarantineTable,
     RequestIdentity, RequestVerdict, RunFinding, ServerEntry, ServerState, SuspectState,
     WorkOutcome,
 };
@@ -35,8 +35,8 @@
 ) {
     let ticket = table.begin(request, server, LinkAge::Fresh, began);
     let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, ended);
-    assert_eq!(finding, RunFinding::AskServer);
-    let ends = table.note_gone(server, EndSign::Refused, ended);
+    assert_eq!(finding, RunFinding::ProbeServer);
+    let ends = table.note_gone(server, CrashSign::Refused, ended);
     assert_eq!(ends, [request]);
 }
 
@@ -283,7 +283,7 @@
             now += SECOND * 2;
             assert_eq!(table.finish(ticket, how, now), RunFinding::Nothing);
             now += SECOND;
-            table.note_gone(&server, EndSign::Lapsed, now);
+            table.note_gone(&server, CrashSign::Lapsed, now);
             now += SECOND;
         }
         let late = server_entry("s3");
@@ -302,9 +302,9 @@
     let ticket = table
         .begin(request, &server, LinkAge::Fresh, now)
         .expect("sent");
-    table.note_gone(&server, EndSign::Lapsed, now + SECOND);
+    table.note_gone(&server, CrashSign::Lapsed, now + SECOND);
     let sign = table.finish(ticket, WorkOutcome::Inconclusive, now + SECOND * 2);
-    assert_eq!(sign, RunFinding::ServerEnded(EndSign::Lapsed));
+    assert_eq!(sign, RunFinding::ServerCrashed(CrashSign::Lapsed));
 }
 
 // A popular read was held back at the start of a day. Two servers of three ended at once under a deadly request
@@ -326,7 +326,7 @@
     let ticket = table.begin(read, &dark, LinkAge::Fresh, sent);
     let late = sent + SECOND * 2;
     table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, late);
-    table.note_gone(&dark, EndSign::Lapsed, late);
+    table.note_gone(&dark, CrashSign::Lapsed, late);
     let verdict = table.judge(read, late);
     assert_eq!(verdict, RequestVerdict::SendApart);
 }
@@ -345,7 +345,7 @@
         let ticket = table.begin(request, &server, LinkAge::Fresh, now);
         waiting.push(ticket.expect("sent"));
         now += SECOND * 3;
-        let ends = table.note_gone(&server, EndSign::Lapsed, now);
+        let ends = table.note_gone(&server, CrashSign::Lapsed, now);
         assert_eq!(ends, [request]);
         now += SECOND;
     }
@@ -378,7 +378,7 @@
             .expect("sent");
         table.finish(ticket, WorkOutcome::Answered, now + MOMENT);
         // It was taken away as planned, or for reasons of its own, after it had lived on.
-        table.note_gone(&server, EndSign::Lapsed, now + SECOND);
+        table.note_gone(&server, CrashSign::Lapsed, now + SECOND);
         now += SECOND * 2;
         table.note_back(&server);
     }
@@ -417,10 +417,10 @@
         let ticket = table.begin(request, &server, LinkAge::Fresh, now);
         now += MOMENT;
         let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now);
-        assert_eq!(finding, RunFinding::AskServer);
+        assert_eq!(finding, RunFinding::ProbeServer);
         table.note_reached(&server, now, now);
         // Its entry may lapse later, for reasons of its own.
-        let ends = table.note_gone(&server, EndSign::Lapsed, now + MOMENT);
+        let ends = table.note_gone(&server, CrashSign::Lapsed, now + MOMENT);
         assert!(ends.is_empty());
         table.note_back(&server);
         now += SECOND;
@@ -444,9 +444,9 @@
     let findings = tickets
         .into_iter()
         .map(|ticket| table.finish(ticket, WorkOutcome::Broken, now + MOMENT));
-    let asked = findings.filter(|finding| *finding == RunFinding::AskServer);
+    let asked = findings.filter(|finding| *finding == RunFinding::ProbeServer);
     assert_eq!(asked.count(), 1);
-    let ends = table.note_gone(&server, EndSign::Refused, now + MOMENT);
+    let ends = table.note_gone(&server, CrashSign::Refused, now + MOMENT);
     assert_eq!(ends.len(), 9);
 }
 
@@ -468,7 +468,7 @@
             continue;
         };
         table.finish(ticket, WorkOutcome::Broken, sent + MOMENT);
-        table.note_gone(&server, EndSign::Refused, sent + MOMENT);
+        table.note_gone(&server, CrashSign::Refused, sent + MOMENT);
     }
     let verdict = table.judge(request, now + SECOND * 5);
     assert_eq!(verdict, RequestVerdict::SendApart);
@@ -493,8 +493,8 @@
         };
         let ticket = table.begin(request, &server, link, now);
         let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now + MOMENT);
-        assert_eq!(finding, RunFinding::AskServer);
-        table.note_gone(&server, EndSign::Refused, now + MOMENT);
+        assert_eq!(finding, RunFinding::ProbeServer);
+        table.note_gone(&server, CrashSign::Refused, now + MOMENT);
         now += SECOND;
     }
     let verdict = table.judge(request, now);
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    CallerLimits, EndSign, ExchangeMoment, GatewayConfig, IdentityHasher, LinkAge, LoadExchange,
+    CallerLimits, CrashSign, ExchangeMoment, GatewayConfig, IdentityHasher, LinkAge, LoadExchange,
     QuarantineTable, RequestHead, RequestHold, RequestIdentity, RunFinding, RunTicket, ServerEntry,
     SuspectState, SyncState, WorkOutcome, WorkspaceKeys,
 };
@@ -273,8 +273,8 @@
             self.result(run.identity).broken += 1;
             let table = &mut self.nodes[run.node].table;
             let finding = table.finish(run.ticket, how, self.now);
-            if finding == RunFinding::AskServer {
-                table.note_gone(&entry, EndSign::Refused, self.now);
+            if finding == RunFinding::ProbeServer {
+                table.note_gone(&entry, CrashSign::Refused, self.now);
             }
         }
     }
@@ -293,7 +293,7 @@
     pub(crate) fn lapse(&mut self, server: usize) {
         let entry = self.servers[server].entry.clone();
         for node in &mut self.nodes {
-            node.table.note_gone(&entry, EndSign::Lapsed, self.now);
+            node.table.note_gone(&entry, CrashSign::Lapsed, self.now);
         }
     }
 
