--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use plumgate::gateway::{
-    AnswerTimes, BootTime, LinkAge, RequestHold, RequestIdentity, RunFinding, RunTicket,
+    AnswerTimes, BlockedRequest, BootTime, LinkAge, RequestIdentity, RunFinding, RunTicket,
     SendContext, SendPermit, SendRefusal, ServerEntry, ServerPick, ServerStatement, WorkOutcome,
     WorkTicket,
 };
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunRefusal {
     /// It may end the server.
-    Held(RequestHold),
+    Held(BlockedRequest),
     /// The server's own word is against it: it said something meanwhile, or a permit has lapsed.
     Barred(SendRefusal),
 }
--- a/crates/plumgate-node/src/gateway/ports.rs
+++ b/crates/plumgate-node/src/gateway/ports.rs
@@ -11,7 +11,7 @@
 use plumgate::duty::{DutyAnswer, DutyCall, DutyCredential, ScaleOrder, UsageReport};
 pub use plumgate::gateway::SourceTopic;
 use plumgate::gateway::{
-    GatewayConfig, KeptVerdict, NodeEntry, PromptShape, ServerEntry, ServerStatement,
+    GatewayConfig, NodeEntry, PromptShape, ServerEntry, ServerStatement, StoredVerdict,
 };
 use plumgate::ids::{ServerId, WorkspaceId};
 use plumgate::{FindingList, StoreEra, StoreVersion};
@@ -77,7 +77,7 @@
     /// The nodes.
     pub nodes: Vec<NodeEntry>,
     /// Requests that are held back as they end servers.
-    pub verdicts: Vec<KeptVerdict>,
+    pub verdicts: Vec<StoredVerdict>,
 }
 
 /// Where a fleet's configuration and servers are read from.
@@ -116,7 +116,7 @@
     fn nodes(&mut self) -> impl Future<Output = Result<FleetRegister, SourceError>>;
 
     /// Keeps a verdict for nodes that start.
-    fn keep(&mut self, verdict: &KeptVerdict) -> impl Future<Output = Result<(), SourceError>>;
+    fn keep(&mut self, verdict: &StoredVerdict) -> impl Future<Output = Result<(), SourceError>>;
 
     /// Drops a verdict by its name.
     fn forget(&mut self, name: &str) -> impl Future<Output = Result<(), SourceError>>;
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -8,8 +8,8 @@
 use plumgate::RunOutcome;
 use plumgate::attempt::AttemptEvent;
 use plumgate::gateway::{
-    AdmissionDecision, AdmissionPolicy, QueuePrediction, RepeatKind, RequestHold, RequestVerdict,
-    SendPermit, SendRefusal, ServerPick, WorkOutcome,
+    AdmissionDecision, AdmissionPolicy, BlockedRequest, QueuePrediction, RepeatKind,
+    RequestVerdict, SendPermit, SendRefusal, ServerPick, WorkOutcome,
 };
 
 use super::answer::{GatewayBody, StreamPiece, own_answer, relayed_head, stream_body, whole_body};
@@ -130,8 +130,8 @@
         }
         let is_isolated = match self.verdict() {
             RequestVerdict::Send => false,
-            RequestVerdict::SendApart => true,
-            RequestVerdict::Hold(hold) => return Err(self.hold_back(hold)),
+            RequestVerdict::SendIsolated => true,
+            RequestVerdict::Block(hold) => return Err(self.hold_back(hold)),
         };
         let placement = self.request.placement(&self.tried, is_isolated);
         let pick = self.shared.loads().pick(&placement, now);
@@ -303,7 +303,7 @@
     /// One that was not sent is refused as such, with the time until which no server will get it: its caller
     /// should not come back before, and a status that says that the request is wrong would claim more
     /// than is known.
-    fn hold_back(&self, hold: RequestHold) -> CallerError {
+    fn hold_back(&self, hold: BlockedRequest) -> CallerError {
         let reason = hold.reason.as_str();
         let labels = ReasonLabels { reason };
         self.shared.metrics.held_back.get_or_create(&labels).inc();
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -202,7 +202,7 @@
             && self.runs < self.request.route.max_attempts
             && tries < TRIES_MOST
             && self.left() > SHORTEST_TRY
-            && !matches!(self.verdict(), RequestVerdict::Hold(_))
+            && !matches!(self.verdict(), RequestVerdict::Block(_))
             && self.pay_retry(reason)
     }
 
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -280,7 +280,7 @@
     async fn next_server(&self) -> Option<(ServerPick, Option<SendPermit>)> {
         while !self.run.left().is_zero() {
             let now = self.run.shared.clock.now();
-            let is_isolated = self.run.verdict() == RequestVerdict::SendApart;
+            let is_isolated = self.run.verdict() == RequestVerdict::SendIsolated;
             let placement = self.run.request.placement(&self.run.tried, is_isolated);
             let pick = self.run.shared.loads().pick(&placement, now)?;
             if let Ok(permit) = self.run.claim(&pick).await {
--- a/crates/plumgate-node/src/gateway/suspects.rs
+++ b/crates/plumgate-node/src/gateway/suspects.rs
@@ -79,7 +79,7 @@
         if events.is_empty() {
             return;
         }
-        let held = i64::try_from(quarantine.held_count()).unwrap_or(i64::MAX);
+        let held = i64::try_from(quarantine.blocked_count()).unwrap_or(i64::MAX);
         drop(quarantine);
         self.metrics.quarantined.set(held);
         for event in events {
--- a/crates/plumgate-node/src/gateway/verdicts.rs
+++ b/crates/plumgate-node/src/gateway/verdicts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_channel::{Receiver, Sender};
-use plumgate::gateway::{KeepChange, KeptVerdict, SuspectState};
+use plumgate::gateway::{StoredVerdict, SuspectState, VerdictChange};
 
 use super::ports::{FleetSource, SourceError};
 use super::shared::GatewayShared;
@@ -22,8 +22,8 @@
 /// Writes verdicts to the store and takes over those that it keeps.
 pub(crate) struct VerdictKeeper<C, W> {
     shared: Arc<GatewayShared<C, W>>,
-    changes: Sender<KeepChange>,
-    waiting: Receiver<KeepChange>,
+    changes: Sender<VerdictChange>,
+    waiting: Receiver<VerdictChange>,
 }
 
 impl<C: Clock, W> VerdictKeeper<C, W> {
@@ -38,7 +38,7 @@
     }
 
     /// Takes note of changes.
-    pub(crate) fn note(&self, changes: Vec<KeepChange>) {
+    pub(crate) fn note(&self, changes: Vec<VerdictChange>) {
         for change in changes {
             if self.changes.try_send(change).is_err() {
                 LogLine::new("verdict_unkept")
@@ -50,25 +50,25 @@
 
     /// Writes all that is held back again, as the store came back from an old copy.
     pub(crate) fn keep_all(&self) {
-        let held: Vec<KeepChange> = {
+        let held: Vec<VerdictChange> = {
             let quarantine = self.shared.quarantine();
             let held = quarantine.suspects();
-            let held = held.filter(|(_, state, _)| *state == SuspectState::HeldBack);
-            held.map(|(identity, ..)| KeepChange::Keep(identity))
+            let held = held.filter(|(_, state, _)| *state == SuspectState::Blocked);
+            held.map(|(identity, ..)| VerdictChange::Store(identity))
                 .collect()
         };
         self.note(held);
     }
 
     /// Takes over the verdicts of the store, and has those removed whose time is over.
-    pub(crate) fn take(&self, verdicts: &[KeptVerdict]) {
+    pub(crate) fn take(&self, verdicts: &[StoredVerdict]) {
         let (now, unix_ms) = (self.shared.clock.now(), self.shared.clock.unix_ms());
         let mut old = Vec::new();
         for verdict in verdicts {
-            let taken = self.shared.quarantine().take_kept(verdict, now, unix_ms);
+            let taken = self.shared.quarantine().apply_stored(verdict, now, unix_ms);
             match taken {
                 Ok(true) => {}
-                Ok(false) => old.push(KeepChange::Forget(verdict.name.clone())),
+                Ok(false) => old.push(VerdictChange::Remove(verdict.name.clone())),
                 Err(error) => LogLine::new("verdict_unread")
                     .with("name", &verdict.name)
                     .with("error", error)
@@ -100,18 +100,21 @@
     async fn write<S: FleetSource>(
         &self,
         source: &mut S,
-        change: &KeepChange,
+        change: &VerdictChange,
     ) -> Result<(), SourceError> {
         match change {
-            KeepChange::Keep(identity) => {
+            VerdictChange::Store(identity) => {
                 let (now, unix_ms) = (self.shared.clock.now(), self.shared.clock.unix_ms());
-                let kept = self.shared.quarantine().kept(*identity, now, unix_ms);
+                let kept = self
+                    .shared
+                    .quarantine()
+                    .stored_verdict(*identity, now, unix_ms);
                 match kept {
                     Some(verdict) => source.keep(&verdict).await,
                     None => Ok(()),
                 }
             }
-            KeepChange::Forget(name) => source.forget(name).await,
+            VerdictChange::Remove(name) => source.forget(name).await,
         }
     }
 }
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -34,9 +34,9 @@
 pub use placement::{LoadTable, PlacementOptions, PlacementPolicy, PlacementRequest, ServerPick};
 pub use prompt::{PromptPart, PromptShape};
 pub use quarantine::{
-    CrashCount, CrashSign, HOLD_TIME, HoldReason, IdentityHasher, KeepChange, KeptVerdict, LinkAge,
-    QuarantineTable, ReleaseReason, RequestHead, RequestHold, RequestIdentity, RequestVerdict,
-    RunFinding, RunTicket, SuspectEvent, SuspectState,
+    BLOCK_DURATION, BlockReason, BlockedRequest, CrashCount, CrashSign, IdentityHasher, LinkAge,
+    QuarantineTable, ReleaseReason, RequestHead, RequestIdentity, RequestVerdict, RunFinding,
+    RunTicket, StoredVerdict, SuspectEvent, SuspectState, VerdictChange,
 };
 pub use rate_limit::{
     BootTime, LimitChange, LimitEvent, LimitObservation, MessageOutcome, MessageTime,
--- a/crates/plumgate/src/gateway/quarantine/mod.rs
+++ b/crates/plumgate/src/gateway/quarantine/mod.rs
@@ -21,9 +21,9 @@
 
 pub use evidence::{CrashCount, CrashSign};
 pub use identity::{IdentityHasher, RequestHead, RequestIdentity};
-pub use rule::{HOLD_TIME, SuspectState};
+pub use rule::{BLOCK_DURATION, SuspectState};
 pub use table::QuarantineTable;
 pub use verdict::{
-    HoldReason, KeepChange, KeptVerdict, LinkAge, ReleaseReason, RequestHold, RequestVerdict,
-    RunFinding, RunTicket, SuspectEvent,
+    BlockReason, BlockedRequest, LinkAge, ReleaseReason, RequestVerdict, RunFinding, RunTicket,
+    StoredVerdict, SuspectEvent, VerdictChange,
 };
--- a/crates/plumgate/src/gateway/quarantine/notice_exchange.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice_exchange.rs
@@ -5,7 +5,7 @@
 
 use super::evidence::EvidenceSource;
 use super::notice::{SuspectReport, fit_notice};
-use super::rule::{HOLD_TIME, SuspectState};
+use super::rule::{BLOCK_DURATION, SuspectState};
 use super::table::QuarantineTable;
 use crate::errors::Result;
 use crate::gateway::exchange::{LoadExchange, ReceivedNotice};
@@ -94,7 +94,7 @@
         let reports: Vec<SuspectReport> = self.keys.open(&notice.sealed, unix_ms)?;
         for report in reports {
             for evidence in report.crashes(now) {
-                let is_old = now.saturating_duration_since(evidence.ended) > HOLD_TIME;
+                let is_old = now.saturating_duration_since(evidence.ended) > BLOCK_DURATION;
                 if !is_old {
                     self.merge_evidence(report.identity, evidence, source, now);
                 }
--- a/crates/plumgate/src/gateway/quarantine/rule.rs
+++ b/crates/plumgate/src/gateway/quarantine/rule.rs
@@ -18,7 +18,7 @@
 /// How long a request is blocked after the last crash, and how long any crash is remembered. Longer than
 /// clients go on retrying one request; short enough that a wrong verdict, or one that a server update made
 /// obsolete, expires without an operator.
-pub const HOLD_TIME: Duration = Duration::from_secs(600);
+pub const BLOCK_DURATION: Duration = Duration::from_secs(600);
 /// Length of a node's turn with a request that is sent one by one. Within it a crash is detected (200 ms in
 /// the median, a second behind a queue) and reported to all nodes (300 ms over three hops).
 pub(crate) const TURN_DURATION: Duration = Duration::from_secs(1);
@@ -51,14 +51,14 @@
     /// more server.
     OneByOne,
     /// Not sent.
-    HeldBack,
+    Blocked,
 }
 
 impl SuspectState {
     /// Derives the state from the crash counts.
     pub(crate) fn from_count(count: CrashCount) -> Self {
         if count.servers >= SERVERS_MOST && count.consecutive >= IN_TURN {
-            return Self::HeldBack;
+            return Self::Blocked;
         }
         // One of the two alone is a rare coincidence, so the request goes on with care, but too frequent to
         // block it.
@@ -73,7 +73,7 @@
         match self {
             Self::Free => "free",
             Self::OneByOne => "one_by_one",
-            Self::HeldBack => "held_back",
+            Self::Blocked => "held_back",
         }
     }
 }
--- a/crates/plumgate/src/gateway/quarantine/stored_verdicts.rs
+++ b/crates/plumgate/src/gateway/quarantine/stored_verdicts.rs
@@ -6,9 +6,9 @@
 use super::evidence::EvidenceSource;
 use super::identity::RequestIdentity;
 use super::notice::SuspectReport;
-use super::rule::HOLD_TIME;
+use super::rule::BLOCK_DURATION;
 use super::table::QuarantineTable;
-use super::verdict::{KeepChange, KeptVerdict};
+use super::verdict::{StoredVerdict, VerdictChange};
 use crate::errors::Result;
 use crate::gateway::notice_keys::{DatedNotice, pack, unpack};
 
@@ -18,27 +18,27 @@
 impl QuarantineTable {
     /// Queues a change for the store. A change beyond the bound is dropped: nodes that start later miss it,
     /// this node doesn't.
-    pub(crate) fn push_change(&mut self, change: KeepChange) {
+    pub(crate) fn push_change(&mut self, change: VerdictChange) {
         if self.changes.len() < MAX_PENDING_CHANGES {
             self.changes.push(change);
         }
     }
 
     /// Drains the changes to be written to the store.
-    pub fn take_changes(&mut self) -> Vec<KeepChange> {
+    pub fn take_changes(&mut self) -> Vec<VerdictChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// Returns the verdict on a request for the store; none if there is no verdict any more.
-    pub fn kept(
+    pub fn stored_verdict(
         &self,
         identity: RequestIdentity,
         now: Instant,
         unix_ms: u64,
-    ) -> Option<KeptVerdict> {
+    ) -> Option<StoredVerdict> {
         let record = self.records.get(&identity)?;
         let report = SuspectReport::new(identity, record.history.crashes(), now);
-        Some(KeptVerdict {
+        Some(StoredVerdict {
             name: identity.name(),
             bytes: pack(vec![report], unix_ms).ok()?,
         })
@@ -47,11 +47,16 @@
     /// Applies a verdict from the store. Returns whether it still holds; an expired one is to be removed.
     ///
     /// Fails if the verdict can't be decoded.
-    pub fn take_kept(&mut self, verdict: &KeptVerdict, now: Instant, unix_ms: u64) -> Result<bool> {
+    pub fn apply_stored(
+        &mut self,
+        verdict: &StoredVerdict,
+        now: Instant,
+        unix_ms: u64,
+    ) -> Result<bool> {
         let body: DatedNotice<Vec<SuspectReport>> = unpack(&verdict.bytes)?;
-        // The clocks of two VMs differ by much less than `HOLD_TIME`.
+        // The clocks of two VMs differ by much less than `BLOCK_DURATION`.
         let age = Duration::from_millis(unix_ms.saturating_sub(body.sent_ms));
-        let Some(written) = now.checked_sub(age).filter(|_| age < HOLD_TIME) else {
+        let Some(written) = now.checked_sub(age).filter(|_| age < BLOCK_DURATION) else {
             return Ok(false);
         };
         for report in body.content {
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -10,10 +10,10 @@
 use super::in_flight::InFlightTable;
 use super::notice::SEND_ROUNDS;
 use super::response_times::ResponseTimes;
-use super::rule::{HOLD_TIME, SuspectState, TURN_DURATION, has_turn};
+use super::rule::{BLOCK_DURATION, SuspectState, TURN_DURATION, has_turn};
 use super::verdict::{
-    HoldReason, KeepChange, LinkAge, ReleaseReason, RequestHold, RequestVerdict, RunFinding,
-    RunTicket, SuspectEvent,
+    BlockReason, BlockedRequest, LinkAge, ReleaseReason, RequestVerdict, RunFinding, RunTicket,
+    SuspectEvent, VerdictChange,
 };
 use crate::gateway::config::GatewayConfig;
 use crate::gateway::exchange::messages::{ServerKey, server_key};
@@ -68,7 +68,7 @@
     pub(crate) resent_at: Option<Instant>,
     events: Vec<SuspectEvent>,
     /// Changes that are not yet written to the store.
-    pub(crate) changes: Vec<KeepChange>,
+    pub(crate) changes: Vec<VerdictChange>,
 }
 
 impl QuarantineTable {
@@ -103,12 +103,12 @@
         match record.state {
             SuspectState::Free => RequestVerdict::Send,
             SuspectState::OneByOne => self.check_turn(record, now),
-            SuspectState::HeldBack => {
-                let until = record.history.last_crash().map(|end| end + HOLD_TIME);
+            SuspectState::Blocked => {
+                let until = record.history.last_crash().map(|end| end + BLOCK_DURATION);
                 let remaining = until.map(|until| until.saturating_duration_since(now));
-                RequestVerdict::Hold(RequestHold {
-                    reason: HoldReason::Quarantined,
-                    retry_after: remaining.unwrap_or(HOLD_TIME),
+                RequestVerdict::Block(BlockedRequest {
+                    reason: BlockReason::Quarantined,
+                    retry_after: remaining.unwrap_or(BLOCK_DURATION),
                 })
             }
         }
@@ -116,8 +116,8 @@
 
     fn check_turn(&self, record: &SuspectRecord, now: Instant) -> RequestVerdict {
         let block = |pause: Duration| {
-            RequestVerdict::Hold(RequestHold {
-                reason: HoldReason::AwaitsTurn,
+            RequestVerdict::Block(BlockedRequest {
+                reason: BlockReason::AwaitsTurn,
                 retry_after: pause,
             })
         };
@@ -134,7 +134,7 @@
             .map(|end| now.saturating_duration_since(end));
         match position.zip(since_crash) {
             Some((position, since)) if has_turn(position, self.node_count, since) => {
-                RequestVerdict::SendApart
+                RequestVerdict::SendIsolated
             }
             _ => block(TURN_DURATION),
         }
@@ -149,15 +149,15 @@
         server: &ServerEntry,
         link: LinkAge,
         now: Instant,
-    ) -> std::result::Result<RunTicket, RequestHold> {
+    ) -> std::result::Result<RunTicket, BlockedRequest> {
         match self.judge(identity, now) {
             RequestVerdict::Send => {}
-            RequestVerdict::SendApart => {
+            RequestVerdict::SendIsolated => {
                 if let Some(record) = self.records.get_mut(&identity) {
                     record.isolated_since = Some(now);
                 }
             }
-            RequestVerdict::Hold(hold) => return Err(hold),
+            RequestVerdict::Block(blocked) => return Err(blocked),
         }
         let server = server_key(server);
         let (earliest_crash, earliest_silent_crash) = match link {
@@ -339,8 +339,8 @@
         let before = self.reevaluate(identity, reason, now);
         // On expiry all nodes release the request at the same time, and the next node that reads the store
         // removes the verdict.
-        if before == SuspectState::HeldBack && reason != ReleaseReason::Expired {
-            self.push_change(KeepChange::Forget(identity.name()));
+        if before == SuspectState::Blocked && reason != ReleaseReason::Expired {
+            self.push_change(VerdictChange::Remove(identity.name()));
         }
     }
 
@@ -386,9 +386,9 @@
             *ended = (*ended).max(evidence.ended);
         }
         let before = self.reevaluate(identity, ReleaseReason::Refuted, now);
-        let is_held = self.state(identity) == SuspectState::HeldBack;
-        if source == EvidenceSource::Local && is_held && before != SuspectState::HeldBack {
-            self.push_change(KeepChange::Keep(identity));
+        let is_blocked = self.state(identity) == SuspectState::Blocked;
+        if source == EvidenceSource::Local && is_blocked && before != SuspectState::Blocked {
+            self.push_change(VerdictChange::Store(identity));
         }
         true
     }
@@ -416,7 +416,7 @@
         if before == state {
             return before;
         }
-        let is_relaxed = (before, state) == (SuspectState::HeldBack, SuspectState::OneByOne)
+        let is_relaxed = (before, state) == (SuspectState::Blocked, SuspectState::OneByOne)
             || state == SuspectState::Free;
         let evidence = record.history.crashes().iter().map(|end| {
             let age = now.saturating_duration_since(end.ended).as_millis();
@@ -449,8 +449,8 @@
         let candidates = self.records.iter();
         let candidates = candidates.filter(|(held, _)| !crowds || held.is_of_workspace(&newest));
         let evicted = candidates.min_by_key(|(_, record)| {
-            let is_held = record.state != SuspectState::Free;
-            (is_held, record.history.last_change())
+            let is_suspected = record.state != SuspectState::Free;
+            (is_suspected, record.history.last_change())
         });
         if let Some(identity) = evicted.map(|(identity, _)| *identity) {
             self.records.remove(&identity);
@@ -463,7 +463,7 @@
         if self.records.is_empty() {
             return;
         }
-        let is_old = |at: Instant| now.saturating_duration_since(at) > HOLD_TIME;
+        let is_old = |at: Instant| now.saturating_duration_since(at) > BLOCK_DURATION;
         self.crash_times.retain(|_, at| !is_old(*at));
         let expired = self.records.iter().filter(|(_, record)| {
             let history = &record.history;
@@ -483,9 +483,10 @@
     }
 
     /// Returns how many requests are blocked.
-    pub fn held_count(&self) -> usize {
-        let held = self.records.values();
-        held.filter(|record| record.state == SuspectState::HeldBack)
+    pub fn blocked_count(&self) -> usize {
+        let records = self.records.values();
+        records
+            .filter(|record| record.state == SuspectState::Blocked)
             .count()
     }
 
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -11,14 +11,14 @@
 
 /// Reason for which a request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldReason {
+pub enum BlockReason {
     /// The request crashed too many servers.
     Quarantined,
     /// The request is sent one by one, and it is the turn of another node or caller.
     AwaitsTurn,
 }
 
-impl HoldReason {
+impl BlockReason {
     /// Returns the name used in logs, metrics and answers.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -30,9 +30,9 @@
 
 /// Refusal to send a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RequestHold {
+pub struct BlockedRequest {
     /// Reason of the refusal.
-    pub reason: HoldReason,
+    pub reason: BlockReason,
     /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
@@ -43,9 +43,9 @@
     /// Send it.
     Send,
     /// Send it to the server with the fewest other runs.
-    SendApart,
+    SendIsolated,
     /// Don't send it.
-    Hold(RequestHold),
+    Block(BlockedRequest),
 }
 
 /// Run of a request at a server; passed to `QuarantineTable::finish` when the run ends.
@@ -159,7 +159,7 @@
 
 /// Verdict as it is stored in the fleet's store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptVerdict {
+pub struct StoredVerdict {
     /// Name of the request's row.
     pub name: String,
     /// Encoded evidence with the time of day. Not sealed, as whoever may write to the store is trusted.
@@ -168,9 +168,9 @@
 
 /// Change to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeepChange {
+pub enum VerdictChange {
     /// Store the verdict on a request that is now blocked.
-    Keep(RequestIdentity),
+    Store(RequestIdentity),
     /// Remove the verdict with this name.
-    Forget(String),
+    Remove(String),
 }
--- a/crates/plumgate/tests/gateway_quarantine.rs
+++ b/crates/plumgate/tests/gateway_quarantine.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    CrashSign, HOLD_TIME, HoldReason, KeepChange, KeptVerdict, LinkAge, QuarantineTable,
-    RequestIdentity, RequestVerdict, RunFinding, ServerEntry, ServerState, SuspectState,
-    WorkOutcome,
+    BLOCK_DURATION, BlockReason, CrashSign, LinkAge, QuarantineTable, RequestIdentity,
+    RequestVerdict, RunFinding, ServerEntry, ServerState, StoredVerdict, SuspectState,
+    VerdictChange, WorkOutcome,
 };
 
 use entries::server_entry;
@@ -64,8 +64,8 @@
     for _ in 0..40 {
         for node in 0..6 {
             let hold = fleet.send(node, deadly).expect("held back");
-            assert_eq!(hold.reason, HoldReason::Quarantined);
-            assert!(hold.retry_after > HOLD_TIME - Duration::from_secs(60));
+            assert_eq!(hold.reason, BlockReason::Quarantined);
+            assert!(hold.retry_after > BLOCK_DURATION - Duration::from_secs(60));
         }
         fleet.advance(SECOND);
     }
@@ -159,7 +159,7 @@
         }
         let result = *fleet.result(read);
         println!("{nodes} nodes, three crashes of all servers: {result:?}");
-        assert!((0..nodes).all(|node| fleet.state(node, read) != SuspectState::HeldBack));
+        assert!((0..nodes).all(|node| fleet.state(node, read) != SuspectState::Blocked));
     }
 }
 
@@ -259,7 +259,7 @@
         fleet.lapse(server);
     }
     fleet.advance(SECOND);
-    assert!((0..6).all(|node| fleet.state(node, read) != SuspectState::HeldBack));
+    assert!((0..6).all(|node| fleet.state(node, read) != SuspectState::Blocked));
     for number in 0..36 {
         fleet.send(number % 6, read);
         fleet.advance(MOMENT);
@@ -288,7 +288,10 @@
         }
         let late = server_entry("s3");
         let hold = table.begin(request, &late, LinkAge::Fresh, now);
-        assert_eq!(hold.expect_err("held back").reason, HoldReason::Quarantined);
+        assert_eq!(
+            hold.expect_err("held back").reason,
+            BlockReason::Quarantined
+        );
     }
 }
 
@@ -328,7 +331,7 @@
     table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, late);
     table.note_gone(&dark, CrashSign::Lapsed, late);
     let verdict = table.judge(read, late);
-    assert_eq!(verdict, RequestVerdict::SendApart);
+    assert_eq!(verdict, RequestVerdict::SendIsolated);
 }
 
 // Callers wait long for a dossier. Its server goes dark under it, and the entry lapses while the caller still
@@ -349,7 +352,10 @@
         assert_eq!(ends, [request]);
         now += SECOND;
     }
-    assert!(matches!(table.judge(request, now), RequestVerdict::Hold(_)));
+    assert!(matches!(
+        table.judge(request, now),
+        RequestVerdict::Block(_)
+    ));
     let answered = waiting.pop().expect("a run");
     table.finish(answered, WorkOutcome::Answered, now);
     assert_eq!(table.judge(request, now), RequestVerdict::Send);
@@ -471,7 +477,7 @@
         table.note_gone(&server, CrashSign::Refused, sent + MOMENT);
     }
     let verdict = table.judge(request, now + SECOND * 5);
-    assert_eq!(verdict, RequestVerdict::SendApart);
+    assert_eq!(verdict, RequestVerdict::SendIsolated);
     let mut table = lone_table();
     let unknown = LinkAge::Kept { answered: None };
     let ticket = table.begin(request, &server_entry("s9"), unknown, now);
@@ -498,7 +504,7 @@
         now += SECOND;
     }
     let verdict = table.judge(request, now);
-    assert!(matches!(verdict, RequestVerdict::Hold(_)), "{verdict:?}");
+    assert!(matches!(verdict, RequestVerdict::Block(_)), "{verdict:?}");
 }
 
 // What is believed of a server that drained or that says it is full is nothing.
@@ -541,7 +547,7 @@
     fleet.ends.clear();
     send_until_held(&mut fleet, deadly);
     assert_eq!(fleet.ends.len(), 3, "it counts anew");
-    fleet.advance(HOLD_TIME + SECOND);
+    fleet.advance(BLOCK_DURATION + SECOND);
     assert!((0..6).all(|node| fleet.nodes[node].table.is_empty()));
     assert_eq!(fleet.send(0, deadly), None, "it may be tried again");
 }
@@ -566,7 +572,7 @@
         fleet.send(3 * (number % 2), other);
         fleet.advance(Duration::from_millis(500));
     }
-    assert_eq!(fleet.state(0, other), SuspectState::HeldBack);
+    assert_eq!(fleet.state(0, other), SuspectState::Blocked);
     assert_eq!(
         fleet.state(1, other),
         SuspectState::Free,
@@ -590,27 +596,35 @@
         now += SECOND * 4;
     }
     let changes = table.take_changes();
-    assert_eq!(changes, [KeepChange::Keep(request)]);
-    let kept = table.kept(request, now, 1_000_000).expect("a verdict");
+    assert_eq!(changes, [VerdictChange::Store(request)]);
+    let stored = table
+        .stored_verdict(request, now, 1_000_000)
+        .expect("a verdict");
     let mut next = lone_table();
     let later = now + SECOND * 20;
-    assert_eq!(next.take_kept(&kept, later, 1_020_000), Ok(true));
-    let RequestVerdict::Hold(hold) = next.judge(request, later) else {
+    assert_eq!(next.apply_stored(&stored, later, 1_020_000), Ok(true));
+    let RequestVerdict::Block(hold) = next.judge(request, later) else {
         panic!("held back");
     };
-    assert!(hold.retry_after < HOLD_TIME - SECOND * 20);
+    assert!(hold.retry_after < BLOCK_DURATION - SECOND * 20);
     assert!(next.take_changes().is_empty(), "it is in the store already");
     let mut late = lone_table();
-    let far = now + HOLD_TIME;
-    assert_eq!(late.take_kept(&kept, far, 1_000_000 + 600_000), Ok(false));
+    let far = now + BLOCK_DURATION;
+    assert_eq!(
+        late.apply_stored(&stored, far, 1_000_000 + 600_000),
+        Ok(false)
+    );
     assert!(late.is_empty());
-    let foreign = KeptVerdict {
+    let foreign = StoredVerdict {
         bytes: b"{}".to_vec(),
-        ..kept
+        ..stored
     };
-    assert!(late.take_kept(&foreign, far, 1_000_000).is_err());
+    assert!(late.apply_stored(&foreign, far, 1_000_000).is_err());
     table.lift(&request.to_string(), now);
-    assert!(matches!(table.take_changes()[..], [KeepChange::Forget(_)]));
+    assert!(matches!(
+        table.take_changes()[..],
+        [VerdictChange::Remove(_)]
+    ));
 }
 
 // One by one means one: all nodes get the request at the same moment, again and again.
@@ -680,7 +694,7 @@
     }
     fleet.nodes[0].table = table;
     let told = fleet.nodes[0].told(now, 1_000);
-    assert_eq!(fleet.state(0, request), SuspectState::HeldBack);
+    assert_eq!(fleet.state(0, request), SuspectState::Blocked);
     fleet.nodes[0].table.lift(&request.to_string(), now);
     assert_eq!(fleet.state(0, request), SuspectState::Free);
     for notice in told {
@@ -727,14 +741,14 @@
         }
     }
     assert!(table.len() <= 1_024, "{}", table.len());
-    assert_eq!(table.held_count(), 1, "the other workspace's is kept");
+    assert_eq!(table.blocked_count(), 1, "the other workspace's is kept");
     for number in 1..3 {
         let server = server_entry(&format!("n{number}"));
         end_under(&mut table, noted, &server, now, now + MOMENT);
         now += SECOND;
     }
     assert_eq!(
-        table.held_count(),
+        table.blocked_count(),
         2,
         "and so is what was noted of the other"
     );
@@ -773,7 +787,7 @@
     for notice in &told {
         fleet.nodes[0].hear_at(notice, now, 1_000);
     }
-    assert_eq!(fleet.state(0, worst), SuspectState::HeldBack);
+    assert_eq!(fleet.state(0, worst), SuspectState::Blocked);
 }
 
 // Keys change while nodes learn of it one after the other: what they tell each other still counts.
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    CallerLimits, CrashSign, ExchangeMoment, GatewayConfig, IdentityHasher, LinkAge, LoadExchange,
-    QuarantineTable, RequestHead, RequestHold, RequestIdentity, RunFinding, RunTicket, ServerEntry,
-    SuspectState, SyncState, WorkOutcome, WorkspaceKeys,
+    BlockedRequest, CallerLimits, CrashSign, ExchangeMoment, GatewayConfig, IdentityHasher,
+    LinkAge, LoadExchange, QuarantineTable, RequestHead, RequestIdentity, RunFinding, RunTicket,
+    ServerEntry, SuspectState, SyncState, WorkOutcome, WorkspaceKeys,
 };
 use plumgate::ids::WorkspaceId;
 
@@ -184,7 +184,11 @@
     }
 
     /// A caller sends a request to a node, which sends it to a server, unless it is held back.
-    pub(crate) fn send(&mut self, node: usize, identity: RequestIdentity) -> Option<RequestHold> {
+    pub(crate) fn send(
+        &mut self,
+        node: usize,
+        identity: RequestIdentity,
+    ) -> Option<BlockedRequest> {
         let alive: Vec<usize> = (0..self.servers.len())
             .filter(|index| self.servers[*index].ended.is_none())
             .collect();
@@ -201,7 +205,7 @@
         node: usize,
         identity: RequestIdentity,
         server: usize,
-    ) -> Option<RequestHold> {
+    ) -> Option<BlockedRequest> {
         let now = self.now;
         let entry = self.servers[server].entry.clone();
         let begun = self.nodes[node]
@@ -321,7 +325,7 @@
 
     /// Whether all nodes hold a request back.
     pub(crate) fn all_hold(&self, identity: RequestIdentity) -> bool {
-        (0..self.nodes.len()).all(|node| self.state(node, identity) == SuspectState::HeldBack)
+        (0..self.nodes.len()).all(|node| self.state(node, identity) == SuspectState::Blocked)
     }
 
     /// Times that a request was sent later than a while after it had ended its third server.
