--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, EXPECT};
 use hyper::{Request, Response, Version};
-use plumgate::gateway::{LinkAge, RepeatKind, WorkOutcome};
+use plumgate::gateway::{ConnectionKind, RepeatKind, WorkOutcome};
 
 use super::answer::drop_connection_headers;
 use super::guards::{RunRefusal, WorkGuard};
@@ -116,22 +116,22 @@
 async fn connect<C: Clock, W: WireFormat>(
     shared: &Arc<GatewayShared<C, W>>,
     order: &AttemptOrder<'_>,
-) -> Result<(HttpLink, LinkAge), ConnectFailure> {
+) -> Result<(HttpLink, ConnectionKind), ConnectFailure> {
     // A server may close an idle connection just as a request leaves, and nobody knows then
     // whether it ran. What may run only once therefore gets a connection of its own.
     let now = shared.clock.now();
     // A request under which a server ended gets one too: it shows that the next one lived.
     if order.request.route.kind == RepeatKind::Idempotent
-        && !shared.quarantine().is_noted(order.request.identity)
+        && !shared.quarantine().has_evidence(order.request.identity)
         && let Some(link) = shared.links.take(&order.server.id, now).await
     {
         let answered = shared.loads().answered_at(&order.server.id);
-        return Ok((link, LinkAge::Kept { answered }));
+        return Ok((link, ConnectionKind::Reused { answered }));
     }
     let deadline = (now + CONNECT_TIMEOUT).min(order.request.due);
     let opening = HttpLink::open(order.server.address);
     match until(&shared.clock, deadline, opening).await {
-        Some(Ok(link)) => Ok((link, LinkAge::Fresh)),
+        Some(Ok(link)) => Ok((link, ConnectionKind::New)),
         Some(Err(_)) => Err(ConnectFailure::Refused),
         None => Err(ConnectFailure::Silent),
     }
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use plumgate::gateway::{
-    AnswerTimes, BlockedRequest, BootTime, LinkAge, RequestIdentity, RunFinding, RunTicket,
+    AnswerTimes, BlockedRequest, BootTime, ConnectionKind, RequestIdentity, RunFinding, RunTicket,
     SendContext, SendPermit, SendRefusal, ServerEntry, ServerPick, ServerStatement, WorkOutcome,
     WorkTicket,
 };
@@ -109,7 +109,7 @@
     pub(crate) fn begin_run(
         &mut self,
         identity: RequestIdentity,
-        age: LinkAge,
+        age: ConnectionKind,
     ) -> Result<(), RunRefusal> {
         let now = self.shared.clock.now();
         self.sent = self.shared.clock.boot_time();
@@ -141,7 +141,7 @@
     /// The server surely has the request: the head of its answer came.
     pub(crate) fn note_reached(&mut self) {
         if let Some(run) = &mut self.run {
-            run.note_reached();
+            run.on_response_started();
         }
     }
 
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -234,7 +234,7 @@
     /// What may be done with the request, after what is known of servers that ended under it.
     pub(crate) fn verdict(&self) -> RequestVerdict {
         let now = self.shared.clock.now();
-        self.shared.quarantine().judge(self.request.identity, now)
+        self.shared.quarantine().verdict(self.request.identity, now)
     }
 
     /// Waits until it shows whether a server just ended under the request, where others did before: sent on at
@@ -248,7 +248,7 @@
             let is_asking = self
                 .shared
                 .quarantine()
-                .is_asking(self.request.identity, now);
+                .is_probing(self.request.identity, now);
             if !is_asking || now >= until_then {
                 return;
             }
--- a/crates/plumgate-node/src/gateway/suspects.rs
+++ b/crates/plumgate-node/src/gateway/suspects.rs
@@ -32,10 +32,10 @@
         match &answer {
             Some(Ok(_)) => {
                 let now = asking.clock.now();
-                asking.quarantine().note_reached(&server, opened, now);
+                asking.quarantine().on_server_reached(&server, opened, now);
             }
             Some(Err(_)) => asking.note_refused(&server),
-            None => asking.quarantine().note_unanswered(&server),
+            None => asking.quarantine().on_probe_unanswered(&server),
         }
         asking.server_asked.notify(usize::MAX);
         asking.log_suspects();
@@ -68,7 +68,9 @@
     /// A server's machine refused a connection.
     pub(crate) fn note_refused(&self, server: &ServerEntry) {
         let now = self.clock.now();
-        let ended = self.quarantine().note_gone(server, CrashSign::Refused, now);
+        let ended = self
+            .quarantine()
+            .on_server_gone(server, CrashSign::Refused, now);
         self.note_server_end(&ended, server, CrashSign::Refused);
     }
 
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -101,7 +101,7 @@
             ServerChange::Restarted(entry) => (&entry.id, CrashSign::Restarted),
             ServerChange::Changed(entry) => {
                 if loads.entry(&entry.id).is_none() {
-                    self.shared.quarantine().note_back(entry);
+                    self.shared.quarantine().on_server_back(entry);
                 }
                 return;
             }
@@ -113,7 +113,7 @@
             entry.state == ServerState::Ready && leaves.is_none()
         };
         if let Some(before) = before.filter(stayed) {
-            let ended = self.shared.quarantine().note_gone(before, sign, now);
+            let ended = self.shared.quarantine().on_server_gone(before, sign, now);
             self.shared.note_server_end(&ended, before, sign);
         }
     }
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -34,9 +34,9 @@
 pub use placement::{LoadTable, PlacementOptions, PlacementPolicy, PlacementRequest, ServerPick};
 pub use prompt::{PromptPart, PromptShape};
 pub use quarantine::{
-    BLOCK_DURATION, BlockReason, BlockedRequest, CrashCount, CrashSign, IdentityHasher, LinkAge,
-    QuarantineTable, ReleaseReason, RequestHead, RequestIdentity, RequestVerdict, RunFinding,
-    RunTicket, StoredVerdict, SuspectEvent, SuspectState, VerdictChange,
+    BLOCK_DURATION, BlockReason, BlockedRequest, ConnectionKind, CrashCount, CrashSign,
+    IdentityHasher, QuarantineTable, ReleaseReason, RequestHead, RequestIdentity, RequestVerdict,
+    RunFinding, RunTicket, StoredVerdict, SuspectEvent, SuspectState, VerdictChange,
 };
 pub use rate_limit::{
     BootTime, LimitChange, LimitEvent, LimitObservation, MessageOutcome, MessageTime,
--- a/crates/plumgate/src/gateway/quarantine/mod.rs
+++ b/crates/plumgate/src/gateway/quarantine/mod.rs
@@ -24,6 +24,6 @@
 pub use rule::{BLOCK_DURATION, SuspectState};
 pub use table::QuarantineTable;
 pub use verdict::{
-    BlockReason, BlockedRequest, LinkAge, ReleaseReason, RequestVerdict, RunFinding, RunTicket,
-    StoredVerdict, SuspectEvent, VerdictChange,
+    BlockReason, BlockedRequest, ConnectionKind, ReleaseReason, RequestVerdict, RunFinding,
+    RunTicket, StoredVerdict, SuspectEvent, VerdictChange,
 };
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -12,8 +12,8 @@
 use super::response_times::ResponseTimes;
 use super::rule::{BLOCK_DURATION, SuspectState, TURN_DURATION, has_turn};
 use super::verdict::{
-    BlockReason, BlockedRequest, LinkAge, ReleaseReason, RequestVerdict, RunFinding, RunTicket,
-    SuspectEvent, VerdictChange,
+    BlockReason, BlockedRequest, ConnectionKind, ReleaseReason, RequestVerdict, RunFinding,
+    RunTicket, SuspectEvent, VerdictChange,
 };
 use crate::gateway::config::GatewayConfig;
 use crate::gateway::exchange::messages::{ServerKey, server_key};
@@ -96,7 +96,7 @@
     }
 
     /// Returns what may be done with a request.
-    pub fn judge(&self, identity: RequestIdentity, now: Instant) -> RequestVerdict {
+    pub fn verdict(&self, identity: RequestIdentity, now: Instant) -> RequestVerdict {
         let Some(record) = self.records.get(&identity) else {
             return RequestVerdict::Send;
         };
@@ -147,10 +147,10 @@
         &mut self,
         identity: RequestIdentity,
         server: &ServerEntry,
-        link: LinkAge,
+        link: ConnectionKind,
         now: Instant,
     ) -> std::result::Result<RunTicket, BlockedRequest> {
-        match self.judge(identity, now) {
+        match self.verdict(identity, now) {
             RequestVerdict::Send => {}
             RequestVerdict::SendIsolated => {
                 if let Some(record) = self.records.get_mut(&identity) {
@@ -161,11 +161,11 @@
         }
         let server = server_key(server);
         let (earliest_crash, earliest_silent_crash) = match link {
-            LinkAge::Fresh => (
+            ConnectionKind::New => (
                 Some(now),
                 Some(self.responses.earliest_silence(server, now)),
             ),
-            LinkAge::Kept { answered } => (answered, answered),
+            ConnectionKind::Reused { answered } => (answered, answered),
         };
         let ticket = RunTicket {
             identity,
@@ -256,7 +256,7 @@
     /// Handles a server that was removed without having drained, that restarted, or whose machine refuses
     /// connections. Its in-doubt runs are explained by a crash, and if its entry lapsed, its in-flight runs
     /// too. Returns the requests of these runs.
-    pub fn note_gone(
+    pub fn on_server_gone(
         &mut self,
         server: &ServerEntry,
         sign: CrashSign,
@@ -276,29 +276,29 @@
     }
 
     /// Handles a probe that got no response; the server's entry will decide.
-    pub fn note_unanswered(&mut self, server: &ServerEntry) {
+    pub fn on_probe_unanswered(&mut self, server: &ServerEntry) {
         self.in_doubt.on_probe_unanswered(server_key(server));
     }
 
     /// Returns whether there is evidence against a request. Such a request should use a new connection, as
     /// the end of its run then says more.
-    pub fn is_noted(&self, identity: RequestIdentity) -> bool {
+    pub fn has_evidence(&self, identity: RequestIdentity) -> bool {
         self.records.contains_key(&identity)
     }
 
     /// Returns whether a probe that may add a crash to a request is under way, so that a retry should wait
     /// for it. False for a request without evidence, which may be retried at once.
-    pub fn is_asking(&self, identity: RequestIdentity, now: Instant) -> bool {
-        self.is_noted(identity) && self.in_doubt.is_probing(identity, now)
+    pub fn is_probing(&self, identity: RequestIdentity, now: Instant) -> bool {
+        self.has_evidence(identity) && self.in_doubt.is_probing(identity, now)
     }
 
     /// Handles a server whose entry is listed again.
-    pub fn note_back(&mut self, server: &ServerEntry) {
+    pub fn on_server_back(&mut self, server: &ServerEntry) {
         self.in_doubt.on_server_back(server_key(server));
     }
 
     /// Handles a connection that was opened at `opened` and accepted by the server.
-    pub fn note_reached(&mut self, server: &ServerEntry, opened: Instant, now: Instant) {
+    pub fn on_server_reached(&mut self, server: &ServerEntry, opened: Instant, now: Instant) {
         self.on_server_alive(server_key(server), opened, now);
     }
 
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -99,7 +99,7 @@
     }
 
     /// Records that the server has the request, as its answer begins.
-    pub fn note_reached(&mut self) {
+    pub fn on_response_started(&mut self) {
         self.earliest_crash = Some(self.began);
         self.earliest_silent_crash = Some(self.began);
     }
@@ -107,11 +107,11 @@
 
 /// Kind of the connection by which a request reaches a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkAge {
+pub enum ConnectionKind {
     /// Newly opened: the server's machine accepted it.
-    Fresh,
+    New,
     /// Reused: the server may have crashed before the request was sent.
-    Kept {
+    Reused {
         /// When the server last answered this node.
         answered: Option<Instant>,
     },
--- a/crates/plumgate/tests/gateway_quarantine.rs
+++ b/crates/plumgate/tests/gateway_quarantine.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    BLOCK_DURATION, BlockReason, CrashSign, LinkAge, QuarantineTable, RequestIdentity,
+    BLOCK_DURATION, BlockReason, ConnectionKind, CrashSign, QuarantineTable, RequestIdentity,
     RequestVerdict, RunFinding, ServerEntry, ServerState, StoredVerdict, SuspectState,
     VerdictChange, WorkOutcome,
 };
@@ -33,10 +33,10 @@
     began: Instant,
     ended: Instant,
 ) {
-    let ticket = table.begin(request, server, LinkAge::Fresh, began);
+    let ticket = table.begin(request, server, ConnectionKind::New, began);
     let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, ended);
     assert_eq!(finding, RunFinding::ProbeServer);
-    let ends = table.note_gone(server, CrashSign::Refused, ended);
+    let ends = table.on_server_gone(server, CrashSign::Refused, ended);
     assert_eq!(ends, [request]);
 }
 
@@ -176,7 +176,7 @@
     end_under(&mut table, read, &first, start, start + MOMENT);
     let again = start + MOMENT + milli * 2;
     end_under(&mut table, read, &second, again, again + MOMENT);
-    let verdict = table.judge(read, again + MOMENT);
+    let verdict = table.verdict(read, again + MOMENT);
     assert_eq!(verdict, RequestVerdict::Send, "two ends at once");
 }
 
@@ -245,7 +245,7 @@
         let dark = server_entry(&format!("s{number}-0"));
         let now = fleet.now;
         let table = &mut fleet.nodes[0].table;
-        let link = LinkAge::Kept {
+        let link = ConnectionKind::Reused {
             answered: Some(before),
         };
         let ticket = table.begin(read, &dark, link, now).expect("sent");
@@ -278,16 +278,16 @@
         for number in 0..3 {
             let server = server_entry(&format!("s{number}"));
             let ticket = table
-                .begin(request, &server, LinkAge::Fresh, now)
+                .begin(request, &server, ConnectionKind::New, now)
                 .expect("sent");
             now += SECOND * 2;
             assert_eq!(table.finish(ticket, how, now), RunFinding::Nothing);
             now += SECOND;
-            table.note_gone(&server, CrashSign::Lapsed, now);
+            table.on_server_gone(&server, CrashSign::Lapsed, now);
             now += SECOND;
         }
         let late = server_entry("s3");
-        let hold = table.begin(request, &late, LinkAge::Fresh, now);
+        let hold = table.begin(request, &late, ConnectionKind::New, now);
         assert_eq!(
             hold.expect_err("held back").reason,
             BlockReason::Quarantined
@@ -303,9 +303,9 @@
     let now = Instant::now();
     let server = server_entry("s1");
     let ticket = table
-        .begin(request, &server, LinkAge::Fresh, now)
+        .begin(request, &server, ConnectionKind::New, now)
         .expect("sent");
-    table.note_gone(&server, CrashSign::Lapsed, now + SECOND);
+    table.on_server_gone(&server, CrashSign::Lapsed, now + SECOND);
     let sign = table.finish(ticket, WorkOutcome::Inconclusive, now + SECOND * 2);
     assert_eq!(sign, RunFinding::ServerCrashed(CrashSign::Lapsed));
 }
@@ -326,11 +326,11 @@
     // No answer of the third server is known since before the first two ended.
     let dark = server_entry("dark");
     let sent = start + SECOND * 2;
-    let ticket = table.begin(read, &dark, LinkAge::Fresh, sent);
+    let ticket = table.begin(read, &dark, ConnectionKind::New, sent);
     let late = sent + SECOND * 2;
     table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, late);
-    table.note_gone(&dark, CrashSign::Lapsed, late);
-    let verdict = table.judge(read, late);
+    table.on_server_gone(&dark, CrashSign::Lapsed, late);
+    let verdict = table.verdict(read, late);
     assert_eq!(verdict, RequestVerdict::SendIsolated);
 }
 
@@ -345,20 +345,20 @@
     let mut waiting = Vec::new();
     for number in 0..3 {
         let server = server_entry(&format!("s{number}"));
-        let ticket = table.begin(request, &server, LinkAge::Fresh, now);
+        let ticket = table.begin(request, &server, ConnectionKind::New, now);
         waiting.push(ticket.expect("sent"));
         now += SECOND * 3;
-        let ends = table.note_gone(&server, CrashSign::Lapsed, now);
+        let ends = table.on_server_gone(&server, CrashSign::Lapsed, now);
         assert_eq!(ends, [request]);
         now += SECOND;
     }
     assert!(matches!(
-        table.judge(request, now),
+        table.verdict(request, now),
         RequestVerdict::Block(_)
     ));
     let answered = waiting.pop().expect("a run");
     table.finish(answered, WorkOutcome::Answered, now);
-    assert_eq!(table.judge(request, now), RequestVerdict::Send);
+    assert_eq!(table.verdict(request, now), RequestVerdict::Send);
 }
 
 // Callers leave all the time, servers are slow, and links lose answers: none of that ends a server that
@@ -371,7 +371,7 @@
     for number in 0..6 {
         let server = server_entry(&format!("s{}", number % 3));
         let ticket = table
-            .begin(request, &server, LinkAge::Fresh, now)
+            .begin(request, &server, ConnectionKind::New, now)
             .expect("sent");
         now += SECOND;
         assert_eq!(
@@ -380,13 +380,13 @@
         );
         let other = identity("lab", "other");
         let ticket = table
-            .begin(other, &server, LinkAge::Fresh, now)
+            .begin(other, &server, ConnectionKind::New, now)
             .expect("sent");
         table.finish(ticket, WorkOutcome::Answered, now + MOMENT);
         // It was taken away as planned, or for reasons of its own, after it had lived on.
-        table.note_gone(&server, CrashSign::Lapsed, now + SECOND);
+        table.on_server_gone(&server, CrashSign::Lapsed, now + SECOND);
         now += SECOND * 2;
-        table.note_back(&server);
+        table.on_server_back(&server);
     }
     assert!(table.is_empty());
 }
@@ -420,15 +420,15 @@
     let mut now = Instant::now();
     for number in 0..12 {
         let server = server_entry(&format!("s{}", number % 4));
-        let ticket = table.begin(request, &server, LinkAge::Fresh, now);
+        let ticket = table.begin(request, &server, ConnectionKind::New, now);
         now += MOMENT;
         let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now);
         assert_eq!(finding, RunFinding::ProbeServer);
-        table.note_reached(&server, now, now);
+        table.on_server_reached(&server, now, now);
         // Its entry may lapse later, for reasons of its own.
-        let ends = table.note_gone(&server, CrashSign::Lapsed, now + MOMENT);
+        let ends = table.on_server_gone(&server, CrashSign::Lapsed, now + MOMENT);
         assert!(ends.is_empty());
-        table.note_back(&server);
+        table.on_server_back(&server);
         now += SECOND;
     }
     assert!(table.is_empty());
@@ -443,7 +443,7 @@
     let tickets: Vec<_> = (0..9)
         .map(|number| {
             let request = identity("lab", &format!("text {number}"));
-            let ticket = table.begin(request, &server, LinkAge::Fresh, now);
+            let ticket = table.begin(request, &server, ConnectionKind::New, now);
             ticket.expect("sent")
         })
         .collect();
@@ -452,7 +452,7 @@
         .map(|ticket| table.finish(ticket, WorkOutcome::Broken, now + MOMENT));
     let asked = findings.filter(|finding| *finding == RunFinding::ProbeServer);
     assert_eq!(asked.count(), 1);
-    let ends = table.note_gone(&server, CrashSign::Refused, now + MOMENT);
+    let ends = table.on_server_gone(&server, CrashSign::Refused, now + MOMENT);
     assert_eq!(ends.len(), 9);
 }
 
@@ -466,7 +466,7 @@
     for number in 0..5 {
         let server = server_entry(&format!("s{number}"));
         let sent = now + SECOND * number;
-        let link = LinkAge::Kept {
+        let link = ConnectionKind::Reused {
             answered: Some(now - MOMENT),
         };
         let Ok(ticket) = table.begin(request, &server, link, sent) else {
@@ -474,12 +474,12 @@
             continue;
         };
         table.finish(ticket, WorkOutcome::Broken, sent + MOMENT);
-        table.note_gone(&server, CrashSign::Refused, sent + MOMENT);
+        table.on_server_gone(&server, CrashSign::Refused, sent + MOMENT);
     }
-    let verdict = table.judge(request, now + SECOND * 5);
+    let verdict = table.verdict(request, now + SECOND * 5);
     assert_eq!(verdict, RequestVerdict::SendIsolated);
     let mut table = lone_table();
-    let unknown = LinkAge::Kept { answered: None };
+    let unknown = ConnectionKind::Reused { answered: None };
     let ticket = table.begin(request, &server_entry("s9"), unknown, now);
     let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now);
     assert_eq!(finding, RunFinding::Nothing, "nothing is known of it");
@@ -494,16 +494,16 @@
     let mut now = Instant::now() + SECOND;
     for number in 0..3 {
         let server = server_entry(&format!("s{number}"));
-        let link = LinkAge::Kept {
+        let link = ConnectionKind::Reused {
             answered: Some(now - MOMENT),
         };
         let ticket = table.begin(request, &server, link, now);
         let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now + MOMENT);
         assert_eq!(finding, RunFinding::ProbeServer);
-        table.note_gone(&server, CrashSign::Refused, now + MOMENT);
+        table.on_server_gone(&server, CrashSign::Refused, now + MOMENT);
         now += SECOND;
     }
-    let verdict = table.judge(request, now);
+    let verdict = table.verdict(request, now);
     assert!(matches!(verdict, RequestVerdict::Block(_)), "{verdict:?}");
 }
 
@@ -524,7 +524,7 @@
             state: ServerState::Draining,
             ..server_entry(&format!("s{number}"))
         };
-        let ticket = table.begin(request, &server, LinkAge::Fresh, now);
+        let ticket = table.begin(request, &server, ConnectionKind::New, now);
         assert_eq!(
             table.finish(ticket.expect("sent"), end, now),
             RunFinding::Nothing
@@ -603,7 +603,7 @@
     let mut next = lone_table();
     let later = now + SECOND * 20;
     assert_eq!(next.apply_stored(&stored, later, 1_020_000), Ok(true));
-    let RequestVerdict::Block(hold) = next.judge(request, later) else {
+    let RequestVerdict::Block(hold) = next.verdict(request, later) else {
         panic!("held back");
     };
     assert!(hold.retry_after < BLOCK_DURATION - SECOND * 20);
@@ -736,7 +736,7 @@
         if number % 2 == 0 {
             end_under(&mut table, request, &server, began, now);
         } else {
-            let ticket = table.begin(request, &server, LinkAge::Fresh, began);
+            let ticket = table.begin(request, &server, ConnectionKind::New, began);
             table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, now);
         }
     }
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    BlockedRequest, CallerLimits, CrashSign, ExchangeMoment, GatewayConfig, IdentityHasher,
-    LinkAge, LoadExchange, QuarantineTable, RequestHead, RequestIdentity, RunFinding, RunTicket,
-    ServerEntry, SuspectState, SyncState, WorkOutcome, WorkspaceKeys,
+    BlockedRequest, CallerLimits, ConnectionKind, CrashSign, ExchangeMoment, GatewayConfig,
+    IdentityHasher, LoadExchange, QuarantineTable, RequestHead, RequestIdentity, RunFinding,
+    RunTicket, ServerEntry, SuspectState, SyncState, WorkOutcome, WorkspaceKeys,
 };
 use plumgate::ids::WorkspaceId;
 
@@ -210,7 +210,7 @@
         let entry = self.servers[server].entry.clone();
         let begun = self.nodes[node]
             .table
-            .begin(identity, &entry, LinkAge::Fresh, now);
+            .begin(identity, &entry, ConnectionKind::New, now);
         let ticket = match begun {
             Ok(ticket) => ticket,
             Err(hold) => {
@@ -278,7 +278,7 @@
             let table = &mut self.nodes[run.node].table;
             let finding = table.finish(run.ticket, how, self.now);
             if finding == RunFinding::ProbeServer {
-                table.note_gone(&entry, CrashSign::Refused, self.now);
+                table.on_server_gone(&entry, CrashSign::Refused, self.now);
             }
         }
     }
@@ -297,7 +297,8 @@
     pub(crate) fn lapse(&mut self, server: usize) {
         let entry = self.servers[server].entry.clone();
         for node in &mut self.nodes {
-            node.table.note_gone(&entry, CrashSign::Lapsed, self.now);
+            node.table
+                .on_server_gone(&entry, CrashSign::Lapsed, self.now);
         }
     }
 
