--- a/crates/plumgate/src/gateway/quarantine/evidence.rs
+++ b/crates/plumgate/src/gateway/quarantine/evidence.rs
@@ -13,7 +13,7 @@
 /// own retry follows within a few milliseconds, also that of an innocent request that ran beside a poison
 /// request, and the servers of a rack may crash that far apart. A run that crashes its server lasts longer
 /// than this gap, so that the next run but one counts.
-const TURN_GAP: Duration = Duration::from_millis(100);
+const CONSECUTIVE_GAP: Duration = Duration::from_millis(100);
 
 /// Sign by which a server's crash is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -94,9 +94,9 @@
             .crashes
             .iter_mut()
             .find(|crash| crash.server == evidence.server);
-        if let Some(end) = known {
-            let is_new = evidence.is_refuted && !end.is_refuted;
-            end.is_refuted |= evidence.is_refuted;
+        if let Some(crash) = known {
+            let is_new = evidence.is_refuted && !crash.is_refuted;
+            crash.is_refuted |= evidence.is_refuted;
             return is_new;
         }
         if self.crashes.len() >= MAX_CRASHES && !self.evict_one() {
@@ -165,7 +165,7 @@
         let mut consecutive = 0;
         let mut last: Option<Instant> = None;
         for (ended, began) in &runs {
-            if last.is_none_or(|last| *began > last + TURN_GAP) {
+            if last.is_none_or(|last| *began > last + CONSECUTIVE_GAP) {
                 consecutive += 1;
                 last = Some(*ended);
             }
--- a/crates/plumgate/src/gateway/quarantine/identity.rs
+++ b/crates/plumgate/src/gateway/quarantine/identity.rs
@@ -74,7 +74,7 @@
 
 impl RequestIdentity {
     /// Returns whether two requests are of the same workspace.
-    pub(crate) fn is_of_workspace(&self, other: &Self) -> bool {
+    pub(crate) fn has_same_workspace(&self, other: &Self) -> bool {
         self.workspace == other.workspace
     }
 
--- a/crates/plumgate/src/gateway/quarantine/in_doubt.rs
+++ b/crates/plumgate/src/gateway/quarantine/in_doubt.rs
@@ -75,12 +75,12 @@
         let of_workspace = self
             .runs
             .iter()
-            .filter(|run| run.identity.is_of_workspace(&newest));
+            .filter(|run| run.identity.has_same_workspace(&newest));
         let is_over_share = of_workspace.count() * 4 > MAX_RUNS;
         let oldest = self
             .runs
             .iter()
-            .position(|run| !is_over_share || run.identity.is_of_workspace(&newest));
+            .position(|run| !is_over_share || run.identity.has_same_workspace(&newest));
         if let Some(oldest) = oldest {
             self.runs.remove(oldest);
         }
--- a/crates/plumgate/src/gateway/quarantine/notice.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice.rs
@@ -10,7 +10,7 @@
 
 /// Bytes of the reports in one notice. Two notices, sealed by two keys, fit into a datagram beside load
 /// reports, prompt locations and store sync; a longer datagram would be lost with all of these.
-const NOTICE_BYTES: usize = 1_000;
+const MAX_NOTICE_BYTES: usize = 1_000;
 /// Upper bounds, in bytes, of a report without its crashes and of one crash.
 const REPORT_BYTES: usize = 32;
 const CRASH_BYTES: usize = 17;
@@ -79,7 +79,7 @@
     let mut size = 0;
     let fit_notice = reports.take_while(|report| {
         size += report.size();
-        size <= NOTICE_BYTES
+        size <= MAX_NOTICE_BYTES
     });
     fit_notice.collect()
 }
--- a/crates/plumgate/src/gateway/quarantine/notice_exchange.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice_exchange.rs
@@ -52,12 +52,12 @@
             self.resent_at = Some(now);
             let suspects = self.records.values_mut();
             for record in suspects.filter(|record| record.state != SuspectState::Free) {
-                record.tell_rounds = record.tell_rounds.max(1);
+                record.rounds_left = record.rounds_left.max(1);
             }
         }
         let pending = self.records.iter_mut();
         let mut pending: Vec<_> = pending
-            .filter(|(_, record)| record.tell_rounds > 0)
+            .filter(|(_, record)| record.rounds_left > 0)
             .collect();
         if pending.is_empty() {
             return Vec::new();
@@ -66,14 +66,14 @@
         pending.sort_by_key(|(_, record)| {
             let servers = record.history.count().servers;
             let weight = (record.state, servers);
-            (Reverse(weight), Reverse(record.tell_rounds))
+            (Reverse(weight), Reverse(record.rounds_left))
         });
         let reports = pending.iter().map(|(identity, record)| {
             SuspectReport::new(**identity, record.history.crashes(), now)
         });
         let reports = fit_notice(reports);
         for (_, record) in pending.iter_mut().take(reports.len()) {
-            record.tell_rounds -= 1;
+            record.rounds_left -= 1;
         }
         self.keys.seal(reports, unix_ms)
     }
--- a/crates/plumgate/src/gateway/quarantine/rule.rs
+++ b/crates/plumgate/src/gateway/quarantine/rule.rs
@@ -11,9 +11,9 @@
 use super::evidence::CrashCount;
 
 /// Crashed servers from which on a request is suspected; the operators accept this many.
-const SERVERS_MOST: usize = 3;
+const MIN_CRASHED_SERVERS: usize = 3;
 /// Consecutive crashes from which on a coincidence is unlikely.
-const IN_TURN: usize = 2;
+const MIN_CONSECUTIVE: usize = 2;
 
 /// How long a request is blocked after the last crash, and how long any crash is remembered. Longer than
 /// clients go on retrying one request; short enough that a wrong verdict, or one that a server update made
@@ -32,13 +32,13 @@
 ///
 /// Turns rotate, so that a node that is gone doesn't make the others wait for ever. The nodes never all have
 /// their turn at once, as a burst after a pause would crash as many servers as there are nodes.
-pub(crate) fn has_turn(place: usize, nodes: usize, since_crash: Duration) -> bool {
+pub(crate) fn has_turn(position: usize, nodes: usize, since_crash: Duration) -> bool {
     let nodes = nodes.max(1);
-    let at_once = nodes.div_ceil(NODES_PER_TURN);
-    let groups = nodes.div_ceil(at_once);
+    let group_size = nodes.div_ceil(NODES_PER_TURN);
+    let groups = nodes.div_ceil(group_size);
     let turn = since_crash.as_millis() / TURN_DURATION.as_millis();
     let turn = usize::try_from(turn).unwrap_or(usize::MAX);
-    place / at_once == turn % groups
+    position / group_size == turn % groups
 }
 
 /// How a request is handled because of the crashes under it, in the order of severity.
@@ -57,12 +57,12 @@
 impl SuspectState {
     /// Derives the state from the crash counts.
     pub(crate) fn from_count(count: CrashCount) -> Self {
-        if count.servers >= SERVERS_MOST && count.consecutive >= IN_TURN {
+        if count.servers >= MIN_CRASHED_SERVERS && count.consecutive >= MIN_CONSECUTIVE {
             return Self::Blocked;
         }
         // One of the two alone is a rare coincidence, so the request goes on with care, but too frequent to
         // block it.
-        if count.servers >= SERVERS_MOST || count.consecutive >= IN_TURN {
+        if count.servers >= MIN_CRASHED_SERVERS || count.consecutive >= MIN_CONSECUTIVE {
             return Self::OneByOne;
         }
         Self::Free
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -27,7 +27,7 @@
 const WORKSPACE_DIVISOR: usize = 4;
 /// How soon after a crash a response of the same server refutes the crash. A later response may come from the
 /// restarted process, as not all entries carry a start time; no server restarts sooner than this.
-const ALIVE_SPAN: Duration = Duration::from_millis(1_500);
+const ALIVE_WINDOW: Duration = Duration::from_millis(1_500);
 /// How long an isolated run makes other callers wait if its end is not reported.
 const MAX_ISOLATED_RUN: Duration = Duration::from_secs(10);
 /// Bound of the events that wait to be logged.
@@ -43,7 +43,7 @@
     /// Position of this node in the order of turns; none before the nodes are known.
     pub(crate) position: Option<usize>,
     /// Rounds in which the record is still to be sent.
-    pub(crate) tell_rounds: u32,
+    pub(crate) rounds_left: u32,
 }
 
 /// Suspected requests of one node.
@@ -203,7 +203,7 @@
             }
             WorkOutcome::Restarted => {
                 if let Some(run) = ticket.in_doubt_run(end, now) {
-                    self.believe(run, CrashSign::Restarted, now);
+                    self.record_crash(run, CrashSign::Restarted, now);
                     return RunFinding::ServerCrashed(CrashSign::Restarted);
                 }
             }
@@ -219,7 +219,7 @@
 
     fn on_in_doubt_run(&mut self, run: InDoubtRun, end: WorkOutcome, now: Instant) -> RunFinding {
         if let Some(sign) = self.in_doubt.add_run(run, now) {
-            self.believe(run, sign, now);
+            self.record_crash(run, sign, now);
             return RunFinding::ServerCrashed(sign);
         }
         // A silent run may go on for long, and a caller that disconnects says nothing of the server. A server
@@ -241,7 +241,7 @@
         }
     }
 
-    fn believe(&mut self, run: InDoubtRun, sign: CrashSign, now: Instant) {
+    fn record_crash(&mut self, run: InDoubtRun, sign: CrashSign, now: Instant) {
         self.clear_isolated_run(run.identity);
         let evidence = CrashEvidence {
             server: run.server,
@@ -270,7 +270,7 @@
             runs.extend(self.in_flight.runs_at(key, now));
         }
         for run in &runs {
-            self.believe(*run, sign, now);
+            self.record_crash(*run, sign, now);
         }
         runs.iter().map(|run| run.identity).collect()
     }
@@ -310,7 +310,7 @@
         let Some(ended) = self.crash_times.get(&server).copied() else {
             return;
         };
-        let is_proof = began >= ended && now.saturating_duration_since(ended) <= ALIVE_SPAN;
+        let is_proof = began >= ended && now.saturating_duration_since(ended) <= ALIVE_WINDOW;
         if !is_proof {
             return;
         }
@@ -318,7 +318,7 @@
         let mut refuted = Vec::new();
         for (identity, record) in &mut self.records {
             if record.history.refute_server(server) {
-                record.tell_rounds = SEND_ROUNDS;
+                record.rounds_left = SEND_ROUNDS;
                 refuted.push(*identity);
             }
         }
@@ -335,7 +335,7 @@
         if !record.history.refute_all() {
             return;
         }
-        record.tell_rounds = SEND_ROUNDS;
+        record.rounds_left = SEND_ROUNDS;
         let before = self.reevaluate(identity, reason, now);
         // On expiry all nodes release the request at the same time, and the next node that reads the store
         // removes the verdict.
@@ -376,7 +376,7 @@
             return false;
         }
         if is_contradiction || matches!(source, EvidenceSource::Local | EvidenceSource::Relayed) {
-            record.tell_rounds = SEND_ROUNDS;
+            record.rounds_left = SEND_ROUNDS;
         }
         if !evidence.is_refuted {
             let ended = self
@@ -444,10 +444,11 @@
         let own = self
             .records
             .keys()
-            .filter(|held| held.is_of_workspace(&newest));
-        let crowds = own.count() * WORKSPACE_DIVISOR > MAX_RECORDS;
+            .filter(|known| known.has_same_workspace(&newest));
+        let is_over_share = own.count() * WORKSPACE_DIVISOR > MAX_RECORDS;
         let candidates = self.records.iter();
-        let candidates = candidates.filter(|(held, _)| !crowds || held.is_of_workspace(&newest));
+        let candidates =
+            candidates.filter(|(known, _)| !is_over_share || known.has_same_workspace(&newest));
         let evicted = candidates.min_by_key(|(_, record)| {
             let is_suspected = record.state != SuspectState::Free;
             (is_suspected, record.history.last_change())
