--- a/crates/plumgate/src/gateway/admission/policy.rs
+++ b/crates/plumgate/src/gateway/admission/policy.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the delay after which a caller should come back; `spread` is as for the decision.
+    /// Returns the delay after which a caller should come back; `spread`, from 0 to 1, is as for the decision.
     pub fn retry_delay(&self, wait: Duration, left: Duration, spread: f64) -> Duration {
         let longest = left.mul_f64(RETRY_DELAY_SHARE).min(MAX_RETRY_DELAY);
         let spread = if self.switches.has(PolicyPart::ReturnSpread) {
