--- a/crates/plumgate/src/duty/agreed_clock.rs
+++ b/crates/plumgate/src/duty/agreed_clock.rs
@@ -1,7 +1,8 @@
-//! The time of day that the nodes agree on.
+//! Time of day that the nodes agree on.
 //!
-//! One node's own time of day may jump by seconds. A jump of a few nodes does not move the middle of what all of
-//! them say, and between two looks at that middle the steady clock counts on.
+//! The system time of a single node may jump by seconds. The nodes therefore use the weighted median of the times
+//! of all nodes, which a jump on a few of them does not move. Between two updates of the median the time advances
+//! with the monotonic clock.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,56 +11,56 @@
 
 use crate::ids::NodeId;
 
-/// Milliseconds of the Unix epoch.
+/// Milliseconds since the Unix epoch.
 pub type UnixMillis = u64;
 
-/// How far a node's own word follows its time of day, in milliseconds a second: a clock that runs 50 in a million
-/// off is caught up with, and a jump of seconds that is taken back soon hardly shows.
+/// Maximum correction of a node's own time towards its system time, in milliseconds per second. It is enough to
+/// follow a clock with a drift of 50 in a million, and a jump of seconds that is soon reverted has little effect.
 const SLEW_PER_SECOND: f64 = 0.5;
-/// How long the word of another node counts: many rounds, so that lost messages do no harm.
-const WORD_LIFETIME: Duration = Duration::from_secs(5);
+/// Time for which a sample of another node is used. It spans many rounds, so that lost messages do no harm.
+const SAMPLE_LIFETIME: Duration = Duration::from_secs(5);
 
-/// What a node says of the time of day.
+/// Time of day as one node reports it to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockNews {
-    /// By its own clock alone.
+    /// Time by the node's own clock alone.
     pub own: UnixMillis,
-    /// By the clocks of its data centre alone, where it collects. What was agreed on with others must not be their word
-    /// again: the time that messages take would add up.
+    /// Median of the node's data centre alone; only a collector has it. Collectors do not send the agreed time to
+    /// each other as their sample, since the transit times of the messages would add up.
     pub centre: Option<UnixMillis>,
-    /// By what it has agreed on with others.
+    /// Time agreed on with the other data centres.
     pub agreed: Option<UnixMillis>,
 }
 
-/// The word of another node: its time less this node's time since the start.
+/// Sample of another node's clock, as an offset against this node's boot time.
 #[derive(Clone, Copy, Debug)]
-struct HeardWord {
+struct ClockSample {
     offset: i64,
     weight: usize,
-    at: Duration,
+    received_at: Duration,
 }
 
-/// The time of day as one node knows it. Moments are times since the VM started, suspension included.
+/// Estimates the agreed time of day on one node. Moments are times since the VM started, suspension included.
 #[derive(Clone, Debug, Default)]
 pub struct AgreedClock {
-    /// By the node's own time of day, without its jumps.
+    /// Offset of the node's own system time against its boot time, with jumps smoothed out.
     own: Option<f64>,
     own_at: Duration,
     centre: Option<i64>,
     agreed: Option<i64>,
-    /// The words of the nodes of this data centre.
-    members: HashMap<NodeId, HeardWord>,
-    /// The words of other data centres' collectors.
-    centres: HashMap<NodeId, HeardWord>,
+    /// Samples of the other nodes of this data centre.
+    members: HashMap<NodeId, ClockSample>,
+    /// Samples of the collectors of other data centres.
+    data_centres: HashMap<NodeId, ClockSample>,
 }
 
 impl AgreedClock {
-    /// A clock that has heard nothing.
+    /// Creates a clock without any sample.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The node's time of day, looked at now and then.
+    /// Records the system time of this node; called at regular intervals.
     pub fn note_own(&mut self, unix: UnixMillis, boot: Duration) {
         let offset = offset_of(unix, boot) as f64;
         let Some(own) = self.own else {
@@ -73,40 +74,41 @@
         self.own_at = boot;
     }
 
-    /// The own word of another node of this data centre came.
+    /// Records the report of another node of this data centre.
     pub fn hear(&mut self, node: &NodeId, news: &ClockNews, boot: Duration) {
-        let word = HeardWord::new(news.own, 1, boot);
-        self.members.insert(node.clone(), word);
+        let sample = ClockSample::new(news.own, 1, boot);
+        self.members.insert(node.clone(), sample);
     }
 
-    /// The word of the collector of another data centre came, which counts for its nodes.
+    /// Records the report of the collector of another data centre, weighted by the number of its nodes.
     pub fn hear_centre(&mut self, node: &NodeId, news: &ClockNews, nodes: usize, boot: Duration) {
-        let word = HeardWord::new(news.centre.unwrap_or(news.own), nodes.max(1), boot);
-        self.centres.insert(node.clone(), word);
+        let sample = ClockSample::new(news.centre.unwrap_or(news.own), nodes.max(1), boot);
+        self.data_centres.insert(node.clone(), sample);
     }
 
-    /// What this node's collector agreed on came.
+    /// Applies the agreed time that this node's collector reported.
     pub fn follow(&mut self, news: &ClockNews, boot: Duration) {
         if let Some(agreed) = news.agreed {
             self.agreed = Some(offset_of(agreed, boot));
         }
     }
 
-    /// Agrees anew on the middle of what was heard; for a node that collects.
+    /// Recomputes the agreed time as the weighted median of the recent samples; only a collector does this.
     pub fn agree(&mut self, boot: Duration) {
-        let is_recent = |word: &HeardWord| boot.saturating_sub(word.at) < WORD_LIFETIME;
-        self.members.retain(|_, word| is_recent(word));
-        self.centres.retain(|_, word| is_recent(word));
+        let is_recent =
+            |sample: &ClockSample| boot.saturating_sub(sample.received_at) < SAMPLE_LIFETIME;
+        self.members.retain(|_, sample| is_recent(sample));
+        self.data_centres.retain(|_, sample| is_recent(sample));
         let own = self.own.map(|own| (own as i64, 1));
-        let members = self.members.values().map(HeardWord::weighed).chain(own);
+        let members = self.members.values().map(ClockSample::weighted).chain(own);
         let members: Vec<(i64, usize)> = members.collect();
-        let centres = self.centres.values().map(HeardWord::weighed);
-        let all: Vec<(i64, usize)> = members.iter().copied().chain(centres).collect();
-        self.centre = middle(members);
-        self.agreed = middle(all).or(self.agreed);
+        let data_centres = self.data_centres.values().map(ClockSample::weighted);
+        let all: Vec<(i64, usize)> = members.iter().copied().chain(data_centres).collect();
+        self.centre = weighted_median(members);
+        self.agreed = weighted_median(all).or(self.agreed);
     }
 
-    /// What this node says.
+    /// Returns this node's report, or `None` before its own time is known.
     pub fn news(&self, boot: Duration) -> Option<ClockNews> {
         Some(ClockNews {
             own: unix_at(self.own? as i64, boot),
@@ -115,41 +117,42 @@
         })
     }
 
-    /// The offset of the time of day against the time since the start; none before anything is known.
+    /// Returns the offset of the time of day against the boot time in milliseconds, or `None` before any time is
+    /// known.
     pub fn offset(&self) -> Option<i64> {
         self.agreed.or(self.own.map(|own| own as i64))
     }
 
-    /// The time of day; none before anything is known.
+    /// Returns the time of day, or `None` before any time is known.
     pub fn now(&self, boot: Duration) -> Option<UnixMillis> {
         Some(unix_at(self.offset()?, boot))
     }
 }
 
-impl HeardWord {
+impl ClockSample {
     fn new(unix: UnixMillis, weight: usize, boot: Duration) -> Self {
         Self {
             offset: offset_of(unix, boot),
             weight,
-            at: boot,
+            received_at: boot,
         }
     }
 
-    fn weighed(&self) -> (i64, usize) {
+    fn weighted(&self) -> (i64, usize) {
         (self.offset, self.weight)
     }
 }
 
-/// The middle of some words by their weights.
-fn middle(mut words: Vec<(i64, usize)>) -> Option<i64> {
-    words.sort_unstable();
-    let sum: usize = words.iter().map(|(_, weight)| weight).sum();
-    let mut passed = 0;
-    let middle = words.iter().find(|(_, weight)| {
-        passed += weight;
-        passed >= sum.div_ceil(2)
+/// Returns the weighted median of offsets, or `None` without any.
+fn weighted_median(mut samples: Vec<(i64, usize)>) -> Option<i64> {
+    samples.sort_unstable();
+    let sum: usize = samples.iter().map(|(_, weight)| weight).sum();
+    let mut cumulative = 0;
+    let median = samples.iter().find(|(_, weight)| {
+        cumulative += weight;
+        cumulative >= sum.div_ceil(2)
     });
-    middle.map(|(offset, _)| *offset)
+    median.map(|(offset, _)| *offset)
 }
 
 fn offset_of(unix: UnixMillis, boot: Duration) -> i64 {
--- a/crates/plumgate/src/duty/holder.rs
+++ b/crates/plumgate/src/duty/holder.rs
@@ -1,7 +1,7 @@
-//! One node's side of the lease under which duties are done.
+//! One node's side of the lease for the duties.
 //!
-//! Moments are times since the VM started, suspension included: a process that stood still must not act by a
-//! lease that ended meanwhile.
+//! Moments are times since the VM started, suspension included, so that a process that was suspended does not act
+//! under a lease that expired in the meantime.
 
 use std::time::Duration;
 
@@ -14,32 +14,32 @@
 use crate::lease::{PendingWrite, SeenRow};
 use crate::store_version::{StoreEra, StoreVersion};
 
-/// Part of a lease's length for which its holder no longer acts, for clocks that run unlike.
+/// Share of the lease duration at its end in which the holder no longer acts, as a margin for clock drift.
 const MARGIN_SHARE: f64 = 0.15;
-/// Part of a lease's length after which its holder renews it: two tries fit into what is left.
+/// Share of the lease duration after which the holder renews it: two attempts fit into the rest.
 const RENEW_SHARE: f64 = 0.4;
-/// Time between two looks at another holder's row.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
-/// Pause after a call to the store that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Writes without an answer that are remembered: those of a second of lost answers.
-const PENDING_MOST: usize = 8;
+/// Interval at which the row of another holder is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay after a failed call to the store.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Maximum number of unanswered writes that are remembered: as many as occur in a second of lost answers.
+const MAX_PENDING_WRITES: usize = 8;
 
-/// The times of the lease.
+/// Durations of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DutyTimes {
-    /// How long a row must stand unchanged before another node takes the lease.
+    /// Time for which the row must be unchanged before another node acquires the lease.
     pub lease: Duration,
-    /// How long before that its holder stops to act.
+    /// Time before the end of the lease at which its holder stops acting.
     pub margin: Duration,
-    /// After how long a holder renews.
+    /// Time after a renewal at which the holder renews again.
     pub renew_after: Duration,
-    /// How long a new holder waits before its first call: a call that the one before began last is over by then.
+    /// Time that a new holder waits before its first call, so that the last call of its predecessor has ended.
     pub settle: Duration,
 }
 
 impl DutyTimes {
-    /// The times of a lease whose holder's calls last so long at most.
+    /// Derives the durations from the lease duration and the maximum duration of a call to the duty API.
     pub fn new(lease: Duration, longest_call: Duration) -> Self {
         Self {
             lease,
@@ -50,81 +50,82 @@
     }
 }
 
-/// What became of the lease.
+/// Change of the lease on this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderEvent {
-    /// This node holds it now.
+    /// This node acquired the lease.
     Taken {
-        /// The generation number.
+        /// Generation number.
         number: FencingNumber,
-        /// The store's era.
+        /// Era of the store.
         era: StoreEra,
-        /// Who held it before.
+        /// Previous holder, if known.
         before: Option<DutyIdentity>,
-        /// Whether this node held it all the while, as the store came back old.
+        /// Whether this node was also the previous holder and only acquired the lease again because the store was
+        /// restored from an older state.
         is_continued: bool,
     },
-    /// It was renewed.
+    /// The lease was renewed.
     Renewed,
-    /// It is lost.
+    /// The lease was lost.
     Lost {
-        /// Why.
+        /// Reason: `era` or `taken`.
         reason: &'static str,
     },
 }
 
-/// A lease that this node took.
+/// Lease that this node holds.
 #[derive(Clone, Debug)]
 struct Tenure {
     number: FencingNumber,
-    /// The row as it was last confirmed, and its version.
+    /// Row of the last confirmed write; its version is in `version`.
     row: DutyRow,
     version: StoreVersion,
-    /// When the write of it was asked for.
+    /// Time at which that write was started.
     renewed_at: Duration,
-    /// When it may act first.
+    /// Time from which the holder may act.
     settled_at: Duration,
 }
 
-/// A lease that this node held as the store came back from an old copy.
+/// Lease that this node held when the store was restored from an older state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct CarriedTenure {
-    /// Until when nobody else can have taken the lease.
+    /// Time until which no other node can have acquired the lease.
     until: Duration,
 }
 
-/// A call under way.
+/// Call to the store that is in flight.
 #[derive(Clone, Debug)]
-struct AskedCall {
+struct InFlightCall {
     call: DutyCall,
-    at: Duration,
-    /// The era that was known then.
+    started_at: Duration,
+    /// Era known when the call was started.
     era: StoreEra,
 }
 
-/// One node's side of the lease.
+/// Acquires, renews and loses the lease for one node.
 #[derive(Debug)]
 pub struct DutyHolder {
     own: DutyIdentity,
     times: DutyTimes,
     rng: fastrand::Rng,
-    /// The newest era that was heard of.
+    /// Newest known era of the store.
     era: StoreEra,
     seen: Option<SeenRow<Option<DutyRow>, StoreVersion, Duration>>,
     tenure: Option<Tenure>,
     carried: Option<CarriedTenure>,
-    /// Writes without an answer. Each may still take effect, and the row then tells which.
+    /// Unanswered writes. Each of them may still take effect; the row then shows which one did.
     pending: Vec<PendingWrite<DutyRow, Duration>>,
-    asked: Option<AskedCall>,
+    in_flight: Option<InFlightCall>,
     next_call_at: Duration,
     must_read: bool,
     events: Vec<HolderEvent>,
 }
 
 impl DutyHolder {
-    /// A node that doesn't hold the lease.
+    /// Creates the state of a node that does not hold the lease.
     pub fn new(own: DutyIdentity, times: DutyTimes) -> Self {
-        // Nodes that start in one moment may draw the same incarnation; their names differ.
+        // Nodes that start at the same moment may draw the same incarnation, but their names differ.
         let seed = xxh3_64_with_seed(own.node.as_bytes(), own.incarnation);
         Self {
             rng: fastrand::Rng::with_seed(seed),
@@ -135,31 +136,31 @@
             tenure: None,
             carried: None,
             pending: Vec::new(),
-            asked: None,
+            in_flight: None,
             next_call_at: Duration::ZERO,
             must_read: true,
             events: Vec::new(),
         }
     }
 
-    /// What happened since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<HolderEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The newest era that was heard of.
+    /// Returns the newest known era of the store.
     pub fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// The row of whoever holds the lease, as it was last seen.
+    /// Returns the last known row of the current holder, which may be this node.
     pub fn seen_row(&self) -> Option<&DutyRow> {
         let own = self.tenure.as_ref().map(|tenure| &tenure.row);
         own.or_else(|| self.seen.as_ref()?.row.as_ref())
     }
 
-    /// The number under which this node may act now. It is asked again right before each call: a process that stood
-    /// still in between must not act on the old answer.
+    /// Returns the credential for calls to the duty API, or `None` if this node may not make any now. Callers
+    /// check it right before each call, since the process may have been suspended after an earlier check.
     pub fn credential(&self, now: Duration) -> Option<DutyCredential> {
         let tenure = self.tenure.as_ref()?;
         let until = tenure.renewed_at + self.times.lease - self.times.margin;
@@ -169,37 +170,39 @@
         })
     }
 
-    /// Whether the lease is this node's, as far as it knows; it may not act yet, or no longer.
+    /// Tells whether this node holds the lease as far as it knows. It may still have to wait before it acts, or
+    /// may already have stopped acting.
     pub fn is_holder(&self) -> bool {
         self.tenure.is_some()
     }
 
-    /// What the row says that this node last wrote and that is confirmed.
+    /// Returns the contents of this node's last confirmed write, if it holds the lease.
     pub fn confirmed(&self) -> Option<&DutyContents> {
         self.tenure.as_ref().map(|tenure| &tenure.row.contents)
     }
 
-    /// What to ask the store next, if anything is due. `contents` is what a holder leaves to the next one;
-    /// `inherit` says what a new holder takes over of a row: whether the chain is broken, as the store
-    /// came back old and something may have been sent that the row does not tell.
+    /// Returns the next call to the store, if one is due. `contents` is the state to store for the next holder.
+    /// `inherit` computes the state that a new holder starts with from the contents of the row. Its second
+    /// argument tells whether the history is broken: the store was restored from an older state, and something
+    /// may have been sent that is not recorded in the row.
     pub fn tick(
         &mut self,
         contents: &DutyContents,
         inherit: impl FnOnce(&DutyContents, bool) -> DutyContents,
         now: Duration,
     ) -> Option<DutyCall> {
-        if self.asked.is_some() || now < self.next_call_at {
+        if self.in_flight.is_some() || now < self.next_call_at {
             return None;
         }
         if self.must_read {
-            return self.ask(DutyCall::Read, now);
+            return self.start_call(DutyCall::Read, now);
         }
         if let Some(tenure) = &self.tenure {
             let is_due = now >= tenure.renewed_at + self.times.renew_after;
-            // Only what is to be sent has to be noted at once; what was sent goes with the next renewal.
-            let noted = &tenure.row.contents.notes;
-            let is_noted = contents.notes.iter().all(|note| noted.contains(note));
-            if !is_due && is_noted {
+            // A report has to be recorded before it is sent. That it was sent is written with the next renewal.
+            let recorded = &tenure.row.contents.notes;
+            let is_recorded = contents.notes.iter().all(|note| recorded.contains(note));
+            if !is_due && is_recorded {
                 return None;
             }
             let (number, version) = (tenure.number, tenure.version);
@@ -211,10 +214,10 @@
         let seen = self.seen.as_ref()?;
         let is_free = now >= seen.since + self.times.lease;
         let is_own_chain = self.carried.is_some();
-        // A store without a row in its first era has never had one.
+        // In the first era of the store a missing row means that there has never been one.
         let is_first = seen.row.is_none() && seen.version.era == 0;
         if !(is_free || is_own_chain || is_first) {
-            return self.ask(DutyCall::Read, now);
+            return self.start_call(DutyCall::Read, now);
         }
         let before = seen.version.number;
         let inherited = if is_own_chain {
@@ -243,29 +246,29 @@
             number,
             contents,
         };
-        if self.pending.len() >= PENDING_MOST {
-            // Where it takes effect after all, the row counts as another node's.
+        if self.pending.len() >= MAX_PENDING_WRITES {
+            // If the dropped write still takes effect, its row is treated as that of another node.
             self.pending.remove(0);
         }
         self.pending.push(PendingWrite {
             row: row.clone(),
             asked: now,
         });
-        self.ask(DutyCall::Write(DutyWrite { row, before }), now)
+        self.start_call(DutyCall::Write(DutyWrite { row, before }), now)
     }
 
-    fn ask(&mut self, call: DutyCall, now: Duration) -> Option<DutyCall> {
-        self.asked = Some(AskedCall {
+    fn start_call(&mut self, call: DutyCall, now: Duration) -> Option<DutyCall> {
+        self.in_flight = Some(InFlightCall {
             call: call.clone(),
-            at: now,
+            started_at: now,
             era: self.era,
         });
         Some(call)
     }
 
-    /// The store answered what was asked last.
+    /// Applies the answer of the store to the call in flight.
     pub fn apply(&mut self, answer: DutyAnswer, now: Duration) {
-        let Some(asked) = self.asked.take() else {
+        let Some(in_flight) = self.in_flight.take() else {
             return;
         };
         self.next_call_at = now;
@@ -275,42 +278,43 @@
             DutyAnswer::Unanswered | DutyAnswer::Refused => None,
         };
         if let Some(era) = era {
-            self.note_era(era, now);
-            // A call that was asked for in one era and carried out in another says nothing of the row as it was
-            // known: what was read before may be gone, and what is read now may be gone already.
-            if era != self.era || asked.era != self.era {
+            self.record_era(era, now);
+            // If the era changed while the call was in flight, its result is unusable: the row that it was based
+            // on may no longer exist, nor may the row that it returned.
+            if era != self.era || in_flight.era != self.era {
                 self.must_read = true;
                 return;
             }
         }
         match answer {
             DutyAnswer::Row { row, .. } => self.apply_row(row, now),
-            DutyAnswer::Written(version) => self.apply_written(&asked, version, now),
+            DutyAnswer::Written(version) => self.apply_written(&in_flight, version, now),
             DutyAnswer::Conflict(_) => {
                 self.pending.pop();
                 self.must_read = true;
             }
             DutyAnswer::Unanswered => {
                 self.must_read = true;
-                self.next_call_at = now + RETRY_PAUSE;
+                self.next_call_at = now + RETRY_DELAY;
             }
             DutyAnswer::Refused => {
-                if matches!(asked.call, DutyCall::Write(_)) {
+                if matches!(in_flight.call, DutyCall::Write(_)) {
                     self.pending.pop();
                 }
-                self.next_call_at = now + RETRY_PAUSE;
+                self.next_call_at = now + RETRY_DELAY;
             }
         }
     }
 
-    /// An answer of the store told its era. Where it has risen, all that was known of the row is from another
-    /// chain of writes.
-    pub fn note_era(&mut self, era: StoreEra, now: Duration) {
+    /// Records the era of the store from one of its answers. If it has risen, everything known about the row
+    /// belongs to an earlier history of writes and is discarded.
+    pub fn record_era(&mut self, era: StoreEra, now: Duration) {
         if era <= self.era {
             return;
         }
-        // While no other node can have taken the lease, before the store went or since it is back, this one knows all
-        // that was sent. Others first see the row stand for a lease's length in the new era.
+        // As long as no other node can have acquired the lease, before the store failed or after its return, this
+        // node knows everything that was sent. Other nodes first have to see the row unchanged for the duration
+        // of a lease in the new era.
         let until = self
             .tenure
             .as_ref()
@@ -346,7 +350,7 @@
                 .find(|pending| pending.row == *row)
                 .cloned();
             if let Some(written) = written {
-                self.hold(written, version, now);
+                self.on_write_applied(written, version, now);
                 return;
             }
         }
@@ -363,25 +367,26 @@
                 since: now,
             });
         }
-        // A row that is this node's to take is taken at once; another's is looked at again.
+        // A lease that this node carries over is acquired at once; the row of another holder is polled.
         if self.carried.is_none() {
-            self.next_call_at = now + LOOK_PAUSE;
+            self.next_call_at = now + POLL_INTERVAL;
         }
     }
 
-    fn apply_written(&mut self, asked: &AskedCall, version: StoreVersion, now: Duration) {
-        let DutyCall::Write(write) = &asked.call else {
+    fn apply_written(&mut self, in_flight: &InFlightCall, version: StoreVersion, now: Duration) {
+        let DutyCall::Write(write) = &in_flight.call else {
             return;
         };
         let written = PendingWrite {
             row: write.row.clone(),
-            asked: asked.at,
+            asked: in_flight.started_at,
         };
-        self.hold(written, version, now);
+        self.on_write_applied(written, version, now);
     }
 
-    /// A write of this node took effect. The lease counts from when it was asked for: others may count from then.
-    fn hold(
+    /// Handles a write of this node that took effect. The lease runs from the start of the write, since other
+    /// nodes may have seen the row from then on.
+    fn on_write_applied(
         &mut self,
         written: PendingWrite<DutyRow, Duration>,
         version: StoreVersion,
--- a/crates/plumgate/src/duty/mod.rs
+++ b/crates/plumgate/src/duty/mod.rs
@@ -1,7 +1,9 @@
-//! Calls to an outside party that one node at a time may make: reports of usage, and orders of backend servers.
+//! Duties: calls to the duty API, an external service, that only one node at a time may make. They are usage
+//! reports and orders of backend servers.
 //!
-//! The party remembers nothing for us and may not check who calls. What must hold lies in the store's row of the
-//! lease: who holds it, under which number, and which reports may have been sent.
+//! The duty API keeps no state for the nodes and may not check who calls. The state that has to survive a change
+//! of holder is in the lease row in the store: the holder, its generation number, and the reports that may have
+//! been sent.
 
 mod agreed_clock;
 mod holder;
--- a/crates/plumgate/src/duty/order_book.rs
+++ b/crates/plumgate/src/duty/order_book.rs
@@ -1,70 +1,74 @@
-//! Which orders of backend servers are due, given what is wanted and what was ordered.
+//! Tracks the orders of backend servers and decides which one is due next.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use super::scale::{ScaleOrder, ScaleSubject, ServerKind};
 
-/// How long a kind of servers is not ordered where there was none to be had.
-const DRY_PAUSE: Duration = Duration::from_millis(2_500);
-/// Time between two orders for one subject that raise its number.
-const RAISE_PAUSE: Duration = Duration::from_millis(700);
-/// Time between two orders for one subject where the second lowers its number, by kind. Cheap servers stay until a
-/// burst that comes again finds them; a lasting one costs several times as much, and goes as soon as what the first
-/// order brought is seen.
-const CHEAP_LOWER_PAUSE: Duration = Duration::from_secs(5);
-/// The same for lasting servers.
-const LASTING_LOWER_PAUSE: Duration = Duration::from_secs(2);
-/// Servers that one order takes away at most. Nodes tell each other 400 changes of servers a second: of thousands that
-/// leave at once they would learn too late, and send requests to servers that leave.
-const LOWER_MOST: u32 = 60;
-/// How long a new holder takes nothing away.
-const FIRST_PAUSE: Duration = Duration::from_secs(4);
-/// Share of a number by which an order must lower it.
-const LOWER_SHARE: f64 = 0.12;
-/// How much longer than a boot time servers are waited for before they are ordered again.
-const BOOT_SLACK: Duration = Duration::from_secs(2);
+/// Time for which a kind of servers is not ordered again in a data centre that had none available.
+const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(2_500);
+/// Minimum time between an order for a subject and one that raises its number.
+const INCREASE_INTERVAL: Duration = Duration::from_millis(700);
+/// Minimum time between an order for a subject and one that lowers its number, for reclaimable servers. These are
+/// cheap and stay for the next burst.
+const RECLAIMABLE_DECREASE_INTERVAL: Duration = Duration::from_secs(5);
+/// The same for lasting servers. They cost several times as much and are released as soon as the effect of the
+/// first order is visible.
+const LASTING_DECREASE_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum number of servers that one order removes. Nodes send each other 400 server updates a second; if
+/// thousands of servers left at once, nodes would learn of it too late and send requests to servers that are
+/// leaving.
+const MAX_DECREASE: u32 = 60;
+/// Time for which a new holder removes no servers.
+const TAKEOVER_PAUSE: Duration = Duration::from_secs(4);
+/// Minimum share of the ordered number by which an order lowers it.
+const MIN_DECREASE_SHARE: f64 = 0.12;
+/// Time beyond the boot time that servers are waited for before they are ordered again.
+const BOOT_MARGIN: Duration = Duration::from_secs(2);
 
-/// What was ordered for one subject.
+/// Last order for one subject.
 #[derive(Clone, Copy, Debug)]
-struct OrderedCount {
+struct LastOrder {
     count: u32,
     at: Instant,
 }
 
-/// Which orders are due, given what is wanted and what was ordered.
+/// Tracks what was ordered and decides which orders are due.
 #[derive(Clone, Debug, Default)]
 pub struct OrderBook {
-    /// When the first order was looked for.
-    opened_at: Option<Instant>,
-    ordered: BTreeMap<ScaleSubject, OrderedCount>,
-    dry: BTreeMap<ScaleSubject, Instant>,
+    /// Time of the first call of `next`.
+    started_at: Option<Instant>,
+    ordered: BTreeMap<ScaleSubject, LastOrder>,
+    unavailable: BTreeMap<ScaleSubject, Instant>,
 }
 
-fn lower_pause(kind: ServerKind) -> Duration {
+fn decrease_interval(kind: ServerKind) -> Duration {
     match kind {
-        ServerKind::Lasting => LASTING_LOWER_PAUSE,
-        ServerKind::Reclaimable => CHEAP_LOWER_PAUSE,
+        ServerKind::Lasting => LASTING_DECREASE_INTERVAL,
+        ServerKind::Reclaimable => RECLAIMABLE_DECREASE_INTERVAL,
     }
 }
 
 impl OrderBook {
-    /// A book without orders.
+    /// Creates a tracker without orders.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether a kind of servers could not be had somewhere when it was last asked for.
+    /// Tells whether none of these servers were available when they were last ordered.
     pub fn is_dry(&self, subject: &ScaleSubject) -> bool {
-        self.dry.contains_key(subject)
+        self.unavailable.contains_key(subject)
     }
 
-    /// Whether a kind of servers is not asked for again yet.
-    fn rests(&self, subject: &ScaleSubject, now: Instant) -> bool {
-        self.dry.get(subject).is_some_and(|until| now < *until)
+    /// Tells whether these servers are not ordered for now because none were available.
+    fn is_paused(&self, subject: &ScaleSubject, now: Instant) -> bool {
+        self.unavailable
+            .get(subject)
+            .is_some_and(|until| now < *until)
     }
 
-    /// The next order for a subject, given how many servers of it take work.
+    /// Returns the order that is due for a subject, if any. `wanted` is the number of servers that it should have,
+    /// `present` the number of those that accept work, and `boot` the time that a new server takes to start.
     pub fn next(
         &mut self,
         subject: &ScaleSubject,
@@ -74,45 +78,47 @@
         now: Instant,
     ) -> Option<ScaleOrder> {
         let last_count = self.ordered.get(subject).map(|last| last.count);
-        let least_count = last_count.unwrap_or(present).saturating_sub(LOWER_MOST);
+        let min_count = last_count.unwrap_or(present).saturating_sub(MAX_DECREASE);
         let order = ScaleOrder {
             subject: subject.clone(),
-            count: wanted.max(least_count),
+            count: wanted.max(min_count),
         };
-        let opened_at = *self.opened_at.get_or_insert(now);
+        let started_at = *self.started_at.get_or_insert(now);
         let Some(last) = self.ordered.get(subject) else {
-            // Who has just taken the duty does not know what was ordered before, and takes nothing away at once.
-            let is_new = now.saturating_duration_since(opened_at) < FIRST_PAUSE;
+            // A new holder does not know what was ordered before, so it removes no servers at first.
+            let is_new = now.saturating_duration_since(started_at) < TAKEOVER_PAUSE;
             let is_due = wanted > present || (wanted < present && !is_new);
-            return (is_due && !self.rests(subject, now)).then_some(order);
+            return (is_due && !self.is_paused(subject, now)).then_some(order);
         };
         let since = now.saturating_duration_since(last.at);
-        let is_raise = wanted > last.count;
-        // Servers that were taken away or crashed for good have to be ordered anew under the same number.
-        let is_short = wanted == last.count && present < wanted && since > boot + BOOT_SLACK;
-        let least = (f64::from(last.count) * LOWER_SHARE).ceil().max(1.0) as u32;
-        let is_lower = wanted + least <= last.count && since > lower_pause(subject.kind);
-        let may_raise = (is_raise && since > RAISE_PAUSE) || is_short;
-        let is_due = is_lower || (may_raise && !self.rests(subject, now));
+        let is_increase = wanted > last.count;
+        // Servers that were reclaimed or crashed permanently are replaced by ordering the same number again.
+        let lacks_servers = wanted == last.count && present < wanted && since > boot + BOOT_MARGIN;
+        let min_decrease = (f64::from(last.count) * MIN_DECREASE_SHARE).ceil().max(1.0) as u32;
+        let is_decrease =
+            wanted + min_decrease <= last.count && since > decrease_interval(subject.kind);
+        let may_increase = (is_increase && since > INCREASE_INTERVAL) || lacks_servers;
+        let is_due = is_decrease || (may_increase && !self.is_paused(subject, now));
         is_due.then_some(order)
     }
 
-    /// The party took an order.
+    /// Records an order that the duty API accepted.
     pub fn note_ordered(&mut self, order: &ScaleOrder, now: Instant) {
-        let ordered = OrderedCount {
+        let ordered = LastOrder {
             count: order.count,
             at: now,
         };
         self.ordered.insert(order.subject.clone(), ordered);
-        self.dry.remove(&order.subject);
+        self.unavailable.remove(&order.subject);
     }
 
-    /// There are none to be had now.
+    /// Records that no servers are available for a subject now.
     pub fn note_dry(&mut self, subject: &ScaleSubject, now: Instant) {
-        self.dry.insert(subject.clone(), now + DRY_PAUSE);
+        self.unavailable
+            .insert(subject.clone(), now + UNAVAILABLE_PAUSE);
     }
 
-    /// What was ordered last.
+    /// Iterates over the subjects and the numbers that were last ordered for them.
     pub fn ordered(&self) -> impl Iterator<Item = (&ScaleSubject, u32)> {
         let ordered = self.ordered.iter();
         ordered.map(|(subject, ordered)| (subject, ordered.count))
--- a/crates/plumgate/src/duty/report_desk.rs
+++ b/crates/plumgate/src/duty/report_desk.rs
@@ -1,4 +1,4 @@
-//! Which reports of usage are due, and which may have been sent.
+//! State of the usage reports: which are due, and which may have been sent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,77 +7,77 @@
 use super::row::{DutyContents, UsageNote};
 use super::usage::{UsageCounts, UsageReport};
 
-/// Number of a window: the windows follow each other from the Unix epoch on.
+/// Number of a window, counted from the Unix epoch.
 pub type WindowId = u64;
 
-/// How long after a window's end its counts are on their way to the holder: a round of the nodes' talk, a telling
-/// of the collectors, and as much again for a message that gets lost.
-const COUNTS_UNDER_WAY: Duration = Duration::from_millis(2_200);
-/// Part of the time that a report may come late after which it is sent without the counts of those who can't
-/// be heard: a new holder needs the rest.
-const PATIENCE_SHARE: f64 = 0.65;
-/// By how much the clocks of two nodes may differ that have agreed on the time.
-const CLOCK_SLACK: Duration = Duration::from_millis(500);
-/// Windows whose ends are remembered for operators.
-const ENDS_MOST: usize = 16;
-
-/// The times of the reports.
+/// Time after the end of a window until its counts have reached the holder: a round of messages between the
+/// nodes, a transmission by the collectors, and as much again for a lost message.
+const COUNT_DELAY: Duration = Duration::from_millis(2_200);
+/// Share of the permitted delay of a report after which it is sent without the counts of unreachable nodes. The
+/// rest is left for a new holder.
+const WAIT_SHARE: f64 = 0.65;
+/// Maximum difference between the agreed times of two nodes.
+const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_millis(500);
+/// Number of closed windows whose outcome is kept for operators.
+const MAX_OUTCOMES: usize = 16;
+
+/// Durations of the reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportTimes {
-    /// The length of a window.
+    /// Length of a window.
     pub window: Duration,
-    /// How long after the window's end its report may come.
+    /// Time after the end of a window within which its report is accepted.
     pub late: Duration,
 }
 
 impl ReportTimes {
-    /// The window of a time of day.
+    /// Returns the window of a time of day.
     pub fn window_at(&self, unix: UnixMillis) -> WindowId {
         unix / millis(self.window).max(1)
     }
 
-    /// When a window ends.
+    /// Returns the time of day at which a window ends.
     pub fn end(&self, window: WindowId) -> UnixMillis {
         (window + 1).saturating_mul(millis(self.window))
     }
 }
 
-/// How a window stands.
+/// State of the report for a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowState {
-    /// Its counts are to be noted in the store before they are sent.
-    Noted,
-    /// The party has its report.
+    /// The counts are fixed; they have to be recorded in the store before they are sent.
+    Frozen,
+    /// The duty API has accepted the report.
     Sent,
 }
 
 impl WindowState {
-    /// The name used in logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Noted => "noted",
+            Self::Frozen => "noted",
             Self::Sent => "sent",
         }
     }
 }
 
-/// How a window ended, for operators.
+/// Outcome of a closed window, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowEnd {
-    /// The window.
+    /// Number of the window.
     pub window: WindowId,
-    /// What became of it: `sent` or `too_late`.
+    /// Outcome: `sent` or `too_late`.
     pub result: &'static str,
 }
 
-/// A report that is on its way.
+/// Report for a window that is not closed yet.
 #[derive(Clone, Debug)]
 struct OpenReport {
     counts: UsageCounts,
     state: WindowState,
 }
 
-/// Which reports are due, and which may have been sent.
+/// Tracks which reports are due and which may have been sent.
 #[derive(Clone, Debug)]
 pub struct ReportDesk {
     times: ReportTimes,
@@ -88,7 +88,7 @@
 }
 
 impl ReportDesk {
-    /// A desk that knows of no window.
+    /// Creates the state without any window.
     pub fn new(times: ReportTimes) -> Self {
         Self {
             times,
@@ -99,12 +99,12 @@
         }
     }
 
-    /// The times of the reports.
+    /// Returns the durations of the reports.
     pub fn times(&self) -> ReportTimes {
         self.times
     }
 
-    /// What is left to the next holder.
+    /// Returns the state to store for the next holder.
     pub fn contents(&self) -> DutyContents {
         let notes = self.open.iter().map(|(window, report)| UsageNote {
             window: *window,
@@ -116,8 +116,8 @@
         }
     }
 
-    /// What a new holder takes over at a moment. Where something may have been sent that the row does not tell,
-    /// only the windows that end later can be reported, and those that the row notes.
+    /// Returns the state that a new holder starts with. If reports may have been sent that are not recorded in
+    /// the row (`is_broken`), only the windows recorded in it and those that end later can be reported.
     pub fn inherit(
         times: ReportTimes,
         contents: &DutyContents,
@@ -125,58 +125,58 @@
         unix: UnixMillis,
     ) -> DutyContents {
         let mut inherited = contents.clone();
-        let unsent = times.window_at(unix.saturating_sub(millis(CLOCK_SLACK)));
+        let unsent = times.window_at(unix.saturating_sub(millis(MAX_CLOCK_DIFFERENCE)));
         if is_broken {
             inherited.passed = inherited.passed.max(unsent.saturating_sub(1));
         }
         inherited
     }
 
-    /// This node took the duty, with what it took over.
-    pub fn begin(&mut self, contents: &DutyContents) {
+    /// Replaces the state by that of the row after this node acquired the lease.
+    pub fn restore(&mut self, contents: &DutyContents) {
         self.passed = contents.passed;
         let notes = contents.notes.iter();
         let open = notes.map(|note| {
             let report = OpenReport {
                 counts: note.counts.clone(),
-                state: WindowState::Noted,
+                state: WindowState::Frozen,
             };
             (note.window, report)
         });
         self.open = open.collect();
     }
 
-    /// Freezes the counts of windows that are due. `counts` gives those of a window, and whether all who may
-    /// have some have told theirs since its end.
+    /// Fixes the counts of the windows that are due. `counts` returns the counts of a window, and whether they are
+    /// complete up to its end.
     pub fn freeze(
         &mut self,
         unix: UnixMillis,
         mut counts: impl FnMut(WindowId) -> (UsageCounts, bool),
     ) {
-        self.pass(unix);
+        self.close_windows(unix);
         for window in self.passed + 1..self.times.window_at(unix) {
             if self.open.contains_key(&window) {
                 continue;
             }
             let since_end = Duration::from_millis(unix.saturating_sub(self.times.end(window)));
-            if since_end >= self.times.late || since_end < COUNTS_UNDER_WAY {
+            if since_end >= self.times.late || since_end < COUNT_DELAY {
                 continue;
             }
             let (counts, is_whole) = counts(window);
-            if is_whole || since_end >= self.times.late.mul_f64(PATIENCE_SHARE) {
-                let state = WindowState::Noted;
+            if is_whole || since_end >= self.times.late.mul_f64(WAIT_SHARE) {
+                let state = WindowState::Frozen;
                 self.open.insert(window, OpenReport { counts, state });
             }
         }
     }
 
-    /// The first report to be sent, of those that the store has noted.
-    pub fn next(&self, noted: &DutyContents, unix: UnixMillis) -> Option<UsageReport> {
+    /// Returns the first report to be sent among those recorded in the store, as given by `recorded`.
+    pub fn next(&self, recorded: &DutyContents, unix: UnixMillis) -> Option<UsageReport> {
         let mut open = self.open.iter();
         let (window, report) = open.find(|(window, report)| {
-            let is_noted = noted.notes.iter().any(|note| note.window == **window);
+            let is_noted = recorded.notes.iter().any(|note| note.window == **window);
             let is_wanted = unix < self.times.end(**window) + millis(self.times.late);
-            report.state == WindowState::Noted && is_noted && is_wanted
+            report.state == WindowState::Frozen && is_noted && is_wanted
         })?;
         Some(UsageReport {
             window: *window,
@@ -184,25 +184,26 @@
         })
     }
 
-    /// The party took a report.
+    /// Records that the duty API accepted the report for a window.
     pub fn note_sent(&mut self, window: WindowId, unix: UnixMillis) {
         if let Some(report) = self.open.get_mut(&window) {
             report.state = WindowState::Sent;
         }
-        self.pass(unix);
+        self.close_windows(unix);
     }
 
-    /// The oldest window whose report may still be wanted.
+    /// Returns the oldest window whose report may still be accepted.
     fn oldest(&self, unix: UnixMillis) -> WindowId {
         let since = unix.saturating_sub(millis(self.times.late));
         self.times.window_at(since).saturating_sub(1)
     }
 
-    /// Closes the windows, in their order, that were sent or that nobody wants any more.
-    fn pass(&mut self, unix: UnixMillis) {
+    /// Closes windows in order as long as their reports are sent or come too late.
+    fn close_windows(&mut self, unix: UnixMillis) {
         let oldest = self.oldest(unix);
         if self.passed < oldest {
-            // A fleet that was off for days does not close each window since.
+            // After days without a running node, the windows of that time are skipped rather than closed one by
+            // one.
             self.open = self.open.split_off(&oldest);
             self.passed = oldest.saturating_sub(1);
         }
@@ -225,22 +226,22 @@
         let end = WindowEnd { window, result };
         self.new_ends.push(end);
         self.ends.push(end);
-        if self.ends.len() > ENDS_MOST {
+        if self.ends.len() > MAX_OUTCOMES {
             self.ends.remove(0);
         }
     }
 
-    /// Windows that ended since the last call.
+    /// Takes the outcomes of the windows closed since the last call.
     pub fn take_ends(&mut self) -> Vec<WindowEnd> {
         std::mem::take(&mut self.new_ends)
     }
 
-    /// The windows that ended last.
+    /// Returns the outcomes of the last closed windows.
     pub fn ends(&self) -> &[WindowEnd] {
         &self.ends
     }
 
-    /// The windows whose counts are fixed and that are not closed yet.
+    /// Iterates over the windows whose counts are fixed and that are not closed yet.
     pub fn open_windows(&self) -> impl Iterator<Item = (WindowId, WindowState)> {
         self.open
             .iter()
--- a/crates/plumgate/src/duty/row.rs
+++ b/crates/plumgate/src/duty/row.rs
@@ -1,4 +1,4 @@
-//! The store's row of the duties, and the calls that read and write it.
+//! The lease row of the duties in the store, and the calls that read and write it.
 
 use std::collections::BTreeMap;
 
@@ -9,120 +9,122 @@
 use crate::ids::{FencingNumber, NodeId};
 use crate::store_version::{StoreEra, StoreVersion};
 
-/// Bits of a generation number below the era: enough versions for 80 years at 400 writes a second.
+/// Low bits of a generation number that hold the store version; the era is above them. 40 bits last 80 years at
+/// 400 writes a second.
 const VERSION_BITS: u32 = 40;
 
-/// Who may hold a duty: one incarnation on one VM.
+/// Identity of a possible lease holder: one incarnation of a node on one VM.
 ///
-/// A node that restarts, or another VM that takes its name, is another one: it knows nothing of what was sent
-/// before and waits like any other.
+/// A restarted node, or another VM with the same name, is a different identity: it does not know what was sent
+/// before and waits for the lease like any other node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyIdentity {
-    /// The name of the VM.
+    /// Name of the VM.
     pub node: NodeId,
-    /// Random, drawn at the start of the process.
+    /// Random number drawn when the process starts.
     pub incarnation: u64,
 }
 
-/// A report that may have been sent: whoever sends one for this window sends these counts.
+/// Record of a report that may have been sent: every later report for this window has the same counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageNote {
-    /// The window.
+    /// Window of the report.
     pub window: WindowId,
-    /// Requests that began in it, by workspace.
+    /// Requests that began in the window, by workspace name.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// What a holder leaves to the next one.
+/// State that a holder passes on to the next one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyContents {
-    /// Up to this window, nothing is to be sent any more.
+    /// Last closed window: no report is sent for it or for an earlier one.
     pub passed: WindowId,
-    /// Reports of later windows that may have been sent.
+    /// Reports for later windows that may have been sent.
     pub notes: Vec<UsageNote>,
 }
 
-/// The row.
+/// Contents of the lease row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyRow {
-    /// Who holds the duties.
+    /// Holder of the duties.
     pub holder: DutyIdentity,
-    /// The store's era as its writer knew it.
+    /// Era of the store as known to the writer.
     pub era: StoreEra,
-    /// Random, new with each write: tells it from any other, also from one under the same version after the store
-    /// came back old.
+    /// Random number drawn for each write. It identifies the write, even if another one got the same version
+    /// because the store was restored from an older state.
     pub nonce: u64,
-    /// The generation number; none in the write that takes the lease, whose version it is.
+    /// Generation number; `None` in the write that acquires the lease, where it follows from the version of that
+    /// write.
     pub number: Option<FencingNumber>,
-    /// What is left to the next holder.
+    /// State for the next holder.
     pub contents: DutyContents,
 }
 
 impl DutyRow {
-    /// The bytes that the store keeps: text, as operators may read it there.
+    /// Encodes the row as JSON, so that operators can read it in the store.
     pub fn encode(&self) -> Vec<u8> {
-        // Numbers and texts alone can't fail to be written.
+        // A row of numbers and strings always serializes.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads what the store keeps.
+    /// Decodes a stored row. Fails with [`Error::MalformedMessage`] on anything but a row.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         serde_json::from_slice(bytes).map_err(|_| Error::MalformedMessage)
     }
 
-    /// The generation number of the row as it lies in the store at a version.
+    /// Returns the generation number of the row stored at `version`.
     ///
-    /// A version is given out once in an era, so that no two writes that take the lease have the same number, and
-    /// a later one has the higher number.
+    /// The store assigns a version once in an era, so two writes that acquire the lease never have the same
+    /// number, and the later one has the higher number.
     pub fn number_at(&self, version: StoreVersion) -> FencingNumber {
         let fresh = (version.era << VERSION_BITS) | version.number;
         self.number.unwrap_or(fresh)
     }
 }
 
-/// A write of the row.
+/// Conditional write of the lease row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyWrite {
-    /// The row.
+    /// Row to write.
     pub row: DutyRow,
-    /// The version that the row must have; 0: there must be none.
+    /// Version that the stored row must have; 0 if there must be no row.
     pub before: u64,
 }
 
-/// What the store is asked.
+/// Call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyCall {
-    /// Read the row.
+    /// Reads the row.
     Read,
-    /// Write it under its condition.
+    /// Writes the row if its condition holds.
     Write(DutyWrite),
 }
 
-/// What the store answered.
+/// Result of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyAnswer {
-    /// The row as it stands, with its version.
+    /// Current row with its version.
     Row {
-        /// The store's era.
+        /// Era of the store.
         era: StoreEra,
-        /// The row, if there is one.
+        /// Row and version, if there is a row.
         row: Option<(DutyRow, u64)>,
     },
-    /// The write took effect, as this version.
+    /// The write took effect and the row has this version.
     Written(StoreVersion),
-    /// The write's condition does not hold.
+    /// The condition of the write did not hold; with the era of the store.
     Conflict(StoreEra),
-    /// Nobody knows whether the write took effect, or no row came.
+    /// No answer: it is unknown whether a write took effect, and a read returned no row.
     Unanswered,
-    /// The store refused the call: nothing was done.
+    /// The store rejected the call without any effect.
     Refused,
 }
 
-/// What a holder names in its calls to the party.
+/// Credential that a holder presents in its calls to the duty API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyCredential {
-    /// The node.
+    /// Name of the node.
     pub node: NodeId,
-    /// The generation number.
+    /// Generation number of the lease.
     pub number: FencingNumber,
 }
--- a/crates/plumgate/src/duty/scale.rs
+++ b/crates/plumgate/src/duty/scale.rs
@@ -1,7 +1,7 @@
-//! How many backend servers of a pool are ordered, where and of which kind.
+//! Scaling policy: the number of backend servers of each kind that a pool should have in each data centre.
 //!
-//! The load this answers: prompts that arrive in bursts of seconds, servers that take seconds to start, and
-//! servers at a fraction of the price that a whole data centre may lose at once.
+//! It is made for prompts that arrive in bursts of seconds, servers that take seconds to start, and reclaimable
+//! servers that cost a fraction of the price but may all be lost at once in a data centre.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -10,35 +10,36 @@
 
 use crate::ids::{DataCentreId, PoolId};
 
-/// A price in thousandths.
+/// Price in thousandths of a unit.
 pub type PriceMillis = u32;
 
-/// What the operator allows of a pool's size.
+/// Limits and prices that the operator sets for the size of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolScaling {
-    /// Fewest servers in a data centre, of both kinds together.
+    /// Minimum number of servers in a data centre, of both kinds together.
     pub min: u32,
-    /// Most servers in a data centre, of both kinds together.
+    /// Maximum number of servers in a data centre, of both kinds together.
     pub max: u32,
-    /// How long a new server takes until it serves.
+    /// Time that a new server takes until it serves requests.
     pub boot: Duration,
-    /// The price of a reclaimable server in thousandths of the other's; none where there are none.
+    /// Price of a reclaimable server in thousandths of the price of a lasting one; `None` if there are no
+    /// reclaimable servers.
     pub reclaimable_price: Option<PriceMillis>,
-    /// The price of a server's second by data centre, in thousandths of a unit.
+    /// Price of one second of a server by data centre, in thousandths of a unit.
     pub centre_prices: BTreeMap<DataCentreId, PriceMillis>,
 }
 
-/// Whether the platform may take a server away at any time.
+/// Kind of a backend server: whether the platform may reclaim it at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServerKind {
-    /// It stays until it is given back.
+    /// The server stays until it is released.
     Lasting,
-    /// It is cheaper, and all of a data centre may be taken away at once.
+    /// The server is cheaper, but the platform may reclaim all of them in a data centre at once.
     Reclaimable,
 }
 
 impl ServerKind {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Lasting => "lasting",
@@ -47,60 +48,62 @@
     }
 }
 
-/// What an order is about.
+/// Subject of an order: a kind of servers of a pool in a data centre.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ScaleSubject {
-    /// The pool.
+    /// Pool of the servers.
     pub pool: PoolId,
-    /// The data centre.
+    /// Data centre of the servers.
     pub data_centre: DataCentreId,
-    /// The kind of servers.
+    /// Kind of the servers.
     pub kind: ServerKind,
 }
 
-/// An order: so many servers of a kind there.
+/// Order that sets the number of servers of a subject.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScaleOrder {
-    /// What it is about.
+    /// Servers that are ordered.
     pub subject: ScaleSubject,
-    /// The number of servers.
+    /// Total number of servers that the subject should have.
     pub count: u32,
 }
 
-/// The servers of a pool in one data centre.
+/// Numbers of servers of a pool in one data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SiteLoad {
-    /// Lasting servers that take work.
+    /// Number of lasting servers that accept work.
     pub lasting: u32,
-    /// Reclaimable servers that take work.
+    /// Number of reclaimable servers that accept work.
     pub reclaimable: u32,
 }
 
-/// A pool as the node that orders sees it.
+/// Load of a pool as seen by the node that orders its servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Its servers by data centre.
+    /// Servers of the pool by data centre.
     pub sites: BTreeMap<DataCentreId, SiteLoad>,
-    /// Prompt tokens that requests bring in a second, those of shared parts left out: each of these is read once and
-    /// then kept, and counted in a burst they would ask for servers that keep none.
+    /// Prompt tokens that arrive per second, without those of shared prompt parts. A shared part is prefilled
+    /// once and then cached; if it counted, a burst would order additional servers that have none of it in their
+    /// caches.
     pub tokens_per_second: f64,
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens that wait for prefill.
     pub unread_tokens: f64,
-    /// Prompt tokens that one server reads in a second.
+    /// Prompt tokens that one server prefills per second.
     pub server_speed: f64,
-    /// What limited servers leave unread of what they could read, in servers.
+    /// Prefill capacity that servers with a rate limit leave unused, as a number of servers.
     pub limited: f64,
 }
 
 impl PoolLoad {
-    /// Servers that take work.
+    /// Returns the number of servers that accept work.
     pub fn servers(&self) -> u32 {
         let sites = self.sites.values();
         sites.map(|site| site.lasting + site.reclaimable).sum()
     }
 
-    /// Servers that have to be there beside those that a need asks for, as limited ones take only what they named.
-    fn spare(&self) -> u32 {
+    /// Returns the number of servers required in addition to the need, to make up for the capacity that servers
+    /// with a rate limit leave unused.
+    fn extra_servers(&self) -> u32 {
         self.limited.ceil() as u32
     }
 
@@ -109,12 +112,13 @@
     }
 }
 
-/// How many servers are wanted of each kind in each data centre.
+/// Number of servers that a pool should have, by data centre and kind.
 pub type WantedServers = BTreeMap<(DataCentreId, ServerKind), u32>;
 
-/// Decides how many servers a pool should have.
+/// Policy that decides how many servers a pool should have.
 pub trait ScalePolicy {
-    /// What is wanted, given the pool and the kinds that can't be had somewhere now.
+    /// Returns the wanted numbers of servers. `is_dry` tells whether a kind of servers is not available
+    /// in a data centre.
     fn wanted(
         &mut self,
         scaling: &PoolScaling,
@@ -124,7 +128,7 @@
     ) -> WantedServers;
 }
 
-/// Orders nothing: the baseline.
+/// Policy that orders no servers, as a baseline for comparisons.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StandStill;
 
@@ -140,38 +144,41 @@
     }
 }
 
-/// How long the highest need counts: the next burst may follow, and a server that is given back loses the prompt
-/// parts that it keeps.
-const PEAK_MEMORY: Duration = Duration::from_secs(20);
-/// Span over which the need for dear servers is taken: a burst that is over before one would serve orders none.
-const MEAN_SPAN: Duration = Duration::from_secs(8);
-/// How long a pool is looked at before its servers are ordered: longer than two of a server's reports of its status.
-const FIRST_SIGHT: Duration = Duration::from_millis(2_500);
-/// Follows the load: cheap servers for the bursts, and lasting ones for what the cheap ones that are there
-/// leave open.
+/// Window of the peak need. The next burst may follow soon, and a released server loses its cached prompt parts.
+const PEAK_WINDOW: Duration = Duration::from_secs(20);
+/// Window over which the need for lasting servers is averaged: a burst that ends before a new server would be
+/// ready orders none of these expensive servers.
+const MEAN_WINDOW: Duration = Duration::from_secs(8);
+/// Time for which a pool is observed before servers are ordered for it: more than two status report intervals of a
+/// server.
+const OBSERVATION_TIME: Duration = Duration::from_millis(2_500);
+/// Policy that follows the load: reclaimable servers if they are cheaper, and lasting ones for the need that the
+/// present reclaimable ones do not cover.
 #[derive(Clone, Debug)]
 pub struct FollowLoad {
     options: FollowOptions,
-    /// Most servers that the pool had in the first seconds in which it was seen: the operator's number.
-    standing: u32,
-    /// Since when it is seen.
-    seen_since: Option<Instant>,
-    /// Needs of the last seconds, in servers that read all the time.
+    /// Maximum number of servers seen during the first seconds of observation, which is the number set by the
+    /// operator.
+    initial_servers: u32,
+    /// Start of the observation of the pool.
+    observed_since: Option<Instant>,
+    /// Recent needs with their times, as numbers of servers that prefill without a pause.
     needs: VecDeque<(Instant, f64)>,
 }
 
-/// What a policy that follows the load aims at.
+/// Options of the policy that follows the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowOptions {
-    /// Servers, with cheap ones, per server that would read all the time: the rest is for steps, for bursts that
-    /// come within a boot time, and for parts that are kept where they are needed.
+    /// Total servers per server of need, if cheaper reclaimable ones make up the total. The excess is for steps
+    /// of the load, for bursts within the boot time, and for prompt parts cached where they are needed.
     pub headroom: f64,
-    /// The same where the rest has to be lasting ones.
+    /// Total servers per server of need, from which the present reclaimable ones are subtracted to get the number
+    /// of lasting ones.
     pub bare_headroom: f64,
-    /// Fewest servers with cheap ones, as a share of those that stood there first: before any load was seen, the
-    /// operator's number is the best guess.
+    /// Minimum total with reclaimable servers, as a ratio to the initial number of servers: before any load is
+    /// seen, the number set by the operator is the best estimate.
     pub floor: f64,
-    /// The same where the rest has to be lasting ones.
+    /// Minimum of that total, as the same ratio.
     pub bare_floor: f64,
 }
 
@@ -187,65 +194,66 @@
 }
 
 impl FollowLoad {
-    /// A policy that has seen no load.
+    /// Creates a policy that has not observed a pool yet.
     pub fn new(options: FollowOptions) -> Self {
         Self {
             options,
-            standing: 0,
-            seen_since: None,
+            initial_servers: 0,
+            observed_since: None,
             needs: VecDeque::new(),
         }
     }
 
-    /// Takes note of a pool, whichever node orders its servers. Tells whether it was seen for long enough to order
-    /// any: servers write their entries one after another, and half of them would look like all.
+    /// Records the servers of a pool; also called on nodes that do not order them. Returns whether the pool has
+    /// been observed for long enough to order servers: servers register one after another, so that an early count
+    /// may have only half of them.
     pub fn observe(&mut self, load: &PoolLoad, now: Instant) -> bool {
-        if load.servers() == 0 && self.seen_since.is_none() {
+        if load.servers() == 0 && self.observed_since.is_none() {
             return false;
         }
-        let since = *self.seen_since.get_or_insert(now);
-        let is_seen = now.saturating_duration_since(since) > FIRST_SIGHT;
-        if !is_seen {
-            self.standing = self.standing.max(load.servers());
+        let since = *self.observed_since.get_or_insert(now);
+        let is_observed = now.saturating_duration_since(since) > OBSERVATION_TIME;
+        if !is_observed {
+            self.initial_servers = self.initial_servers.max(load.servers());
         }
-        is_seen
+        is_observed
     }
 
-    /// Whether the pool was seen for long enough to order servers.
+    /// Tells whether the pool has been observed for long enough to order servers.
     pub fn has_seen(&self, now: Instant) -> bool {
-        let since = self.seen_since;
-        since.is_some_and(|since| now.saturating_duration_since(since) > FIRST_SIGHT)
+        let since = self.observed_since;
+        since.is_some_and(|since| now.saturating_duration_since(since) > OBSERVATION_TIME)
     }
 
-    /// Takes note of what is needed now.
-    fn note_need(&mut self, load: &PoolLoad, now: Instant) {
+    /// Records the current need and drops those older than the window of the peak.
+    fn record_need(&mut self, load: &PoolLoad, now: Instant) {
         let need = load.tokens_per_second / load.server_speed.max(1.0);
         self.needs.push_back((now, need));
-        let is_old = |at: Instant| now.saturating_duration_since(at) > PEAK_MEMORY;
+        let is_old = |at: Instant| now.saturating_duration_since(at) > PEAK_WINDOW;
         while self.needs.front().is_some_and(|(at, _)| is_old(*at)) {
             self.needs.pop_front();
         }
     }
 
-    /// Servers that would have to read all the time, at the highest of the last seconds.
+    /// Returns the peak need in its window, as a number of servers that prefill without a pause.
     pub fn peak_need(&self) -> f64 {
         self.needs
             .iter()
             .fold(0.0, |peak, (_, need)| need.max(peak))
     }
 
-    /// The same on average over the last few seconds.
+    /// Returns the mean need over the last seconds, in the same unit.
     pub fn mean_need(&self, now: Instant) -> f64 {
-        let is_new = |at: Instant| now.saturating_duration_since(at) <= MEAN_SPAN;
-        let recent = self.needs.iter().rev().take_while(|(at, _)| is_new(*at));
+        let is_recent = |at: Instant| now.saturating_duration_since(at) <= MEAN_WINDOW;
+        let recent = self.needs.iter().rev().take_while(|(at, _)| is_recent(*at));
         let (sum, count) = recent.fold((0.0, 0), |(sum, count), (_, need)| (sum + need, count + 1));
         sum / f64::from(count.max(1))
     }
 
-    /// Servers of the whole pool that a need asks for.
+    /// Returns the number of servers that the whole pool requires for a need.
     fn total(&self, need: f64, headroom: f64, floor: f64) -> u32 {
-        let standing = f64::from(self.standing) * floor;
-        (need * headroom).max(standing).ceil() as u32
+        let min_total = f64::from(self.initial_servers) * floor;
+        (need * headroom).max(min_total).ceil() as u32
     }
 }
 
@@ -263,7 +271,7 @@
         is_dry: &dyn Fn(&DataCentreId, ServerKind) -> bool,
         now: Instant,
     ) -> WantedServers {
-        self.note_need(load, now);
+        self.record_need(load, now);
         let mut wanted = WantedServers::new();
         if !self.observe(load, now) {
             return wanted;
@@ -273,34 +281,44 @@
             return wanted;
         }
         let options = self.options;
-        let has_cheap = scaling.reclaimable_price.is_some_and(|price| price < 1_000);
-        let all = self.total(self.peak_need(), options.headroom, options.floor) + load.spare();
-        let bare = self.total(
+        let has_reclaimable = scaling.reclaimable_price.is_some_and(|price| price < 1_000);
+        let total =
+            self.total(self.peak_need(), options.headroom, options.floor) + load.extra_servers();
+        let lasting_total = self.total(
             self.mean_need(now),
             options.bare_headroom,
             options.bare_floor,
-        ) + load.spare();
-        // Cheap servers that boot don't serve yet: until they do, lasting ones stay.
-        let lasting = if has_cheap {
-            bare.saturating_sub(load.reclaimable())
+        ) + load.extra_servers();
+        // Reclaimable servers that are still starting are not counted: until they serve, lasting ones stay.
+        let lasting = if has_reclaimable {
+            lasting_total.saturating_sub(load.reclaimable())
         } else {
-            all
+            total
         };
         let lasting_each = lasting.div_ceil(count).max(scaling.min).min(scaling.max);
-        // What can't be had in one data centre is ordered in the others.
-        let is_wet = |site: &&DataCentreId| !is_dry(site, ServerKind::Reclaimable);
-        let wet = u32::try_from(load.sites.keys().filter(is_wet).count()).unwrap_or(count);
-        let share = |sites: u32| all.div_ceil(sites.max(1)).min(scaling.max - scaling.min);
+        // Reclaimable servers that are unavailable in one data centre are ordered in the others.
+        let is_available = |site: &&DataCentreId| !is_dry(site, ServerKind::Reclaimable);
+        let available_count =
+            u32::try_from(load.sites.keys().filter(is_available).count()).unwrap_or(count);
+        let share = |data_centre_count: u32| {
+            total
+                .div_ceil(data_centre_count.max(1))
+                .min(scaling.max - scaling.min)
+        };
         for (site, servers) in &load.sites {
-            // Cheap servers that keep prompt parts don't give way to lasting ones that keep none.
+            // Reclaimable servers with cached prompt parts are not replaced by lasting ones with empty caches.
             let room = scaling.max - servers.reclaimable.min(scaling.max);
             let lasting = lasting_each.min(room.max(scaling.min));
             wanted.insert((site.clone(), ServerKind::Lasting), lasting);
-            if !has_cheap {
+            if !has_reclaimable {
                 continue;
             }
-            let sites = if is_wet(&site) { wet } else { count };
-            let each = share(sites).min(scaling.max - lasting);
+            let data_centre_count = if is_available(&site) {
+                available_count
+            } else {
+                count
+            };
+            let each = share(data_centre_count).min(scaling.max - lasting);
             wanted.insert((site.clone(), ServerKind::Reclaimable), each);
         }
         wanted
--- a/crates/plumgate/src/duty/seat.rs
+++ b/crates/plumgate/src/duty/seat.rs
@@ -1,4 +1,4 @@
-//! One node's part in the duties: the lease, the reports, and what may be sent now.
+//! Coordination of the duties on one node: the lease, the usage reports, and what may be sent now.
 
 use std::time::Duration;
 
@@ -9,27 +9,27 @@
 use super::usage::{UsageCounts, UsageReport};
 use crate::store_version::StoreEra;
 
-/// How the duties are done.
+/// Options of the duties on one node.
 #[derive(Clone, Debug)]
 pub struct SeatOptions {
-    /// This node's incarnation.
+    /// Identity of this node.
     pub own: DutyIdentity,
-    /// The times of the lease.
+    /// Durations of the lease.
     pub lease: DutyTimes,
-    /// The times of the reports.
+    /// Durations of the reports.
     pub reports: ReportTimes,
 }
 
-/// One moment on the clocks that duties go by.
+/// One moment on the two clocks that the duties use.
 #[derive(Clone, Copy, Debug)]
 pub struct SeatMoment {
     /// Time since the VM started, suspension included.
     pub boot: Duration,
-    /// The time of day that the nodes agree on.
+    /// Time of day that the nodes agree on.
     pub unix: UnixMillis,
 }
 
-/// One node's part in the duties.
+/// Combines the lease and the usage reports of one node.
 #[derive(Debug)]
 pub struct DutySeat {
     holder: DutyHolder,
@@ -37,7 +37,7 @@
 }
 
 impl DutySeat {
-    /// A node that holds no duty.
+    /// Creates the state of a node that does not hold the lease.
     pub fn new(options: SeatOptions) -> Self {
         Self {
             holder: DutyHolder::new(options.own, options.lease),
@@ -45,23 +45,23 @@
         }
     }
 
-    /// The lease.
+    /// Returns this node's side of the lease.
     pub fn holder(&self) -> &DutyHolder {
         &self.holder
     }
 
-    /// The reports.
+    /// Returns the state of the reports.
     pub fn desk(&self) -> &ReportDesk {
         &self.desk
     }
 
-    /// The reports, to take what is to be logged.
+    /// Returns the state of the reports for draining what is to be logged.
     pub fn desk_mut(&mut self) -> &mut ReportDesk {
         &mut self.desk
     }
 
-    /// What to ask the store next; for a node that should hold the duties. `counts` gives those of a window, and
-    /// whether they are whole.
+    /// Returns the next call to the store, if one is due. Only a node that should hold the duties calls this.
+    /// `counts` returns the counts of a window and whether they are complete.
     pub fn tick(
         &mut self,
         counts: impl FnMut(WindowId) -> (UsageCounts, bool),
@@ -78,47 +78,47 @@
         self.holder.tick(&contents, inherit, moment.boot)
     }
 
-    /// The store answered.
+    /// Applies the answer of the store to the last call and returns what changed about the lease.
     pub fn apply(&mut self, answer: DutyAnswer, now: Duration) -> Vec<HolderEvent> {
         self.holder.apply(answer, now);
         self.take_events()
     }
 
-    /// Another answer of the store told its era.
-    pub fn note_era(&mut self, era: StoreEra, now: Duration) -> Vec<HolderEvent> {
-        self.holder.note_era(era, now);
+    /// Records the era of the store from another of its answers and returns what changed about the lease.
+    pub fn record_era(&mut self, era: StoreEra, now: Duration) -> Vec<HolderEvent> {
+        self.holder.record_era(era, now);
         self.take_events()
     }
 
     fn take_events(&mut self) -> Vec<HolderEvent> {
         let events = self.holder.take_events();
         for event in &events {
-            // Whoever held the duties all the while knows more than the row.
+            // After a continuous tenure the state in memory is newer than the row.
             if let HolderEvent::Taken {
                 is_continued: false,
                 ..
             } = event
                 && let Some(contents) = self.holder.confirmed()
             {
-                self.desk.begin(contents);
+                self.desk.restore(contents);
             }
         }
         events
     }
 
-    /// The number under which this node may act now.
+    /// Returns the credential for calls to the duty API, or `None` if this node may not make any now.
     pub fn credential(&self, now: Duration) -> Option<DutyCredential> {
         self.holder.credential(now)
     }
 
-    /// The next report that may be sent now.
+    /// Returns the next report that may be sent now, with the credential for it.
     pub fn next_report(&self, moment: SeatMoment) -> Option<(DutyCredential, UsageReport)> {
         let credential = self.credential(moment.boot)?;
-        let noted = self.holder.confirmed()?;
-        Some((credential, self.desk.next(noted, moment.unix)?))
+        let recorded = self.holder.confirmed()?;
+        Some((credential, self.desk.next(recorded, moment.unix)?))
     }
 
-    /// The party took a report.
+    /// Records that the duty API accepted the report for a window.
     pub fn note_sent(&mut self, window: WindowId, unix: UnixMillis) {
         self.desk.note_sent(window, unix);
     }
--- a/crates/plumgate/src/duty/usage.rs
+++ b/crates/plumgate/src/duty/usage.rs
@@ -1,10 +1,10 @@
-//! How many requests of each workspace began at servers, by window: counted by each node, told to its collector,
-//! added up by data centre.
+//! Counts of the requests of each workspace that began at backend servers, by window. Each node counts its own
+//! requests and reports them to its collector, which sums them up for its data centre.
 //!
-//! Counts only rise, so that of two that were told of the same thing the larger one is right: what is heard twice,
-//! late or in another order changes nothing. A node's counts bear its incarnation, as it begins at zero
-//! after a restart. A data centre's sums are told by its collector to the others, who tell them on:
-//! what a collector knew that ended is known elsewhere.
+//! Counts only grow, so the larger of two values of the same count is right, and updates that are repeated, late
+//! or out of order do no harm. The counts of a node carry its incarnation, since it starts at zero after a
+//! restart. A collector sends the sums of its data centre to the other collectors, which forward them: the sums
+//! survive the collector's crash.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -16,38 +16,39 @@
 use super::report_desk::{ReportTimes, WindowId};
 use crate::ids::{DataCentreId, NodeId};
 
-/// Counts in one message: some 8 bytes each, so that it fits into one packet of the network.
-const COUNTS_MOST: usize = 120;
-/// Time between two tellings.
-const TELL_PAUSE: Duration = Duration::from_millis(500);
-/// How long after its beginning a run is counted at the latest, in milliseconds: a stream shows by its second event
-/// when it began.
+/// Maximum number of counts in one message. A count takes about 8 bytes, and the message has to fit into one
+/// network packet.
+const MAX_COUNTS_PER_MESSAGE: usize = 120;
+/// Interval between two transmissions of the counts.
+const SEND_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum delay between the beginning of a run and its count, in milliseconds: for a stream, its second event
+/// shows when it began.
 const COUNT_LAG: UnixMillis = 300;
-/// Tellings after which all is told again, changed or not: what got lost is mended within that.
-const RETELL_ROUNDS: u32 = 4;
-/// How long a node is waited for that was heard before: it may be cut off, or start again.
-const MEMBER_PATIENCE: Duration = Duration::from_secs(8);
+/// Number of transmissions after which all counts are sent again, changed or not, to make up for lost messages.
+const FULL_SEND_ROUNDS: u32 = 4;
+/// Time for which the counts of a silent node are waited for: it may be disconnected or restarting.
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The short name of a workspace among nodes.
+/// Digest of a workspace name, used in messages between nodes.
 type WorkspaceKey = u32;
 /// Counts by workspace.
 type KeyCounts = BTreeMap<WorkspaceKey, u64>;
 /// Counts by window and workspace.
 type WindowCounts = BTreeMap<WindowId, KeyCounts>;
 
-/// Requests that began, by the name of the workspace.
+/// Number of requests that began, by workspace name.
 pub type UsageCounts = BTreeMap<String, u64>;
 
-/// A report.
+/// Usage report to the duty API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// The window.
+    /// Window of the report.
     pub window: WindowId,
-    /// Requests that began in it.
+    /// Requests that began in the window.
     pub counts: UsageCounts,
 }
 
-/// The digest of a workspace's name.
+/// Returns the digest of a workspace name.
 pub fn workspace_key(workspace: &str) -> u32 {
     xxh3_64(workspace.as_bytes()) as u32
 }
@@ -59,103 +60,104 @@
     counts: Vec<(WorkspaceKey, u64)>,
 }
 
-/// What nodes tell each other.
+/// Message with usage counts from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UsageNews {
-    /// A node tells its collector its own counts.
+    /// Counts of a node itself, for its collector.
     Own {
-        /// The node's incarnation.
+        /// Incarnation of the node.
         incarnation: u64,
-        /// The time of day up to which the counts hold, once all were told.
+        /// Time of day up to which the counts are complete; set in the last message of a transmission.
         as_of: Option<UnixMillis>,
-        /// The counts.
+        /// Counts by window.
         rows: Vec<WindowRowNews>,
     },
-    /// A collector tells another one the sums of a data centre.
+    /// Sums of a data centre, from one collector to another.
     Centre {
-        /// The data centre.
+        /// Name of the data centre.
         data_centre: String,
-        /// The time of day up to which all its nodes have told.
+        /// Time of day up to which the counts of all its nodes are included; set in the last message of a
+        /// transmission.
         as_of: Option<UnixMillis>,
-        /// The sums.
+        /// Sums by window.
         rows: Vec<WindowRowNews>,
     },
 }
 
-/// Counts of one window, as nodes tell them.
+/// Counts of one window in a [`UsageNews`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowRowNews(pub(crate) WindowRow);
 
-/// What a node counts itself. The traffic thread counts, the control thread tells.
+/// Counts of this node itself. The traffic thread counts, and the control thread sends the counts.
 #[derive(Debug, Default)]
 pub struct UsageTally {
     windows: WindowCounts,
 }
 
 impl UsageTally {
-    /// A request of a workspace began at a server.
+    /// Counts a request of a workspace that began at a backend server.
     pub fn note(&mut self, workspace: &str, window: WindowId) {
         let counts = self.windows.entry(window).or_default();
         *counts.entry(workspace_key(workspace)).or_default() += 1;
     }
 
-    /// Drops windows before one.
+    /// Drops the windows before `window`.
     fn drop_before(&mut self, window: WindowId) {
         self.windows = self.windows.split_off(&window);
     }
 }
 
-/// What was told of one data centre.
+/// Sums of one data centre.
 #[derive(Debug, Default)]
-struct CentreUsage {
+struct DataCentreUsage {
     windows: WindowCounts,
     as_of: UnixMillis,
 }
 
-/// What a collector heard of one node of its data centre.
+/// Counts that a collector received from one node of its data centre.
 #[derive(Debug, Default)]
 struct MemberUsage {
     by_incarnation: HashMap<u64, WindowCounts>,
     as_of: UnixMillis,
-    heard_at: Duration,
+    received_at: Duration,
 }
 
-/// What goes out in small parts.
+/// Counts to be sent, split into messages of limited size.
 #[derive(Debug, Default)]
-struct TellQueue {
-    told: BTreeMap<(Option<DataCentreId>, WindowId, WorkspaceKey), u64>,
-    waiting: Vec<(Option<DataCentreId>, WindowId, WorkspaceKey, u64)>,
-    /// The times up to which the counts hold once the queue is empty.
+struct SendQueue {
+    sent: BTreeMap<(Option<DataCentreId>, WindowId, WorkspaceKey), u64>,
+    pending: Vec<(Option<DataCentreId>, WindowId, WorkspaceKey, u64)>,
+    /// Times up to which the counts are complete once the queue is empty.
     as_of: BTreeMap<Option<DataCentreId>, UnixMillis>,
     next_at: Duration,
     rounds: u32,
 }
 
-/// What one node knows of usage.
+/// Usage counts known to one node.
 #[derive(Debug)]
 pub struct UsageBook {
-    own_centre: DataCentreId,
+    own_data_centre: DataCentreId,
     incarnation: u64,
     times: ReportTimes,
     members: HashMap<NodeId, MemberUsage>,
-    centres: BTreeMap<DataCentreId, CentreUsage>,
-    queue: TellQueue,
+    data_centres: BTreeMap<DataCentreId, DataCentreUsage>,
+    queue: SendQueue,
 }
 
 impl UsageBook {
-    /// A node of a data centre that has heard nothing.
-    pub fn new(own_centre: DataCentreId, incarnation: u64, times: ReportTimes) -> Self {
+    /// Creates an empty table for a node of a data centre.
+    pub fn new(own_data_centre: DataCentreId, incarnation: u64, times: ReportTimes) -> Self {
         Self {
-            own_centre,
+            own_data_centre,
             incarnation,
             times,
             members: HashMap::new(),
-            centres: BTreeMap::new(),
-            queue: TellQueue::default(),
+            data_centres: BTreeMap::new(),
+            queue: SendQueue::default(),
         }
     }
 
-    /// The oldest window that may still be reported.
+    /// Returns the oldest window that may still be reported.
     fn oldest(&self, unix: UnixMillis) -> WindowId {
         let late = u64::try_from(self.times.late.as_millis()).unwrap_or(u64::MAX);
         self.times
@@ -163,7 +165,7 @@
             .saturating_sub(1)
     }
 
-    /// What was heard of a node or a data centre.
+    /// Merges counts received from another node.
     pub fn hear(&mut self, node: &NodeId, news: UsageNews, boot: Duration) {
         match news {
             UsageNews::Own {
@@ -175,36 +177,39 @@
                 let windows = member.by_incarnation.entry(incarnation).or_default();
                 merge_rows(windows, &rows);
                 member.as_of = member.as_of.max(as_of.unwrap_or_default());
-                member.heard_at = boot;
+                member.received_at = boot;
             }
             UsageNews::Centre {
                 data_centre,
                 as_of,
                 rows,
             } => {
-                let centre = self.centres.entry(data_centre.as_str().into()).or_default();
-                merge_rows(&mut centre.windows, &rows);
-                centre.as_of = centre.as_of.max(as_of.unwrap_or_default());
+                let usage = self
+                    .data_centres
+                    .entry(data_centre.as_str().into())
+                    .or_default();
+                merge_rows(&mut usage.windows, &rows);
+                usage.as_of = usage.as_of.max(as_of.unwrap_or_default());
             }
         }
     }
 
-    /// Another node listens, which has heard nothing: all is told again at once. Told in its turn, it came too late for
+    /// Sends all counts again at once, for a new receiver. The regular full transmission would come too late for
     /// the windows that a new holder reports first.
     pub fn tell_all(&mut self) {
-        self.queue.told.clear();
+        self.queue.sent.clear();
         self.queue.next_at = Duration::ZERO;
     }
 
-    /// Adds up this data centre; for a node that collects.
+    /// Updates the sums of this data centre; only a collector does this, or a node that knows no other.
     pub fn add_up(&mut self, tally: &UsageTally, unix: UnixMillis, boot: Duration) {
         let oldest = self.oldest(unix);
         let mut sums: WindowCounts = tally.windows.clone();
         let mut as_of = unix.saturating_sub(COUNT_LAG);
         self.members
-            .retain(|_, member| boot.saturating_sub(member.heard_at) < MEMBER_PATIENCE * 4);
+            .retain(|_, member| boot.saturating_sub(member.received_at) < MEMBER_TIMEOUT * 4);
         for member in self.members.values_mut() {
-            if boot.saturating_sub(member.heard_at) < MEMBER_PATIENCE {
+            if boot.saturating_sub(member.received_at) < MEMBER_TIMEOUT {
                 as_of = as_of.min(member.as_of);
             }
             for windows in member.by_incarnation.values_mut() {
@@ -220,29 +225,32 @@
                 .by_incarnation
                 .retain(|_, windows| !windows.is_empty());
         }
-        let centre = self.centres.entry(self.own_centre.clone()).or_default();
+        let data_centre = self
+            .data_centres
+            .entry(self.own_data_centre.clone())
+            .or_default();
         for (window, counts) in sums {
-            let known = centre.windows.entry(window).or_default();
+            let known = data_centre.windows.entry(window).or_default();
             for (key, count) in counts {
-                raise(known, key, count);
+                raise_count(known, key, count);
             }
         }
-        centre.as_of = centre.as_of.max(as_of);
+        data_centre.as_of = data_centre.as_of.max(as_of);
     }
 
-    /// Forgets what can't be reported any more.
+    /// Drops the windows that can no longer be reported.
     pub fn tick(&mut self, tally: &mut UsageTally, unix: UnixMillis) {
         let oldest = self.oldest(unix);
         tally.drop_before(oldest);
-        for centre in self.centres.values_mut() {
-            centre.windows = centre.windows.split_off(&oldest);
+        for data_centre in self.data_centres.values_mut() {
+            data_centre.windows = data_centre.windows.split_off(&oldest);
         }
         self.queue
-            .told
+            .sent
             .retain(|(_, window, _), _| *window >= oldest);
     }
 
-    /// What this node tells its collector in this round.
+    /// Returns the messages with this node's counts for its collector in this round.
     pub fn own_news(
         &mut self,
         tally: &UsageTally,
@@ -250,14 +258,14 @@
         boot: Duration,
     ) -> Vec<UsageNews> {
         if self.queue.is_due(boot) {
-            let entries = each_count(None, &tally.windows);
+            let entries = list_counts(None, &tally.windows);
             self.queue
                 .begin(entries, BTreeMap::from([(None, unix)]), boot);
         }
         let incarnation = self.incarnation;
-        // What is left of a time as a collector is not this node's own.
+        // Sums may remain in the queue from a time when this node was a collector.
         let parts = self.queue.next_parts().into_iter();
-        let own = parts.filter(|(centre, ..)| centre.is_none());
+        let own = parts.filter(|(data_centre, ..)| data_centre.is_none());
         let own = own.map(|(_, rows, as_of)| UsageNews::Own {
             incarnation,
             as_of,
@@ -266,49 +274,49 @@
         own.collect()
     }
 
-    /// What this collector tells the others in this round.
+    /// Returns the messages with the sums of all known data centres for the other collectors in this round.
     pub fn centre_news(&mut self, boot: Duration) -> Vec<UsageNews> {
         if self.queue.is_due(boot) {
             let mut entries = Vec::new();
             let mut as_of = BTreeMap::new();
-            for (name, centre) in &self.centres {
-                entries.extend(each_count(Some(name.clone()), &centre.windows));
-                as_of.insert(Some(name.clone()), centre.as_of);
+            for (name, data_centre) in &self.data_centres {
+                entries.extend(list_counts(Some(name.clone()), &data_centre.windows));
+                as_of.insert(Some(name.clone()), data_centre.as_of);
             }
             self.queue.begin(entries, as_of, boot);
         }
         let parts = self.queue.next_parts();
-        let centres = parts.into_iter().filter_map(|(centre, rows, as_of)| {
+        let data_centres = parts.into_iter().filter_map(|(data_centre, rows, as_of)| {
             Some(UsageNews::Centre {
-                data_centre: centre?.to_string(),
+                data_centre: data_centre?.to_string(),
                 as_of,
                 rows,
             })
         });
-        centres.collect()
+        data_centres.collect()
     }
 
-    /// The counts of a window by the names of these workspaces, and whether all of these data centres
-    /// have told theirs since its end.
+    /// Returns the counts of a window for `workspaces`, and whether they include everything that the given data
+    /// centres counted up to the end of the window.
     pub fn counts<'a>(
         &self,
         window: WindowId,
         workspaces: impl Iterator<Item = &'a str>,
-        centres: &[DataCentreId],
+        data_centres: &[DataCentreId],
     ) -> (UsageCounts, bool) {
         let end = self.times.end(window);
-        let is_whole = centres.iter().all(|centre| {
-            let known = self.centres.get(centre);
+        let is_whole = data_centres.iter().all(|data_centre| {
+            let known = self.data_centres.get(data_centre);
             known.is_some_and(|known| known.as_of >= end)
         });
         let mut counts = UsageCounts::new();
         for workspace in workspaces {
             let key = workspace_key(workspace);
-            let of_centres = self.centres.values().filter_map(|centre| {
-                let counts = centre.windows.get(&window)?;
+            let of_data_centres = self.data_centres.values().filter_map(|data_centre| {
+                let counts = data_centre.windows.get(&window)?;
                 counts.get(&key).copied()
             });
-            let sum: u64 = of_centres.sum();
+            let sum: u64 = of_data_centres.sum();
             if sum > 0 {
                 counts.insert(workspace.to_owned(), sum);
             }
@@ -316,29 +324,33 @@
         (counts, is_whole)
     }
 
-    /// How many counts are held, for metrics.
+    /// Returns the number of counts in the table, for metrics.
     pub fn len(&self) -> usize {
         let of_members = self
             .members
             .values()
             .flat_map(|m| m.by_incarnation.values());
-        let of_centres = self.centres.values().map(|centre| &centre.windows);
-        let windows = of_members.chain(of_centres);
+        let of_data_centres = self
+            .data_centres
+            .values()
+            .map(|data_centre| &data_centre.windows);
+        let windows = of_members.chain(of_data_centres);
         windows.flat_map(BTreeMap::values).map(BTreeMap::len).sum()
     }
 
-    /// Whether nothing is known.
+    /// Tells whether there are no counts.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A part of a telling: the data centre, the counts, and up to when they hold if it is the last one.
-type TellPart = (Option<DataCentreId>, Vec<WindowRowNews>, Option<UnixMillis>);
+/// Part of a transmission: the data centre, the counts, and in the last part the time up to which they are
+/// complete.
+type SendPart = (Option<DataCentreId>, Vec<WindowRowNews>, Option<UnixMillis>);
 
-impl TellQueue {
+impl SendQueue {
     fn is_due(&self, boot: Duration) -> bool {
-        self.waiting.is_empty() && boot >= self.next_at
+        self.pending.is_empty() && boot >= self.next_at
     }
 
     fn begin(
@@ -347,32 +359,33 @@
         as_of: BTreeMap<Option<DataCentreId>, UnixMillis>,
         boot: Duration,
     ) {
-        self.next_at = boot + TELL_PAUSE;
+        self.next_at = boot + SEND_INTERVAL;
         self.rounds += 1;
-        if self.rounds.is_multiple_of(RETELL_ROUNDS) {
-            self.told.clear();
+        if self.rounds.is_multiple_of(FULL_SEND_ROUNDS) {
+            self.sent.clear();
         }
         self.as_of = as_of;
-        for (centre, window, key, count) in entries {
-            let place = (centre.clone(), window, key);
-            if self.told.insert(place, count) != Some(count) {
-                self.waiting.push((centre, window, key, count));
+        for (data_centre, window, key, count) in entries {
+            let entry = (data_centre.clone(), window, key);
+            if self.sent.insert(entry, count) != Some(count) {
+                self.pending.push((data_centre, window, key, count));
             }
         }
-        // Sorted, so that what belongs to one data centre and one window goes together.
-        self.waiting.sort_unstable_by(|one, other| other.cmp(one));
+        // Sorted, so that the counts of one data centre and window are adjacent.
+        self.pending.sort_unstable_by(|one, other| other.cmp(one));
     }
 
-    /// The next packet's worth. The last part of each data centre says up to when its counts hold.
-    fn next_parts(&mut self) -> Vec<TellPart> {
-        let mut parts: Vec<TellPart> = Vec::new();
-        for _ in 0..COUNTS_MOST {
-            let Some((centre, window, key, count)) = self.waiting.pop() else {
+    /// Takes the parts for the next message. The last part of a data centre has the time up to which its counts
+    /// are complete.
+    fn next_parts(&mut self) -> Vec<SendPart> {
+        let mut parts: Vec<SendPart> = Vec::new();
+        for _ in 0..MAX_COUNTS_PER_MESSAGE {
+            let Some((data_centre, window, key, count)) = self.pending.pop() else {
                 break;
             };
-            let starts = parts.last().is_none_or(|(last, ..)| *last != centre);
+            let starts = parts.last().is_none_or(|(last, ..)| *last != data_centre);
             if starts {
-                parts.push((centre, Vec::new(), None));
+                parts.push((data_centre, Vec::new(), None));
             }
             let Some((_, rows, _)) = parts.last_mut() else {
                 break;
@@ -385,12 +398,12 @@
                 })),
             }
         }
-        if self.waiting.is_empty() {
-            for (centre, as_of) in std::mem::take(&mut self.as_of) {
-                let part = parts.iter_mut().find(|(name, ..)| *name == centre);
+        if self.pending.is_empty() {
+            for (data_centre, as_of) in std::mem::take(&mut self.as_of) {
+                let part = parts.iter_mut().find(|(name, ..)| *name == data_centre);
                 match part {
                     Some((.., whole)) => *whole = Some(as_of),
-                    None => parts.push((centre, Vec::new(), Some(as_of))),
+                    None => parts.push((data_centre, Vec::new(), Some(as_of))),
                 }
             }
         }
@@ -398,14 +411,14 @@
     }
 }
 
-fn each_count(
-    centre: Option<DataCentreId>,
+fn list_counts(
+    data_centre: Option<DataCentreId>,
     windows: &WindowCounts,
 ) -> Vec<(Option<DataCentreId>, WindowId, WorkspaceKey, u64)> {
     let each = windows.iter().flat_map(|(window, counts)| {
-        let centre = centre.clone();
+        let data_centre = data_centre.clone();
         let each = counts.iter();
-        each.map(move |(key, count)| (centre.clone(), *window, *key, *count))
+        each.map(move |(key, count)| (data_centre.clone(), *window, *key, *count))
     });
     each.collect()
 }
@@ -414,12 +427,12 @@
     for WindowRowNews(row) in rows {
         let known = windows.entry(row.window).or_default();
         for (key, count) in &row.counts {
-            raise(known, *key, *count);
+            raise_count(known, *key, *count);
         }
     }
 }
 
-fn raise(counts: &mut KeyCounts, key: WorkspaceKey, count: u64) {
+fn raise_count(counts: &mut KeyCounts, key: WorkspaceKey, count: u64) {
     let known = counts.entry(key).or_default();
     *known = (*known).max(count);
 }
