--- a/crates/plumgate/src/dispatch/dispatcher.rs
+++ b/crates/plumgate/src/dispatch/dispatcher.rs
@@ -1,4 +1,5 @@
-//! Joins queue, limits and routes: takes events about requests and answers with actions.
+//! State machine that combines queues, limits and routes: it receives events about requests and
+//! returns the actions to carry out.
 
 mod load;
 mod preempt;
@@ -17,24 +18,25 @@
 use crate::retry::RetryBudget;
 use crate::route::{HIGHEST_RANK, RouteChoice, RouteOptions, RouteTable};
 
-/// Shortest time after which a refused caller is told to come back.
-const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Longest time after which a refused caller is told to come back.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// Share of its target that a request waits for a slot to free before another gives way.
+/// Shortest retry delay that a refused caller is given.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Longest retry delay that a refused caller is given.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+/// Share of its latency target that a request may be predicted to wait for a slot before a running
+/// request of a lower tier is preempted.
 const PREEMPT_AFTER_SHARE: f64 = 0.5;
 
-/// What the dispatcher depends on besides the fleet.
+/// Options of the dispatcher that are not part of the fleet configuration.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchOptions {
-    /// How a server is chosen.
+    /// Options for the choice of a server.
     pub route: RouteOptions,
-    /// In which order requests are served.
+    /// Order in which waiting requests are served.
     pub queue: QueuePolicy,
 }
 
 impl DispatchOptions {
-    /// Options with these for the choice of a server.
+    /// Creates options with the given route options and the default queue policy.
     pub fn new(route: RouteOptions) -> Self {
         Self {
             route,
@@ -42,49 +44,50 @@
         }
     }
 
-    /// The same with an order of service.
+    /// Sets the queue policy.
     pub fn with_queue(mut self, queue: QueuePolicy) -> Self {
         self.queue = queue;
         self
     }
 }
 
-/// How an attempt on a server ended.
+/// Outcome of an attempt on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer came whole.
+    /// The complete answer was received.
     Answered {
-        /// The time from sending to the first token.
+        /// Time from sending the request to the first token.
         to_first: Duration,
-        /// The time from sending to the end.
+        /// Time from sending the request to the end of the answer.
         to_end: Duration,
-        /// The tokens of the answer.
+        /// Number of tokens in the answer.
         tokens: u32,
     },
-    /// No new connection came about, or one broke before the head of the answer.
+    /// No connection could be opened, or it broke before the response head arrived.
     ConnectionFailed,
-    /// The server refused the request; it is full or leaving.
+    /// The server refused the request because it is full or leaving.
     Refused {
-        /// Whether the server says that it is leaving.
+        /// Whether the server reported that it is leaving.
         leaving: bool,
     },
-    /// The attempt was given up for a reason that says nothing about the server.
+    /// The attempt was abandoned for a reason that says nothing about the server's health.
     GivenUp,
 }
 
-/// A request on a server.
+/// Request that is running on a server.
 #[derive(Debug)]
 struct RunningRequest {
     ticket: RequestTicket,
     server: ServerId,
     started: Instant,
-    /// Whether cancelling it loses nothing that its caller already has.
+    /// Whether the request may be cancelled: the caller has received no part of the answer yet, the
+    /// request is idempotent, and it was not started by its tier's floor.
     preemptible: bool,
-    /// Whether it was asked to give way.
+    /// Whether preemption of the request was requested.
     giving_way: bool,
 }
 
-/// All requests of one node that wait or run.
+/// Queues and running requests of one node.
 #[derive(Debug)]
 pub struct Dispatcher {
     options: DispatchOptions,
@@ -93,16 +96,17 @@
     limits: LimitTable,
     budget: RetryBudget,
     queues: BTreeMap<PoolId, PoolQueue>,
-    pool_of: HashMap<RequestId, PoolId>,
+    pools_by_request: HashMap<RequestId, PoolId>,
     running: HashMap<RequestId, RunningRequest>,
-    held: BTreeMap<PoolId, BTreeMap<WorkspaceId, usize>>,
-    times: BTreeMap<PoolId, ServiceTime>,
+    running_counts: BTreeMap<PoolId, BTreeMap<WorkspaceId, usize>>,
+    service_times: BTreeMap<PoolId, ServiceTime>,
     floors: BTreeMap<TierRank, f64>,
     stopping: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher without a configuration; it refuses everything.
+    /// Creates a dispatcher without a configuration; it refuses every request until
+    /// [`set_config`](Self::set_config) is called.
     pub fn new(options: DispatchOptions) -> Self {
         Self {
             routes: RouteTable::new(options.route.clone()),
@@ -111,16 +115,16 @@
             limits: LimitTable::new(),
             budget: RetryBudget::new(0.0),
             queues: BTreeMap::new(),
-            pool_of: HashMap::new(),
+            pools_by_request: HashMap::new(),
             running: HashMap::new(),
-            held: BTreeMap::new(),
-            times: BTreeMap::new(),
+            running_counts: BTreeMap::new(),
+            service_times: BTreeMap::new(),
             floors: BTreeMap::new(),
             stopping: false,
         }
     }
 
-    /// Takes over a new version of the configuration.
+    /// Applies a new version of the configuration and starts requests that it makes room for.
     pub fn set_config(&mut self, config: Arc<FleetConfig>, now: Instant) -> Vec<DispatchAction> {
         self.budget.set_share(config.rules.retry_share);
         let tiers = config.rules.tiers.values();
@@ -133,8 +137,8 @@
         self.dispatch_all(now)
     }
 
-    /// Says which nodes share the servers and the limits, this one included, and how long what
-    /// they tell counts.
+    /// Sets the nodes, this one included, that share the servers and the limits, and how long their
+    /// reports on the limits stay valid.
     pub fn set_nodes(&mut self, groups: SharingNodes, lifetime: Duration) {
         self.limits
             .set_nodes(groups.values().map(|group| group.nodes.len()).sum());
@@ -142,22 +146,22 @@
         self.routes.set_nodes(groups);
     }
 
-    /// The servers as this node sees them.
+    /// Returns this node's view of the servers.
     pub fn routes(&self) -> &RouteTable {
         &self.routes
     }
 
-    /// The servers as this node sees them, to fold in what others tell.
+    /// Returns this node's view of the servers, to apply reports from servers and other nodes.
     pub fn routes_mut(&mut self) -> &mut RouteTable {
         &mut self.routes
     }
 
-    /// The workspace limits, to fold in what others tell.
+    /// Returns the workspace limits, to apply reports from other nodes.
     pub fn limits_mut(&mut self) -> &mut LimitTable {
         &mut self.limits
     }
 
-    /// Refuses new requests from now on, and those that wait.
+    /// Refuses all waiting requests, and all new ones from now on.
     pub fn stop(&mut self) -> Vec<DispatchAction> {
         self.stopping = true;
         let waiting: Vec<RequestTicket> = self
@@ -165,39 +169,38 @@
             .values_mut()
             .flat_map(PoolQueue::drain)
             .collect();
-        let refuse = |ticket: RequestTicket| {
-            self.refuse(&ticket, RefusalReason::Stopping, SHORTEST_RETRY_AFTER)
-        };
+        let refuse =
+            |ticket: RequestTicket| self.refuse(&ticket, RefusalReason::Stopping, MIN_RETRY_AFTER);
         waiting.into_iter().map(refuse).collect()
     }
 
-    /// A new request came.
+    /// Admits, queues or refuses a new request and starts what can start.
     pub fn submit(&mut self, ticket: RequestTicket, now: Instant) -> Vec<DispatchAction> {
-        if let Some(refusal) = self.refuse_at_once(&ticket, now) {
+        if let Some(refusal) = self.check_admission(&ticket, now) {
             return vec![refusal];
         }
         self.budget.earn();
         let mut actions = self.enqueue(ticket.clone(), now);
         actions.extend(self.dispatch(&ticket.pool, now));
         if self.is_waiting(&ticket.id) {
-            actions.push(self.queued(&ticket));
-            actions.extend(self.make_room(&ticket, now));
+            actions.push(self.queued_action(&ticket));
+            actions.extend(self.preempt_if_needed(&ticket, now));
         }
         actions
     }
 
-    fn queued(&self, ticket: &RequestTicket) -> DispatchAction {
+    fn queued_action(&self, ticket: &RequestTicket) -> DispatchAction {
         let queue = self.queues.get(&ticket.pool);
-        let before = queue.map_or(0, |queue| queue.ahead_of(ticket.rank, ticket.due));
+        let ahead = queue.map_or(0, |queue| queue.count_ahead(ticket.rank, ticket.due));
         DispatchAction::Queued {
             request: ticket.id.clone(),
-            ahead: before.saturating_sub(1),
+            ahead: ahead.saturating_sub(1),
         }
     }
 
-    fn refuse_at_once(&mut self, ticket: &RequestTicket, now: Instant) -> Option<DispatchAction> {
+    fn check_admission(&mut self, ticket: &RequestTicket, now: Instant) -> Option<DispatchAction> {
         if self.stopping {
-            return Some(self.refuse(ticket, RefusalReason::Stopping, SHORTEST_RETRY_AFTER));
+            return Some(self.refuse(ticket, RefusalReason::Stopping, MIN_RETRY_AFTER));
         }
         if !self.routes.has_servers(&ticket.pool, now) {
             return Some(self.refuse(ticket, RefusalReason::NoServer, Duration::from_secs(1)));
@@ -216,22 +219,23 @@
             .map(|pause| self.refuse(ticket, RefusalReason::RateLimit, pause))
     }
 
-    /// Puts a request into its queue.
+    /// Adds a request to its queue, or refuses it.
     ///
-    /// Each tier has places of its own, so that a flood of one tier never leaves another
-    /// without any: what waits in a lower tier takes nothing from a higher one.
+    /// The queue length limit applies to each tier separately, so that a flood of requests of one tier
+    /// never takes up the queue of another.
     fn enqueue(&mut self, ticket: RequestTicket, now: Instant) -> Vec<DispatchAction> {
-        let most = self
+        let max_length = self
             .config
             .as_ref()
             .map_or(0, |config| config.rules.queue_length);
-        if self.waiting_of(ticket.rank) >= most {
+        if self.waiting_at_rank(ticket.rank) >= max_length {
             return vec![self.refuse_with_wait(&ticket, RefusalReason::QueueFull)];
         }
-        if let Some(refusal) = self.refuse_hopeless(&ticket, now) {
+        if let Some(refusal) = self.check_predicted_wait(&ticket, now) {
             return vec![refusal];
         }
-        self.pool_of.insert(ticket.id.clone(), ticket.pool.clone());
+        self.pools_by_request
+            .insert(ticket.id.clone(), ticket.pool.clone());
         self.queues
             .entry(ticket.pool.clone())
             .or_default()
@@ -239,10 +243,10 @@
         Vec::new()
     }
 
-    /// Refuses a request at once that would only wait to be refused later.
-    fn refuse_hopeless(&self, ticket: &RequestTicket, now: Instant) -> Option<DispatchAction> {
-        // A request is never refused while others of a lower tier hold room that it could use:
-        // they give way instead.
+    /// Refuses a request whose predicted wait exceeds the time that it may wait.
+    fn check_predicted_wait(&self, ticket: &RequestTicket, now: Instant) -> Option<DispatchAction> {
+        // A request is never refused while requests of a lower tier occupy slots that it could use:
+        // those are preempted instead.
         if self.holds_below(&ticket.pool, ticket.rank, now) {
             return None;
         }
@@ -253,33 +257,37 @@
         Some(self.refuse(ticket, RefusalReason::WaitTooLong, wait))
     }
 
-    /// Whether requests of a lower tier run here or, by what they tell, on other nodes.
+    /// Returns whether requests of a lower tier run on this node or, by their reports, on other nodes.
     fn holds_below(&self, pool: &PoolId, rank: TierRank, now: Instant) -> bool {
         self.victims(pool, rank).next().is_some() || self.routes.peers_hold_below(pool, rank, now)
     }
 
-    /// How long a request would wait behind those that go first.
+    /// Predicts how long a request waits behind those that are served first.
+    ///
+    /// Returns `None` if none is ahead of it or no service time is known yet.
     fn predicted_wait(&self, ticket: &RequestTicket) -> Option<Duration> {
         let queue = self.queues.get(&ticket.pool)?;
-        let ahead = queue.ahead_of(ticket.rank, ticket.due);
+        let ahead = queue.count_ahead(ticket.rank, ticket.due);
         if ahead == 0 {
             return None;
         }
         let running = self
-            .held
+            .running_counts
             .get(&ticket.pool)
-            .map_or(0, |held| held.values().sum());
-        self.times.get(&ticket.pool)?.wait_behind(ahead, running)
+            .map_or(0, |counts| counts.values().sum());
+        self.service_times
+            .get(&ticket.pool)?
+            .predicted_wait(ahead, running)
     }
 
-    /// Serves waiting requests of a pool for as long as there is room.
+    /// Starts waiting requests of a pool until no server has a free slot for the next one.
     pub fn dispatch(&mut self, pool: &PoolId, now: Instant) -> Vec<DispatchAction> {
         let mut actions = Vec::new();
         while let Some((head, choice)) = self.next_start(pool, now) {
             let Some(queue) = self.queues.get_mut(pool) else {
                 break;
             };
-            let Some(ticket) = queue.take(&head, &self.floors) else {
+            let Some(ticket) = queue.pop(&head, &self.floors) else {
                 break;
             };
             actions.push(self.start(ticket, choice, head.by_floor, now));
@@ -295,15 +303,15 @@
             .collect()
     }
 
-    /// The next request that may start, and its server.
+    /// Returns the next request that may start, and the server chosen for it.
     fn next_start(&mut self, pool: &PoolId, now: Instant) -> Option<(QueueHead, RouteChoice)> {
         let config = self.config.clone()?;
         let queue = self.queues.get(pool)?;
         if queue.len() == 0 {
             return None;
         }
-        let held = self.held.get(pool).cloned().unwrap_or_default();
-        for head in queue.heads(self.options.queue, &held) {
+        let running_counts = self.running_counts.get(pool).cloned().unwrap_or_default();
+        for head in queue.heads(self.options.queue, &running_counts) {
             let ticket = queue.ticket(&head)?;
             let limit = config
                 .inventory
@@ -313,14 +321,14 @@
             if !self.limits.has_room(&head.workspace, limit, now) {
                 continue;
             }
-            let as_rank = if head.by_floor {
+            let effective_rank = if head.by_floor {
                 HIGHEST_RANK
             } else {
                 head.rank
             };
-            match self.routes.choose(ticket, as_rank, now) {
+            match self.routes.choose(ticket, effective_rank, now) {
                 Some(choice) => return Some((head, choice)),
-                // No room for this rank means none for the lower ones, which may use less.
+                // Lower ranks may use fewer slots: if this rank finds no free slot, they find none either.
                 None => return None,
             }
         }
@@ -337,10 +345,11 @@
         let server = choice.server.id.clone();
         self.routes.start(&server, &ticket, now);
         self.limits.start(&ticket.workspace, now);
-        let held = self.held.entry(ticket.pool.clone()).or_default();
-        *held.entry(ticket.workspace.clone()).or_default() += 1;
+        let counts = self.running_counts.entry(ticket.pool.clone()).or_default();
+        *counts.entry(ticket.workspace.clone()).or_default() += 1;
         let request = ticket.id.clone();
-        // What runs by its tier's floor is not taken away again, or the floor would serve nobody.
+        // A request started by its tier's floor is not preempted; otherwise the floor would guarantee
+        // nothing.
         let preemptible = ticket.idempotent && !by_floor;
         let running = RunningRequest {
             ticket: ticket.clone(),
@@ -357,7 +366,7 @@
         }))
     }
 
-    /// An attempt ended; its slot is free.
+    /// Records the end of an attempt, frees its slot and starts waiting requests.
     pub fn finish(
         &mut self,
         request: &RequestId,
@@ -375,11 +384,11 @@
             } => {
                 self.routes
                     .observe(&running.server, to_first, to_end, tokens, now);
-                let held = now.saturating_duration_since(running.started);
-                self.times
+                let service_time = now.saturating_duration_since(running.started);
+                self.service_times
                     .entry(running.ticket.pool.clone())
                     .or_default()
-                    .observe(held);
+                    .observe(service_time);
             }
             AttemptEnd::ConnectionFailed => self.routes.record_failure(&running.server, now),
             AttemptEnd::Refused { leaving: true } => self.routes.mark_leaving(&running.server, now),
@@ -388,10 +397,11 @@
         self.dispatch(&running.ticket.pool, now)
     }
 
-    /// Puts a request back into its queue after an attempt that may be repeated.
+    /// Returns a request to its queue after an attempt that may be repeated.
     ///
-    /// `paid` says that the retry counts against the budget. Without budget the answer
-    /// is `None` and the caller gets what the attempts so far say.
+    /// `paid` says whether the retry counts against the retry budget. Returns `None`, and queues nothing,
+    /// if the budget is exhausted, the node is stopping or the request has expired; the caller then gets
+    /// the result of the attempts so far.
     pub fn resubmit(
         &mut self,
         mut ticket: RequestTicket,
@@ -407,34 +417,35 @@
             return None;
         }
         let pool = ticket.pool.clone();
-        self.pool_of.insert(ticket.id.clone(), pool.clone());
+        self.pools_by_request
+            .insert(ticket.id.clone(), pool.clone());
         self.queues.entry(pool.clone()).or_default().push(ticket);
         Some(self.dispatch(&pool, now))
     }
 
-    /// The caller went away while its request waited.
+    /// Removes a waiting request whose caller disconnected, and returns it.
     pub fn withdraw(&mut self, request: &RequestId) -> Option<RequestTicket> {
-        let pool = self.pool_of.remove(request)?;
+        let pool = self.pools_by_request.remove(request)?;
         self.queues.get_mut(&pool)?.remove(request)
     }
 
     fn release(&mut self, request: &RequestId, now: Instant) -> Option<RunningRequest> {
         let running = self.running.remove(request)?;
-        self.pool_of.remove(request);
+        self.pools_by_request.remove(request);
         self.routes.finish(&running.server, running.ticket.rank);
         self.limits.finish(&running.ticket.workspace, now);
-        if let Some(held) = self.held.get_mut(&running.ticket.pool)
-            && let Some(count) = held.get_mut(&running.ticket.workspace)
+        if let Some(counts) = self.running_counts.get_mut(&running.ticket.pool)
+            && let Some(count) = counts.get_mut(&running.ticket.workspace)
         {
             *count -= 1;
             if *count == 0 {
-                held.remove(&running.ticket.workspace);
+                counts.remove(&running.ticket.workspace);
             }
         }
         Some(running)
     }
 
-    /// Refuses what has waited too long and serves what has room by now.
+    /// Refuses requests that have waited too long and starts those that can start by now.
     pub fn tick(&mut self, now: Instant) -> Vec<DispatchAction> {
         self.limits.tick(now);
         let expired: Vec<RequestTicket> = self
@@ -444,7 +455,7 @@
             .collect();
         let mut actions: Vec<DispatchAction> = Vec::new();
         for ticket in expired {
-            self.pool_of.remove(&ticket.id);
+            self.pools_by_request.remove(&ticket.id);
             actions.push(self.refuse_with_wait(&ticket, RefusalReason::Expired));
         }
         actions.extend(self.dispatch_all(now));
@@ -452,7 +463,7 @@
     }
 
     fn refuse_with_wait(&self, ticket: &RequestTicket, reason: RefusalReason) -> DispatchAction {
-        let wait = self.predicted_wait(ticket).unwrap_or(SHORTEST_RETRY_AFTER);
+        let wait = self.predicted_wait(ticket).unwrap_or(MIN_RETRY_AFTER);
         self.refuse(ticket, reason, wait)
     }
 
@@ -462,7 +473,7 @@
         reason: RefusalReason,
         wait: Duration,
     ) -> DispatchAction {
-        let retry_after = wait.clamp(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER);
+        let retry_after = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         DispatchAction::Refuse {
             request: ticket.id.clone(),
             reason,
--- a/crates/plumgate/src/dispatch/dispatcher/load.rs
+++ b/crates/plumgate/src/dispatch/dispatcher/load.rs
@@ -1,4 +1,4 @@
-//! What waits and runs, for operators and peers.
+//! Numbers of waiting and running requests, for operators and other nodes.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,20 +10,20 @@
 use crate::wire::PoolLoad;
 
 impl Dispatcher {
-    /// When the next waiting request is given up.
-    pub fn next_give_up(&self) -> Option<Instant> {
+    /// Returns when the next waiting request expires.
+    pub fn next_expiry(&self) -> Option<Instant> {
         self.queues
             .values()
-            .filter_map(PoolQueue::next_give_up)
+            .filter_map(PoolQueue::next_expiry)
             .min()
     }
 
-    /// How many requests wait and run, by rank.
+    /// Counts waiting and running requests by rank.
     pub fn load(&self) -> QueueLoad {
         let mut load = QueueLoad::default();
         for queue in self.queues.values() {
             for rank in queue.ranks() {
-                *load.waiting.entry(rank).or_default() += queue.len_of(rank);
+                *load.waiting.entry(rank).or_default() += queue.len_at_rank(rank);
             }
         }
         for running in self.running.values() {
@@ -32,7 +32,7 @@
         load
     }
 
-    /// How many requests wait and run in each pool, for the peers.
+    /// Counts waiting and running requests of each pool, to report to other nodes.
     pub fn pool_loads(&self) -> Vec<PoolLoad> {
         let mut running: BTreeMap<&PoolId, BTreeMap<TierRank, u32>> = BTreeMap::new();
         for request in self.running.values() {
@@ -41,7 +41,7 @@
         }
         let mut loads = Vec::new();
         for (pool, queue) in &self.queues {
-            let count = |rank| u32::try_from(queue.len_of(rank)).unwrap_or(u32::MAX);
+            let count = |rank| u32::try_from(queue.len_at_rank(rank)).unwrap_or(u32::MAX);
             let waiting: Vec<_> = queue.ranks().map(|rank| (rank, count(rank))).collect();
             let running: Vec<_> = running
                 .remove(pool)
@@ -59,7 +59,7 @@
         loads
     }
 
-    /// Whether nothing waits and nothing runs.
+    /// Returns whether no request waits or runs.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting() == 0
     }
@@ -69,10 +69,13 @@
     }
 
     pub(super) fn is_waiting(&self, request: &RequestId) -> bool {
-        self.pool_of.contains_key(request) && !self.running.contains_key(request)
+        self.pools_by_request.contains_key(request) && !self.running.contains_key(request)
     }
 
-    pub(super) fn waiting_of(&self, rank: TierRank) -> usize {
-        self.queues.values().map(|queue| queue.len_of(rank)).sum()
+    pub(super) fn waiting_at_rank(&self, rank: TierRank) -> usize {
+        self.queues
+            .values()
+            .map(|queue| queue.len_at_rank(rank))
+            .sum()
     }
 }
--- a/crates/plumgate/src/dispatch/dispatcher/preempt.rs
+++ b/crates/plumgate/src/dispatch/dispatcher/preempt.rs
@@ -1,4 +1,4 @@
-//! Requests of a lower tier that give way to a higher one.
+//! Preemption of requests of a lower tier in favour of a higher one.
 
 use std::time::Instant;
 
@@ -8,8 +8,8 @@
 use crate::ids::{PoolId, RequestId, TierRank};
 
 impl Dispatcher {
-    /// Lets requests of a lower tier give way where one would wait too long.
-    pub(super) fn make_room(
+    /// Preempts a request of a lower tier if the given one would wait too long for a slot.
+    pub(super) fn preempt_if_needed(
         &mut self,
         ticket: &RequestTicket,
         now: Instant,
@@ -17,23 +17,23 @@
         if self.options.queue == QueuePolicy::Arrival {
             return Vec::new();
         }
-        let bearable = ticket
+        let max_wait = ticket
             .due
             .saturating_duration_since(ticket.arrived)
             .mul_f64(PREEMPT_AFTER_SHARE);
         let running = self
-            .held
+            .running_counts
             .get(&ticket.pool)
-            .map_or(0, |held| held.values().sum());
+            .map_or(0, |counts| counts.values().sum());
         let queue = self.queues.get(&ticket.pool);
         let ahead = queue.map_or(0, |queue| {
-            queue.ahead_of(ticket.rank, ticket.due).saturating_sub(1)
+            queue.count_ahead(ticket.rank, ticket.due).saturating_sub(1)
         });
         let wait = self
-            .times
+            .service_times
             .get(&ticket.pool)
-            .and_then(|times| times.wait_behind(ahead, running));
-        if wait.is_some_and(|wait| wait <= bearable) {
+            .and_then(|service_times| service_times.predicted_wait(ahead, running));
+        if wait.is_some_and(|wait| wait <= max_wait) {
             return Vec::new();
         }
         self.preempt_for(ticket, now)
@@ -44,13 +44,13 @@
         ticket: &RequestTicket,
         now: Instant,
     ) -> Vec<DispatchAction> {
-        // One that already gives way makes room for one that waits; no more are needed.
+        // Each pending preemption frees a slot for one waiting request; no more than that are needed.
         let queue = self.queues.get(&ticket.pool);
         let waiting: usize = queue.map_or(0, |queue| {
             queue
                 .ranks()
                 .filter(|rank| *rank <= ticket.rank)
-                .map(|rank| queue.len_of(rank))
+                .map(|rank| queue.len_at_rank(rank))
                 .sum()
         });
         let giving_way = self
@@ -61,7 +61,8 @@
         if giving_way >= waiting {
             return Vec::new();
         }
-        // The lowest tier gives way first, and within it the one that has done the least.
+        // The victim is of the lowest tier, and within it the request that started last, so that the
+        // least work is lost.
         let victim = self
             .victims(&ticket.pool, ticket.rank)
             .max_by_key(|running| (running.ticket.rank, running.started))
@@ -85,7 +86,9 @@
         Vec::new()
     }
 
-    /// Another node needs room on servers of a pool for a rank.
+    /// Preempts a request of a lower tier for a waiting request of another node.
+    ///
+    /// Returns `None` if no running request of the pool may be preempted for that rank.
     pub fn give_way(&mut self, pool: &PoolId, rank: TierRank) -> Option<DispatchAction> {
         let victim = self
             .victims(pool, rank)
@@ -114,7 +117,7 @@
         })
     }
 
-    /// The caller has got bytes of the answer: the request no longer gives way.
+    /// Excludes a request from preemption, because its caller has received part of the answer.
     pub fn pin(&mut self, request: &RequestId) {
         if let Some(running) = self.running.get_mut(request) {
             running.preemptible = false;
--- a/crates/plumgate/src/dispatch/mod.rs
+++ b/crates/plumgate/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Which request is served next, where, and which one is refused.
+//! Queueing, admission, preemption and dispatch of requests to backend servers.
 
 mod dispatcher;
 mod queue;
--- a/crates/plumgate/src/dispatch/queue.rs
+++ b/crates/plumgate/src/dispatch/queue.rs
@@ -1,8 +1,8 @@
-//! The requests of one pool that wait, in the order of service.
+//! Waiting requests of one pool, in the order of service.
 //!
-//! Higher tiers go first, and within a tier workspaces below their fair share, and among
-//! them the earliest deadline. Each lower tier has a floor: a share of the dispatches
-//! that it gets even while higher tiers wait, so that none waits forever.
+//! Higher tiers are served first; within a tier, workspaces at or below their fair share; among these,
+//! the earliest deadline. A lower tier can have a floor: a share of the dispatches that it gets even
+//! while higher tiers wait, so that no tier starves.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,79 +10,79 @@
 use super::ticket::RequestTicket;
 use crate::ids::{RequestId, TierRank, WorkspaceId};
 
-/// In which order waiting requests are served.
+/// Order in which waiting requests are served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QueuePolicy {
-    /// By tier with floors, fair share and deadline.
+    /// By tier with floors, then fair share, then deadline.
     #[default]
     Tiered,
-    /// First come, first served: a baseline to compare with.
+    /// First come, first served; a baseline for comparisons.
     Arrival,
 }
 
-/// A place in the queue: due time, then arrival order.
-type QueuePlace = (Instant, u64);
+/// Sort key of a waiting request: due time, then arrival number.
+type QueueKey = (Instant, u64);
 
-/// The waiting requests of one workspace and rank.
-type WorkspaceQueue = BTreeMap<QueuePlace, RequestTicket>;
+/// Waiting requests of one workspace and rank.
+type WorkspaceQueue = BTreeMap<QueueKey, RequestTicket>;
 
-/// A waiting request that could be served next.
+/// First waiting request of one workspace and rank, a candidate to be served next.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueHead {
-    /// The rank of the queue that it heads.
+    /// Rank of the request's queue.
     pub(crate) rank: TierRank,
-    /// The workspace of the queue that it heads.
+    /// Workspace of the request's queue.
     pub(crate) workspace: WorkspaceId,
-    /// Its place.
-    place: QueuePlace,
-    /// Whether it goes ahead of higher tiers.
+    /// Sort key of the request.
+    key: QueueKey,
+    /// Whether the request is served before higher tiers because of its tier's floor.
     pub(crate) by_floor: bool,
 }
 
-/// All waiting requests of one pool.
+/// Waiting requests of one pool.
 #[derive(Debug, Default)]
 pub(crate) struct PoolQueue {
     ranks: BTreeMap<TierRank, BTreeMap<WorkspaceId, WorkspaceQueue>>,
     credits: BTreeMap<TierRank, f64>,
-    arrivals: u64,
+    arrival_count: u64,
     length: usize,
 }
 
 impl PoolQueue {
-    /// Adds a request.
+    /// Adds a request to the queue of its rank and workspace.
     pub(crate) fn push(&mut self, ticket: RequestTicket) {
-        self.arrivals += 1;
-        let place = (ticket.due, self.arrivals);
+        self.arrival_count += 1;
+        let key = (ticket.due, self.arrival_count);
         let rank = self.ranks.entry(ticket.rank).or_default();
         rank.entry(ticket.workspace.clone())
             .or_default()
-            .insert(place, ticket);
+            .insert(key, ticket);
         self.length += 1;
     }
 
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.length
     }
 
-    /// How many requests of a rank wait.
-    pub(crate) fn len_of(&self, rank: TierRank) -> usize {
+    /// Returns the number of waiting requests of a rank.
+    pub(crate) fn len_at_rank(&self, rank: TierRank) -> usize {
         self.ranks
             .get(&rank)
             .map_or(0, |queues| queues.values().map(BTreeMap::len).sum())
     }
 
-    /// The ranks that have waiting requests, highest first.
+    /// Returns the ranks that have waiting requests, highest tier first.
     pub(crate) fn ranks(&self) -> impl Iterator<Item = TierRank> + '_ {
         self.ranks.keys().copied()
     }
 
-    /// How many requests go before a new one of a rank with this due time.
-    pub(crate) fn ahead_of(&self, rank: TierRank, due: Instant) -> usize {
+    /// Counts the requests served before a new one of the given rank and due time.
+    pub(crate) fn count_ahead(&self, rank: TierRank, due: Instant) -> usize {
         let higher: usize = self
             .ranks
             .range(..rank)
-            .map(|(rank, _)| self.len_of(*rank))
+            .map(|(rank, _)| self.len_at_rank(*rank))
             .sum();
         let same = self.ranks.get(&rank).map_or(0, |queues| {
             queues
@@ -93,7 +93,10 @@
         higher + same
     }
 
-    /// The requests that could be served next, best first: one for each workspace and rank.
+    /// Returns the candidates to be served next in order of preference: the first request of each
+    /// workspace and rank. A rank that is due by its floor is listed twice.
+    ///
+    /// `running` holds the number of running requests of each workspace.
     pub(crate) fn heads(
         &self,
         policy: QueuePolicy,
@@ -105,22 +108,22 @@
                 for rank in self.ranks.keys() {
                     self.push_heads(*rank, false, &mut heads);
                 }
-                heads.sort_by_key(|head| head.place.1);
+                heads.sort_by_key(|head| head.key.1);
             }
             QueuePolicy::Tiered => {
-                let due_floor = self
+                let credited_rank = self
                     .credits
                     .iter()
                     .rev()
                     .find(|(_, credit)| **credit >= 1.0);
-                if let Some((rank, _)) = due_floor {
+                if let Some((rank, _)) = credited_rank {
                     self.push_heads(*rank, true, &mut heads);
-                    sort_fairly(&mut heads, running);
+                    sort_by_fair_share(&mut heads, running);
                 }
                 for rank in self.ranks.keys() {
                     let mut more = Vec::new();
                     self.push_heads(*rank, false, &mut more);
-                    sort_fairly(&mut more, running);
+                    sort_by_fair_share(&mut more, running);
                     heads.extend(more);
                 }
             }
@@ -130,72 +133,74 @@
 
     fn push_heads(&self, rank: TierRank, by_floor: bool, heads: &mut Vec<QueueHead>) {
         for (workspace, queue) in self.ranks.get(&rank).into_iter().flatten() {
-            if let Some(place) = queue.keys().next() {
+            if let Some(key) = queue.keys().next() {
                 heads.push(QueueHead {
                     rank,
                     workspace: workspace.clone(),
-                    place: *place,
+                    key: *key,
                     by_floor,
                 });
             }
         }
     }
 
-    /// The request behind a head.
+    /// Returns the request of a queue head.
     pub(crate) fn ticket(&self, head: &QueueHead) -> Option<&RequestTicket> {
         self.ranks
             .get(&head.rank)?
             .get(&head.workspace)?
-            .get(&head.place)
+            .get(&head.key)
     }
 
-    /// Takes the request behind a head out of the queue, to be served.
-    pub(crate) fn take(
+    /// Removes and returns the request of a queue head, to be served, and updates the credits of the
+    /// floors.
+    pub(crate) fn pop(
         &mut self,
         head: &QueueHead,
         floors: &BTreeMap<TierRank, f64>,
     ) -> Option<RequestTicket> {
-        let ticket = self.remove_at(head.rank, &head.workspace, head.place)?;
-        self.count_floors(head, floors);
+        let ticket = self.remove_at(head.rank, &head.workspace, head.key)?;
+        self.update_credits(head, floors);
         Some(ticket)
     }
 
-    /// A rank earns its floor with each dispatch that it waits through.
-    fn count_floors(&mut self, head: &QueueHead, floors: &BTreeMap<TierRank, f64>) {
+    /// Updates the credits of the floors after a dispatch.
+    ///
+    /// Each rank that waits earns its floor as credit, up to 1; the rank that was served pays 1.
+    fn update_credits(&mut self, head: &QueueHead, floors: &BTreeMap<TierRank, f64>) {
         for (rank, floor) in floors {
-            let waits = self.ranks.contains_key(rank);
+            let is_waiting = self.ranks.contains_key(rank);
             let credit = self.credits.entry(*rank).or_default();
             if *rank == head.rank {
                 *credit = (*credit - 1.0).max(0.0);
-            } else if waits {
+            } else if is_waiting {
                 *credit = (*credit + floor).min(1.0);
             }
         }
     }
 
-    /// Takes a request out by its id.
+    /// Removes and returns a request by its id.
     pub(crate) fn remove(&mut self, id: &RequestId) -> Option<RequestTicket> {
         let found = self.iter().find(|(_, _, _, ticket)| ticket.id == *id);
-        let (rank, workspace, place, _) = found?;
+        let (rank, workspace, key, _) = found?;
         let workspace = workspace.clone();
-        self.remove_at(rank, &workspace, place)
+        self.remove_at(rank, &workspace, key)
     }
 
-    /// Takes out all requests that have waited as long as they may.
+    /// Removes and returns all expired requests.
     pub(crate) fn remove_expired(&mut self, now: Instant) -> Vec<RequestTicket> {
         let expired = self
             .iter()
             .filter(|(_, _, _, ticket)| ticket.give_up <= now);
-        let places: Vec<_> = expired
-            .map(|(rank, name, place, _)| (rank, name.clone(), place))
+        let keys: Vec<_> = expired
+            .map(|(rank, name, key, _)| (rank, name.clone(), key))
             .collect();
-        places
-            .into_iter()
-            .filter_map(|(rank, name, place)| self.remove_at(rank, &name, place))
+        keys.into_iter()
+            .filter_map(|(rank, name, key)| self.remove_at(rank, &name, key))
             .collect()
     }
 
-    /// Takes out everything.
+    /// Removes and returns all requests.
     pub(crate) fn drain(&mut self) -> Vec<RequestTicket> {
         let ranks = std::mem::take(&mut self.ranks);
         self.length = 0;
@@ -206,17 +211,17 @@
             .collect()
     }
 
-    /// The next time at which a request has waited as long as it may.
-    pub(crate) fn next_give_up(&self) -> Option<Instant> {
+    /// Returns when the next request expires.
+    pub(crate) fn next_expiry(&self) -> Option<Instant> {
         self.iter().map(|(_, _, _, ticket)| ticket.give_up).min()
     }
 
-    fn iter(&self) -> impl Iterator<Item = (TierRank, &WorkspaceId, QueuePlace, &RequestTicket)> {
+    fn iter(&self) -> impl Iterator<Item = (TierRank, &WorkspaceId, QueueKey, &RequestTicket)> {
         self.ranks.iter().flat_map(|(rank, queues)| {
             queues.iter().flat_map(move |(workspace, queue)| {
                 queue
                     .iter()
-                    .map(move |(place, ticket)| (*rank, workspace, *place, ticket))
+                    .map(move |(key, ticket)| (*rank, workspace, *key, ticket))
             })
         })
     }
@@ -225,11 +230,11 @@
         &mut self,
         rank: TierRank,
         workspace: &WorkspaceId,
-        place: QueuePlace,
+        key: QueueKey,
     ) -> Option<RequestTicket> {
         let queues = self.ranks.get_mut(&rank)?;
         let queue = queues.get_mut(workspace)?;
-        let ticket = queue.remove(&place)?;
+        let ticket = queue.remove(&key)?;
         self.length -= 1;
         if queue.is_empty() {
             queues.remove(workspace);
@@ -241,10 +246,11 @@
     }
 }
 
-/// Workspaces at or below the mean of those that wait come first, each by deadline.
-fn sort_fairly(heads: &mut [QueueHead], running: &BTreeMap<WorkspaceId, usize>) {
+/// Sorts heads by fair share, then by deadline: first come workspaces whose number of running requests
+/// is at or below the mean over the heads.
+fn sort_by_fair_share(heads: &mut [QueueHead], running: &BTreeMap<WorkspaceId, usize>) {
     let held = |head: &QueueHead| running.get(&head.workspace).copied().unwrap_or(0);
     let total: usize = heads.iter().map(held).sum();
     let count = heads.len().max(1);
-    heads.sort_by_key(|head| (held(head) * count > total, head.place));
+    heads.sort_by_key(|head| (held(head) * count > total, head.key));
 }
--- a/crates/plumgate/src/dispatch/ticket.rs
+++ b/crates/plumgate/src/dispatch/ticket.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher is told about a request, and what it answers.
+//! Input and output types of the dispatcher.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,54 +6,54 @@
 use crate::ids::{ClassId, PoolId, RequestId, ServerId, TierRank, WorkspaceId};
 use crate::route::RouteChoice;
 
-/// A request that waits for a server.
+/// Properties of a request that queueing and routing depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestTicket {
-    /// The id of the request.
+    /// Id of the request.
     pub id: RequestId,
-    /// The workspace that the request belongs to.
+    /// Workspace that the request belongs to.
     pub workspace: WorkspaceId,
-    /// The class of the request.
+    /// Class of the request.
     pub class: ClassId,
-    /// The rank at which the request is served.
+    /// Rank of the tier in which the request is served; 1 is the highest.
     pub rank: TierRank,
-    /// The model or service that the request is for.
+    /// Model or service that the request is for.
     pub pool: PoolId,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// When the request came.
+    /// Time at which the request was received.
     pub arrived: Instant,
-    /// When its first token is due.
+    /// Deadline for the first token.
     pub due: Instant,
-    /// When it is refused if no server could start it.
+    /// Time at which the request is refused if it still waits for a server.
     pub give_up: Instant,
-    /// How many tokens its answer is expected to have.
+    /// Expected number of tokens in the answer.
     pub expected_tokens: u32,
-    /// A digest of the workspace and the start of the prompt.
+    /// Digest of the workspace and the start of the prompt.
     pub prefix: Option<u64>,
-    /// Servers on which an attempt of the request failed.
+    /// Servers on which an attempt failed; used again only if no other server has a free slot.
     pub avoid: Vec<ServerId>,
 }
 
-/// Why a request is refused without having run.
+/// Reason why a request is refused without having run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The workspace started more requests than its limit allows.
+    /// The workspace exceeded its limit of requests per second.
     RateLimit,
-    /// No server of the pool is known.
+    /// No server of the pool accepts new work.
     NoServer,
     /// The queue of the tier is full.
     QueueFull,
-    /// The predicted wait is longer than the request may wait.
+    /// The predicted wait exceeds the time that the request may wait.
     WaitTooLong,
-    /// The request waited as long as it may.
+    /// The request waited for the longest time allowed.
     Expired,
     /// The node is stopping.
     Stopping,
 }
 
 impl RefusalReason {
-    /// The word in errors, logs and metrics.
+    /// Returns the reason as written in errors, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::RateLimit => "rate_limit",
@@ -66,61 +66,61 @@
     }
 }
 
-/// A request and the server that it goes to.
+/// Request to start and the server to send it to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartOrder {
-    /// The request.
+    /// Request to start.
     pub ticket: RequestTicket,
-    /// The server and what spoke for it.
+    /// Chosen server and the reason for the choice.
     pub choice: RouteChoice,
-    /// Whether the request goes ahead of higher tiers by its tier's floor.
+    /// Whether the request is served before higher tiers because of its tier's floor.
     pub by_floor: bool,
 }
 
-/// What is to be done about a request.
+/// Action that the caller of the dispatcher has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchAction {
     /// Send a request to a server.
     Start(Box<StartOrder>),
-    /// Nothing yet: the request waits.
+    /// No action: the request waits in its queue.
     Queued {
-        /// The request.
+        /// Request that waits.
         request: RequestId,
-        /// How many requests go before it.
+        /// Number of requests served before it.
         ahead: usize,
     },
-    /// Tell the caller that the request is not run.
+    /// Answer the caller that the request is refused.
     Refuse {
-        /// The request.
+        /// Refused request.
         request: RequestId,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// Cancel the running attempt; the request goes back to the queue.
+    /// Cancel a running attempt; its request returns to the queue.
     Preempt {
-        /// The request that gives way.
+        /// Request to preempt.
         request: RequestId,
-        /// The server that it runs on.
+        /// Server that it runs on.
         server: ServerId,
-        /// The request that room is made for.
+        /// Request that needs the slot; `peer` if it waits on another node.
         for_request: RequestId,
     },
-    /// Ask the other nodes to make room on servers of a pool.
+    /// Request the other nodes to preempt a request on servers of a pool.
     AskForRoom {
-        /// The pool.
+        /// Pool whose servers need a free slot.
         pool: PoolId,
-        /// Requests of a lower tier than this one give way.
+        /// Rank of the waiting request; only requests of lower tiers are preempted.
         rank: TierRank,
     },
 }
 
-/// How many requests wait, for operators and peers.
+/// Numbers of waiting and running requests, for operators and other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueueLoad {
-    /// Waiting requests by rank.
+    /// Number of waiting requests by rank.
     pub waiting: BTreeMap<TierRank, usize>,
-    /// Running requests by rank.
+    /// Number of running requests by rank.
     pub running: BTreeMap<TierRank, usize>,
 }
--- a/crates/plumgate/src/route/estimate.rs
+++ b/crates/plumgate/src/route/estimate.rs
@@ -1,4 +1,4 @@
-//! What one node believes about the load and the speed of one backend server.
+//! Estimate of the load and the speed of one backend server, as kept by one node.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,180 +10,187 @@
 use crate::retry::CircuitBreaker;
 use crate::route::HIGHEST_RANK;
 
-/// Reports older than this say nothing about the present.
+/// Age from which a report of a server or another node is ignored.
 const REPORT_LIFETIME: Duration = Duration::from_secs(5);
-/// Time constant with which a peak of the highest tier is forgotten.
-const PEAK_FADING: Duration = Duration::from_millis(1500);
-/// Highest number of ranks that are counted apart.
-pub(crate) const RANKS: usize = 10;
+/// Time constant with which the peak count of the highest tier decays.
+const PEAK_DECAY_TIME: Duration = Duration::from_millis(1500);
+/// Number of entries in [`RankCounts`]; this node counts its own requests of higher ranks in the last.
+pub(crate) const MAX_RANKS: usize = 10;
 
-/// Requests in flight on one server, by rank; rank 0 is unused.
-pub(crate) type RankCounts = [u32; RANKS];
+/// Number of in-flight requests on one server by rank; entry 0 is unused.
+pub(crate) type RankCounts = [u32; MAX_RANKS];
 
-/// The load that a backend server tells about itself, measured some time ago.
+/// Load of a backend server by its own report.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that the server works on.
+    /// Number of requests that the server is processing.
     pub running: u32,
-    /// Requests that wait within the server.
+    /// Number of requests queued within the server.
     pub waiting: u32,
-    /// Whether the server says that it is leaving.
+    /// Whether the server reports that it is leaving.
     pub leaving: bool,
-    /// How long ago the server measured this, in milliseconds.
+    /// Age of the measurement, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A report with the time of its measurement on this node's clock.
+/// Load report with the time of its measurement on this node's clock.
 #[derive(Clone, Copy, Debug)]
-struct DatedReport {
+struct TimestampedReport {
     report: LoadReport,
     measured: Instant,
 }
 
-/// What a peer tells about its own work on the server.
+/// Requests of another node on the server, as last reported by it.
 #[derive(Clone, Copy, Debug)]
 struct PeerCount {
     counts: RankCounts,
-    told: Instant,
+    received_at: Instant,
 }
 
-/// A count that is remembered for a while after it fell.
+/// Peak of a count that decays exponentially after the count has fallen.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeakCount {
     value: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl PeakCount {
-    fn raise(&mut self, count: u32, now: Instant) {
-        let held = self.decayed(now);
-        self.value = held.max(f64::from(count));
-        self.at = Some(now);
+    fn record(&mut self, count: u32, now: Instant) {
+        let decayed = self.decayed(now);
+        self.value = decayed.max(f64::from(count));
+        self.updated_at = Some(now);
     }
 
     fn decayed(&self, now: Instant) -> f64 {
         let age = self
-            .at
+            .updated_at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.value * (-age.as_secs_f64() / PEAK_FADING.as_secs_f64()).exp()
+        self.value * (-age.as_secs_f64() / PEAK_DECAY_TIME.as_secs_f64()).exp()
     }
 }
 
-/// What one node believes about one server.
+/// Load and speed of one server, as one node knows them.
 #[derive(Clone, Debug, Default)]
 pub struct ServerEstimate {
     own: RankCounts,
     peers: HashMap<NodeId, PeerCount>,
-    report: Option<DatedReport>,
+    report: Option<TimestampedReport>,
     peers_peak: PeakCount,
-    /// How fast the server answers.
+    /// Observed speed of the server.
     pub(crate) speed: SpeedEstimate,
-    /// Guards against servers that refuse new connections.
+    /// Circuit breaker for failed connections.
     pub(crate) circuit: CircuitBreaker,
 }
 
 impl ServerEstimate {
-    /// A server that nothing is known about counts as idle.
+    /// Creates the estimate of an unknown server, which counts as idle.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A request of this node went to the server.
+    /// Counts a request of this node that was sent to the server.
     pub(crate) fn start(&mut self, rank: TierRank) {
-        self.own[usize::from(rank).min(RANKS - 1)] += 1;
+        self.own[usize::from(rank).min(MAX_RANKS - 1)] += 1;
     }
 
-    /// A request of this node left the server.
+    /// Removes a finished request of this node from the count.
     pub(crate) fn finish(&mut self, rank: TierRank) {
-        let count = &mut self.own[usize::from(rank).min(RANKS - 1)];
+        let count = &mut self.own[usize::from(rank).min(MAX_RANKS - 1)];
         *count = count.saturating_sub(1);
     }
 
-    /// Folds in a report, unless it was measured before the one already held.
+    /// Applies a report, unless the current one was measured at the same time or later.
     pub(crate) fn apply_report(&mut self, report: LoadReport, now: Instant) {
         let age = Duration::from_millis(report.age_ms);
         let measured = now.checked_sub(age).unwrap_or(now);
-        // Reports overtake each other on the way. An older one would bring back load that has
-        // since finished, and steer requests away from an idle server.
+        // Reports can arrive out of order. An older one would restore load that has since finished,
+        // and divert requests from an idle server.
         if self.report.is_some_and(|held| measured <= held.measured) {
             return;
         }
-        self.report = Some(DatedReport { report, measured });
+        self.report = Some(TimestampedReport { report, measured });
     }
 
-    /// Takes in a peer's own work on the server.
+    /// Sets the numbers of another node's requests on the server.
     pub(crate) fn apply_peer(&mut self, node: NodeId, counts: RankCounts, now: Instant) {
         if counts == RankCounts::default() {
             self.peers.remove(&node);
         } else {
-            self.peers.insert(node, PeerCount { counts, told: now });
-            self.note_peak(now);
+            self.peers.insert(
+                node,
+                PeerCount {
+                    counts,
+                    received_at: now,
+                },
+            );
+            self.record_peak(now);
         }
     }
 
-    fn note_peak(&mut self, now: Instant) {
-        let count = self.peers_highest(now);
-        self.peers_peak.raise(count, now);
+    fn record_peak(&mut self, now: Instant) {
+        let count = self.peers_highest_tier(now);
+        self.peers_peak.record(count, now);
     }
 
-    /// Requests of the highest tier that other nodes have on the server.
-    fn peers_highest(&self, now: Instant) -> u32 {
+    /// Returns the number of requests of the highest tier that other nodes have on the server.
+    fn peers_highest_tier(&self, now: Instant) -> u32 {
         let highest = usize::from(HIGHEST_RANK);
         self.fresh_peers(now).map(|peer| peer.counts[highest]).sum()
     }
 
-    /// Slots that a lower tier must reckon as taken.
+    /// Returns the number of slots that lower tiers have to treat as occupied.
     ///
-    /// Requests of the highest tier come and go faster than nodes tell each other. A slot that
-    /// was free when a peer's digest left is its next one's: for a lower tier what counts is
-    /// the highest number that peers told lately.
-    pub(crate) fn busy_for_lower(&self, now: Instant) -> u32 {
-        let highest = self.peers_highest(now);
+    /// Requests of the highest tier start and finish faster than nodes exchange reports. A slot that was
+    /// free when another node sent its digest may be needed by that node's next request of the highest
+    /// tier, so lower tiers count the recent peak of the other nodes' requests of that tier.
+    pub(crate) fn occupied_for_lower_tiers(&self, now: Instant) -> u32 {
+        let highest = self.peers_highest_tier(now);
         let peak = self.peers_peak.decayed(now).round() as u32;
         self.own_in_flight() + self.peers_in_flight(now) - highest + highest.max(peak)
     }
 
-    /// Requests of this node on the server.
+    /// Returns the number of this node's requests on the server.
     pub fn own_in_flight(&self) -> u32 {
         self.own.iter().sum()
     }
 
-    /// Requests of this node on the server, by rank.
+    /// Returns the number of this node's requests on the server by rank.
     pub(crate) fn own_counts(&self) -> RankCounts {
         self.own
     }
 
-    /// Requests of other nodes on the server, as far as they told lately.
+    /// Returns the number of other nodes' requests on the server by their recent reports.
     pub fn peers_in_flight(&self, now: Instant) -> u32 {
         self.fresh_peers(now)
             .map(|peer| peer.counts.iter().sum::<u32>())
             .sum()
     }
 
-    /// Requests of other nodes that are of a lower tier than a rank.
+    /// Returns the number of other nodes' requests of lower tiers than the given rank.
     pub(crate) fn peers_below(&self, rank: TierRank, now: Instant) -> u32 {
         let below = usize::from(rank) + 1;
         self.fresh_peers(now)
-            .map(|peer| peer.counts[below.min(RANKS)..].iter().sum::<u32>())
+            .map(|peer| peer.counts[below.min(MAX_RANKS)..].iter().sum::<u32>())
             .sum()
     }
 
-    /// Requests on the server by its own report, if that is fresh.
+    /// Returns the number of requests on the server by its own report, if that is recent.
     pub fn reported(&self, now: Instant) -> Option<u32> {
         let held = self.report?;
-        let fresh = now.saturating_duration_since(held.measured) < REPORT_LIFETIME;
-        fresh.then_some(held.report.running + held.report.waiting)
+        let is_fresh = now.saturating_duration_since(held.measured) < REPORT_LIFETIME;
+        is_fresh.then_some(held.report.running + held.report.waiting)
     }
 
-    /// Whether the server's last report says that it is leaving.
-    pub(crate) fn says_leaving(&self, now: Instant) -> bool {
-        let fresh =
-            |held: &DatedReport| now.saturating_duration_since(held.measured) < REPORT_LIFETIME;
+    /// Returns whether the server's last report is recent and says that it is leaving.
+    pub(crate) fn reports_leaving(&self, now: Instant) -> bool {
+        let is_fresh = |held: &TimestampedReport| {
+            now.saturating_duration_since(held.measured) < REPORT_LIFETIME
+        };
         self.report
-            .is_some_and(|held| held.report.leaving && fresh(&held))
+            .is_some_and(|held| held.report.leaving && is_fresh(&held))
     }
 
-    /// The speed of the server as this node last saw it.
+    /// Returns the speed of the server as last observed by this node.
     pub fn observed_speed(&self) -> Option<ServerSpeed> {
         self.speed.observed()
     }
@@ -191,6 +198,6 @@
     fn fresh_peers(&self, now: Instant) -> impl Iterator<Item = &PeerCount> {
         self.peers
             .values()
-            .filter(move |peer| now.saturating_duration_since(peer.told) < REPORT_LIFETIME)
+            .filter(move |peer| now.saturating_duration_since(peer.received_at) < REPORT_LIFETIME)
     }
 }
--- a/crates/plumgate/src/route/mod.rs
+++ b/crates/plumgate/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request goes to.
+//! Choice of the backend server for a request.
 
 mod estimate;
 mod prefix;
@@ -12,5 +12,5 @@
     LeavingSource, PeerServerLoad, RouteChoice, RouteOptions, RoutePolicy, RouteTable,
 };
 
-/// The rank of the highest tier.
+/// Rank of the highest tier.
 pub(crate) const HIGHEST_RANK: crate::ids::TierRank = 1;
--- a/crates/plumgate/src/route/prefix.rs
+++ b/crates/plumgate/src/route/prefix.rs
@@ -1,50 +1,50 @@
-//! Which server lately read a prompt's start, so that its cache may still hold it.
+//! Table of the servers whose cache may still hold a prompt prefix.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::ids::ServerId;
 
-/// Prefixes that one node remembers.
-const PREFIXES_MOST: usize = 4096;
-/// How long a cache is believed to hold a prefix after its last use.
+/// Largest number of prefixes in the table of a node.
+const MAX_PREFIXES: usize = 4096;
+/// Time after its last use for which a cache is assumed to hold a prefix.
 const PREFIX_LIFETIME: Duration = Duration::from_secs(120);
 
-/// The last server of each prefix, within bounds of number and age.
+/// Last server that each prefix was sent to, bounded by number and age.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrefixTable {
-    places: HashMap<u64, (ServerId, Instant)>,
-    order: VecDeque<u64>,
+    servers: HashMap<u64, (ServerId, Instant)>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl PrefixTable {
-    /// A request with the prefix went to a server.
+    /// Records that a request with the prefix was sent to a server.
     pub(crate) fn record(&mut self, prefix: u64, server: ServerId, now: Instant) {
-        if self.places.insert(prefix, (server, now)).is_none() {
-            self.order.push_back(prefix);
+        if self.servers.insert(prefix, (server, now)).is_none() {
+            self.insertion_order.push_back(prefix);
         }
-        while self.order.len() > PREFIXES_MOST {
-            if let Some(oldest) = self.order.pop_front() {
-                self.places.remove(&oldest);
+        while self.insertion_order.len() > MAX_PREFIXES {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.servers.remove(&oldest);
             }
         }
     }
 
-    /// The server whose cache may hold the prefix.
+    /// Returns the server whose cache may hold the prefix.
     pub(crate) fn server(&self, prefix: u64, now: Instant) -> Option<&ServerId> {
-        let (server, used) = self.places.get(&prefix)?;
+        let (server, used) = self.servers.get(&prefix)?;
         (now.saturating_duration_since(*used) < PREFIX_LIFETIME).then_some(server)
     }
 
-    /// A server dropped a prefix from its cache.
-    pub(crate) fn forget(&mut self, prefix: u64, server: &ServerId) {
+    /// Removes a prefix that a server dropped from its cache.
+    pub(crate) fn remove(&mut self, prefix: u64, server: &ServerId) {
         if self
-            .places
+            .servers
             .get(&prefix)
-            .is_some_and(|(held, _)| held == server)
+            .is_some_and(|(cached, _)| cached == server)
         {
-            self.places.remove(&prefix);
-            self.order.retain(|kept| *kept != prefix);
+            self.servers.remove(&prefix);
+            self.insertion_order.retain(|entry| *entry != prefix);
         }
     }
 }
--- a/crates/plumgate/src/route/shares.rs
+++ b/crates/plumgate/src/route/shares.rs
@@ -1,4 +1,4 @@
-//! How the slots of a backend server are shared by the nodes of its data centre.
+//! Division of the slots of a backend server among the nodes of its data centre.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 use crate::ids::{DataCentreId, NodeId, ServerId};
 use crate::membership::{NodeGroup, SharingNodes, rendezvous_weight};
 
-/// This node's equal shares of all servers.
+/// Equal shares of one node in the slots of all servers.
 ///
-/// The shares of all nodes add up to the slots of each server, never to more: slots that are
-/// left over by the division go to the nodes that rendezvous hashing prefers for the server.
+/// The shares of all nodes add up to exactly the slots of each server: the remainder of the division goes
+/// to the nodes that rendezvous hashing ranks first for the server.
 #[derive(Debug)]
 pub(crate) struct SlotShares {
     node: NodeId,
     groups: SharingNodes,
-    /// How many nodes are preferred to this one for a server of its data centre.
-    places: BTreeMap<ServerId, usize>,
+    /// Number of nodes that are preferred to this one, for each server of its data centre.
+    positions: BTreeMap<ServerId, usize>,
 }
 
 impl SlotShares {
-    /// The shares of a node that knows of no other.
+    /// Creates the shares of a node that knows of no other node.
     pub(crate) fn new(data_centre: &DataCentreId, node: &NodeId) -> Self {
         let mut group = NodeGroup::default();
         group.nodes.insert(node.clone());
@@ -27,11 +27,11 @@
         Self {
             node: node.clone(),
             groups,
-            places: BTreeMap::new(),
+            positions: BTreeMap::new(),
         }
     }
 
-    /// Takes over which nodes there are; whether that is news.
+    /// Sets the nodes of each data centre; returns whether they changed.
     pub(crate) fn set_nodes(&mut self, groups: SharingNodes) -> bool {
         if self.groups == groups {
             return false;
@@ -40,9 +40,9 @@
         true
     }
 
-    /// Finds this node's place for each server of its data centre.
-    pub(crate) fn place(&mut self, config: Option<&FleetConfig>) {
-        self.places.clear();
+    /// Computes this node's position in the rendezvous order of each server of its data centre.
+    pub(crate) fn update_positions(&mut self, config: Option<&FleetConfig>) {
+        self.positions.clear();
         let servers = config
             .into_iter()
             .flat_map(|config| config.inventory.servers.values());
@@ -59,13 +59,13 @@
                 .iter()
                 .map(|node| rendezvous_weight(&server.id, node));
             let place = weights.filter(|weight| *weight > own).count();
-            self.places.insert(server.id.clone(), place);
+            self.positions.insert(server.id.clone(), place);
         }
     }
 
-    /// This node's equal share of a server's slots; none of a server in another data centre.
+    /// Returns this node's equal share of a server's slots; 0 for a server in another data centre.
     pub(crate) fn equal_share(&self, server: &Server, slots: u32) -> u32 {
-        let Some(place) = self.places.get(&server.id) else {
+        let Some(place) = self.positions.get(&server.id) else {
             return 0;
         };
         let nodes = self
@@ -77,8 +77,8 @@
         slots / nodes + u32::from(*place < left_over)
     }
 
-    /// Whether some node that shares the server was not heard of lately.
-    pub(crate) fn has_silent(&self, server: &Server) -> bool {
+    /// Returns whether a node that shares the server has sent nothing lately.
+    pub(crate) fn has_silent_node(&self, server: &Server) -> bool {
         self.groups
             .get(&server.data_centre)
             .is_some_and(|group| group.has_silent)
--- a/crates/plumgate/src/route/speed.rs
+++ b/crates/plumgate/src/route/speed.rs
@@ -1,28 +1,28 @@
-//! How fast a backend server answers, as one node sees it.
+//! Speed of a backend server as observed by one node.
 
 use std::time::{Duration, Instant};
 
-/// Weight of one new observation.
+/// Weight of a new observation in the moving average.
 const LEARNING_RATE: f64 = 0.2;
-/// Time constant with which an old observation gives way to what is typical.
-const FORGETTING: Duration = Duration::from_secs(30);
-/// Seconds between tokens before any server was seen at work.
+/// Time constant with which the expected speed decays from the last observation to the typical speed.
+const OBSERVATION_DECAY_TIME: Duration = Duration::from_secs(30);
+/// Seconds between tokens, assumed before any server was observed.
 const DEFAULT_PER_TOKEN: f64 = 0.02;
-/// Seconds to the first token before any server was seen at work.
+/// Seconds to the first token, assumed before any server was observed.
 const DEFAULT_TO_FIRST: f64 = 0.05;
 
-/// Seconds that a request holds its slot before any were seen.
-const DEFAULT_HOLD: f64 = 1.0;
+/// Seconds for which a request occupies its slot, assumed before any server was observed.
+const DEFAULT_SERVICE_TIME: f64 = 1.0;
 
-/// A speed, in seconds.
+/// Speed of a server as mean times in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSpeed {
     /// Seconds between tokens.
     pub per_token: f64,
     /// Seconds to the first token.
     pub to_first: f64,
-    /// Seconds that a request holds its slot.
-    pub hold: f64,
+    /// Seconds for which a request occupies its slot.
+    pub service_time: f64,
 }
 
 impl Default for ServerSpeed {
@@ -30,15 +30,16 @@
         Self {
             per_token: DEFAULT_PER_TOKEN,
             to_first: DEFAULT_TO_FIRST,
-            hold: DEFAULT_HOLD,
+            service_time: DEFAULT_SERVICE_TIME,
         }
     }
 }
 
 impl ServerSpeed {
-    /// The median of some speeds, the lower one of two; the default where there are none.
+    /// Returns the median of each time, the lower one for an even number of speeds, or the default if
+    /// there are none.
     pub(crate) fn median(speeds: &[Self]) -> Self {
-        let middle = |of: fn(&Self) -> f64, default: f64| {
+        let median_of = |of: fn(&Self) -> f64, default: f64| {
             let mut values: Vec<f64> = speeds.iter().map(of).collect();
             values.sort_by(f64::total_cmp);
             values
@@ -47,21 +48,21 @@
                 .unwrap_or(default)
         };
         Self {
-            per_token: middle(|speed| speed.per_token, DEFAULT_PER_TOKEN),
-            to_first: middle(|speed| speed.to_first, DEFAULT_TO_FIRST),
-            hold: middle(|speed| speed.hold, DEFAULT_HOLD),
+            per_token: median_of(|speed| speed.per_token, DEFAULT_PER_TOKEN),
+            to_first: median_of(|speed| speed.to_first, DEFAULT_TO_FIRST),
+            service_time: median_of(|speed| speed.service_time, DEFAULT_SERVICE_TIME),
         }
     }
 }
 
-/// What was observed of a server's speed.
+/// Moving average of a server's speed with the time of the last observation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SpeedEstimate {
     observed: Option<(ServerSpeed, Instant)>,
 }
 
 impl SpeedEstimate {
-    /// Folds in one answer.
+    /// Adds the times of a complete answer.
     pub(crate) fn observe(
         &mut self,
         to_first: Duration,
@@ -69,45 +70,47 @@
         tokens: u32,
         now: Instant,
     ) {
-        let held = self.observed.map(|(speed, _)| speed);
+        let previous = self.observed.map(|(speed, _)| speed);
         let generating = to_end.saturating_sub(to_first).as_secs_f64();
-        let seen = ServerSpeed {
-            // An answer of one token says nothing about the time between tokens.
+        let observation = ServerSpeed {
+            // An answer of a single token has no time between tokens.
             per_token: match tokens {
-                0 | 1 => held.unwrap_or_default().per_token,
+                0 | 1 => previous.unwrap_or_default().per_token,
                 tokens => generating / f64::from(tokens - 1),
             },
             to_first: to_first.as_secs_f64(),
-            hold: to_end.as_secs_f64(),
+            service_time: to_end.as_secs_f64(),
         };
-        let speed = held.map_or(seen, |held| blend(held, seen, LEARNING_RATE));
+        let speed = previous.map_or(observation, |previous| {
+            blend(previous, observation, LEARNING_RATE)
+        });
         self.observed = Some((speed, now));
     }
 
-    /// The speed as last observed.
+    /// Returns the moving average at the last observation.
     pub(crate) fn observed(&self) -> Option<ServerSpeed> {
         self.observed.map(|(speed, _)| speed)
     }
 
-    /// The speed to reckon with now.
+    /// Returns the speed to expect now: the last observation, decayed towards the typical speed.
     ///
-    /// A server that was slow once gets no work, and so no new observation: without forgetting
-    /// it would stay idle for good after it recovered.
+    /// A server that was slow gets no requests and so no new observations. Without the decay it would
+    /// stay idle for good after it has recovered.
     pub(crate) fn expected(&self, typical: ServerSpeed, now: Instant) -> ServerSpeed {
-        let Some((speed, at)) = self.observed else {
+        let Some((speed, observed_at)) = self.observed else {
             return typical;
         };
-        let age = now.saturating_duration_since(at);
-        let forgotten = 1.0 - (-age.as_secs_f64() / FORGETTING.as_secs_f64()).exp();
+        let age = now.saturating_duration_since(observed_at);
+        let forgotten = 1.0 - (-age.as_secs_f64() / OBSERVATION_DECAY_TIME.as_secs_f64()).exp();
         blend(speed, typical, forgotten)
     }
 }
 
-fn blend(held: ServerSpeed, other: ServerSpeed, weight: f64) -> ServerSpeed {
-    let mix = |held: f64, other: f64| held + weight * (other - held);
+fn blend(from: ServerSpeed, to: ServerSpeed, weight: f64) -> ServerSpeed {
+    let mix = |from: f64, to: f64| from + weight * (to - from);
     ServerSpeed {
-        per_token: mix(held.per_token, other.per_token),
-        to_first: mix(held.to_first, other.to_first),
-        hold: mix(held.hold, other.hold),
+        per_token: mix(from.per_token, to.per_token),
+        to_first: mix(from.to_first, to.to_first),
+        service_time: mix(from.service_time, to.service_time),
     }
 }
--- a/crates/plumgate/src/route/table.rs
+++ b/crates/plumgate/src/route/table.rs
@@ -1,4 +1,4 @@
-//! All backend servers as one node sees them, and the choice among them.
+//! One node's view of all backend servers, and the choice among them.
 
 mod choose;
 
@@ -14,46 +14,46 @@
 use crate::ids::{DataCentreId, NodeId, PoolId, ServerId, TierRank};
 use crate::membership::SharingNodes;
 
-/// What a server in another data centre has to be better by.
+/// Added to the predicted wait on a server in another data centre.
 const REMOTE_PENALTY: Duration = Duration::from_millis(20);
-/// How much slower a full batch makes each answer in it.
-const BATCH_COST: f64 = 0.2;
-/// How long a server's own word that it is leaving counts.
-const SAID_LIFETIME: Duration = Duration::from_secs(10);
+/// Relative slowdown of each answer in a full batch.
+const BATCH_SLOWDOWN: f64 = 0.2;
+/// Time for which a server counts as leaving after an answer in which it said so.
+const LEAVING_LIFETIME: Duration = Duration::from_secs(10);
 /// Share of the time to the first token that a cached prefix saves.
 const PREFIX_SAVING: f64 = 0.5;
 
-/// How a server is chosen.
+/// Policy for the choice of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RoutePolicy {
-    /// Lowest predicted wait from own work, peers' work and the speed seen.
+    /// Lowest predicted wait, from this node's and other nodes' requests and the observed speed.
     #[default]
     PredictedWait,
-    /// Each server in turn: a baseline.
+    /// Each server in turn; a baseline for comparisons.
     RoundRobin,
-    /// Fewest own requests in flight: a baseline.
+    /// Fewest in-flight requests of this node; a baseline for comparisons.
     LeastInFlight,
-    /// Lowest load by the servers' own reports: a baseline.
+    /// Lowest load by the servers' own reports; a baseline for comparisons.
     LeastReported,
-    /// Any server with room: a baseline.
+    /// Random server with a free slot; a baseline for comparisons.
     Random,
 }
 
-/// What the choice depends on besides the fleet.
+/// Options of the choice of a server that are not part of the fleet configuration.
 #[derive(Clone, Debug, Default)]
 pub struct RouteOptions {
-    /// The data centre of this node.
+    /// Data centre of this node.
     pub data_centre: DataCentreId,
-    /// This node.
+    /// Id of this node.
     pub node: NodeId,
-    /// The seed of the choice among equals.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// How a server is chosen.
+    /// Policy for the choice of a server.
     pub policy: RoutePolicy,
 }
 
 impl RouteOptions {
-    /// Options for a node in a data centre.
+    /// Creates options for a node in the given data centre, with defaults for the rest.
     pub fn new(data_centre: impl Into<DataCentreId>) -> Self {
         Self {
             data_centre: data_centre.into(),
@@ -61,40 +61,40 @@
         }
     }
 
-    /// The same for a node.
+    /// Sets the id of this node.
     pub fn with_node(mut self, node: impl Into<NodeId>) -> Self {
         self.node = node.into();
         self
     }
 
-    /// The same with a seed.
+    /// Sets the seed.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// The same with a policy.
+    /// Sets the policy.
     pub fn with_policy(mut self, policy: RoutePolicy) -> Self {
         self.policy = policy;
         self
     }
 }
 
-/// Who says that a server is leaving.
+/// Source of the information that a server is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeavingSource {
-    /// The platform's list of VMs.
+    /// List of VMs of the platform.
     Platform,
-    /// An operator's drain in the configuration.
+    /// Drain set by an operator in the configuration.
     Operator,
-    /// The server itself.
+    /// Report or answer of the server itself.
     Server,
-    /// Another node.
+    /// Report of another node.
     Peer,
 }
 
 impl LeavingSource {
-    /// The word in logs.
+    /// Returns the source as written in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Platform => "platform",
@@ -105,29 +105,29 @@
     }
 }
 
-/// A peer's own work on one server.
+/// In-flight requests of one node on one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerServerLoad {
-    /// The server.
+    /// Server that the requests run on.
     pub server: ServerId,
-    /// Requests by rank, as pairs of rank and count.
+    /// Number of requests by rank, as pairs of rank and count.
     pub counts: Vec<(TierRank, u32)>,
 }
 
-/// The server chosen for a request, with what spoke for it.
+/// Server chosen for a request, with the reason for the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteChoice {
-    /// The server.
+    /// Chosen server.
     pub server: Server,
-    /// The predicted wait on it.
+    /// Predicted wait on the chosen server.
     pub wait: Duration,
-    /// The second best server and its predicted wait.
+    /// Server with the lowest predicted wait among the others, and that wait.
     pub runner_up: Option<(ServerId, Duration)>,
-    /// What decided, for the log.
+    /// Criterion that decided, for the log.
     pub reason: &'static str,
 }
 
-/// All servers of the configuration as one node sees them.
+/// One node's view of all servers of the configuration.
 #[derive(Debug)]
 pub struct RouteTable {
     options: RouteOptions,
@@ -135,15 +135,15 @@
     pools: BTreeMap<PoolId, Vec<ServerId>>,
     estimates: BTreeMap<ServerId, ServerEstimate>,
     leaving: BTreeMap<ServerId, BTreeSet<LeavingSource>>,
-    said_leaving: BTreeMap<ServerId, Instant>,
+    reported_leaving: BTreeMap<ServerId, Instant>,
     prefixes: PrefixTable,
     rng: fastrand::Rng,
-    turn: usize,
+    rotation: usize,
     shares: SlotShares,
 }
 
 impl RouteTable {
-    /// A table without servers.
+    /// Creates a table without servers.
     pub fn new(options: RouteOptions) -> Self {
         let rng = fastrand::Rng::with_seed(options.seed);
         let shares = SlotShares::new(&options.data_centre, &options.node);
@@ -153,15 +153,15 @@
             pools: BTreeMap::new(),
             estimates: BTreeMap::new(),
             leaving: BTreeMap::new(),
-            said_leaving: BTreeMap::new(),
+            reported_leaving: BTreeMap::new(),
             prefixes: PrefixTable::default(),
             rng,
-            turn: 0,
+            rotation: 0,
             shares,
         }
     }
 
-    /// Takes over a new version; what is known about servers that stay is kept.
+    /// Applies a new version of the configuration; the estimates of servers that it still lists stay.
     pub fn set_config(&mut self, config: Arc<FleetConfig>) {
         self.pools.clear();
         for server in config.inventory.servers.values() {
@@ -175,19 +175,20 @@
             .retain(|id, _| config.inventory.servers.contains_key(id));
         self.leaving
             .retain(|id, _| config.inventory.servers.contains_key(id));
-        self.shares.place(Some(&config));
+        self.shares.update_positions(Some(&config));
         self.config = Some(config);
     }
 
-    /// Says which nodes share the servers of each data centre, this one included.
+    /// Sets the nodes, this one included, that share the servers of each data centre.
     pub fn set_nodes(&mut self, groups: SharingNodes) {
         if self.shares.set_nodes(groups) {
-            self.shares.place(self.config.as_deref());
+            self.shares.update_positions(self.config.as_deref());
         }
     }
 
-    /// Marks servers as leaving by one source; servers that the source no longer names stay
-    /// only by other sources. Returns the servers whose state changed.
+    /// Sets the servers that one source reports as leaving; others stay marked only by other sources.
+    ///
+    /// Returns the servers whose state changed.
     pub fn set_leaving(
         &mut self,
         source: LeavingSource,
@@ -195,7 +196,7 @@
     ) -> Vec<ServerId> {
         let mut changed = Vec::new();
         for id in self.estimates.keys() {
-            let was = self
+            let was_leaving = self
                 .leaving
                 .get(id)
                 .is_some_and(|sources| !sources.is_empty());
@@ -205,7 +206,7 @@
             } else {
                 sources.remove(&source);
             }
-            if was == sources.is_empty() {
+            if was_leaving == sources.is_empty() {
                 changed.push(id.clone());
             }
         }
@@ -213,18 +214,18 @@
         changed
     }
 
-    /// A server said in an answer that it is leaving.
+    /// Marks a server as leaving because it said so in an answer.
     ///
-    /// The mark ends by itself: a server that came back under its old name never says so to
-    /// nodes that send it nothing. If it still leaves, the next request is refused as not run.
+    /// The mark expires: a server that comes back under its old id can't revoke it to nodes that send it
+    /// no requests. If it is still leaving, it refuses the next request without running it.
     pub fn mark_leaving(&mut self, server: &ServerId, now: Instant) {
         if self.estimates.contains_key(server) {
-            self.said_leaving
-                .insert(server.clone(), now + SAID_LIFETIME);
+            self.reported_leaving
+                .insert(server.clone(), now + LEAVING_LIFETIME);
         }
     }
 
-    /// The servers that get no new work, with who says so.
+    /// Returns the servers that get no new requests, with the sources that report them as leaving.
     pub fn leaving(&self, now: Instant) -> BTreeMap<ServerId, Vec<LeavingSource>> {
         let mut leaving: BTreeMap<ServerId, Vec<LeavingSource>> = BTreeMap::new();
         for (id, sources) in &self.leaving {
@@ -233,7 +234,7 @@
         for id in self
             .estimates
             .keys()
-            .filter(|id| self.says_leaving(id, now))
+            .filter(|id| self.reports_leaving(id, now))
         {
             leaving
                 .entry(id.clone())
@@ -250,51 +251,53 @@
         leaving
     }
 
-    /// Whether a server gets no new work.
+    /// Returns whether a server gets no new requests.
     pub fn is_leaving(&self, server: &ServerId, now: Instant) -> bool {
         self.leaving.contains_key(server)
-            || self.says_leaving(server, now)
+            || self.reports_leaving(server, now)
             || self
                 .config
                 .as_ref()
                 .is_some_and(|config| config.drained.contains(server))
     }
 
-    fn says_leaving(&self, server: &ServerId, now: Instant) -> bool {
-        self.said_leaving
+    fn reports_leaving(&self, server: &ServerId, now: Instant) -> bool {
+        self.reported_leaving
             .get(server)
             .is_some_and(|until| now < *until)
             || self
                 .estimates
                 .get(server)
-                .is_some_and(|estimate| estimate.says_leaving(now))
+                .is_some_and(|estimate| estimate.reports_leaving(now))
     }
 
-    /// Folds in a server's report.
+    /// Applies a load report of a server.
     pub fn apply_report(&mut self, server: &ServerId, report: LoadReport, now: Instant) {
         if let Some(estimate) = self.estimates.get_mut(server) {
             estimate.apply_report(report, now);
         }
     }
 
-    /// Takes in all of a peer's own work; servers that it doesn't name are free of it.
+    /// Sets the in-flight requests of another node on all servers; servers not listed have none of its
+    /// requests.
     pub fn apply_peer(&mut self, node: &NodeId, loads: &[PeerServerLoad], now: Instant) {
-        let mut named: BTreeMap<&ServerId, RankCounts> = BTreeMap::new();
+        let mut counts_by_server: BTreeMap<&ServerId, RankCounts> = BTreeMap::new();
         for load in loads {
-            let counts = named.entry(&load.server).or_default();
+            let counts = counts_by_server.entry(&load.server).or_default();
             for (rank, count) in &load.counts {
-                if let Some(slot) = counts.get_mut(usize::from(*rank)) {
-                    *slot = *count;
+                if let Some(entry) = counts.get_mut(usize::from(*rank)) {
+                    *entry = *count;
                 }
             }
         }
         for (id, estimate) in &mut self.estimates {
-            let counts = named.get(id).copied().unwrap_or_default();
+            let counts = counts_by_server.get(id).copied().unwrap_or_default();
             estimate.apply_peer(node.clone(), counts, now);
         }
     }
 
-    /// This node's own work by server, for its peers; only servers with any.
+    /// Returns this node's in-flight requests by server, to report to other nodes; servers without any
+    /// are left out.
     pub fn own_loads(&self) -> Vec<PeerServerLoad> {
         let busy = self
             .estimates
@@ -314,7 +317,7 @@
         .collect()
     }
 
-    /// Whether the pool has any server at all that may get work.
+    /// Returns whether the pool has a server that may get new requests.
     pub fn has_servers(&self, pool: &PoolId, now: Instant) -> bool {
         self.pools
             .get(pool)
@@ -323,7 +326,7 @@
             .any(|id| !self.is_leaving(id, now))
     }
 
-    /// A request was sent to a server.
+    /// Records that a request was sent to a server.
     pub fn start(&mut self, server: &ServerId, ticket: &RequestTicket, now: Instant) {
         if let Some(estimate) = self.estimates.get_mut(server) {
             estimate.start(ticket.rank);
@@ -333,14 +336,14 @@
         }
     }
 
-    /// A request left a server.
+    /// Records that a request on a server finished.
     pub fn finish(&mut self, server: &ServerId, rank: TierRank) {
         if let Some(estimate) = self.estimates.get_mut(server) {
             estimate.finish(rank);
         }
     }
 
-    /// Folds in the speed of an answer that ended well.
+    /// Records the times of a complete answer, and the success for the server's circuit breaker.
     pub fn observe(
         &mut self,
         server: &ServerId,
@@ -355,31 +358,31 @@
         }
     }
 
-    /// A new connection to a server failed.
+    /// Records a failed connection to a server.
     pub fn record_failure(&mut self, server: &ServerId, now: Instant) {
         if let Some(estimate) = self.estimates.get_mut(server) {
             estimate.circuit.record_failure(now);
         }
     }
 
-    /// A server's cache dropped a prefix.
+    /// Removes a prefix that a server dropped from its cache.
     pub fn forget_prefix(&mut self, prefix: u64, server: &ServerId) {
-        self.prefixes.forget(prefix, server);
+        self.prefixes.remove(prefix, server);
     }
 
-    /// Whether other nodes hold work of a lower tier on servers of the pool.
+    /// Returns whether other nodes run requests of a lower tier on servers of the pool.
     pub fn peers_hold_below(&self, pool: &PoolId, rank: TierRank, now: Instant) -> bool {
         let servers = self.pools.get(pool).into_iter().flatten();
         let mut estimates = servers.filter_map(|id| self.estimates.get(id));
         estimates.any(|estimate| estimate.peers_below(rank, now) > 0)
     }
 
-    /// What is believed about a server.
+    /// Returns the estimate of a server, if the configuration lists it.
     pub fn estimate(&self, server: &ServerId) -> Option<&ServerEstimate> {
         self.estimates.get(server)
     }
 
-    /// The servers whose circuit is open.
+    /// Returns the servers whose circuit breaker is open.
     pub fn open_circuits(&self, now: Instant) -> Vec<ServerId> {
         let open = self
             .estimates
--- a/crates/plumgate/src/route/table/choose.rs
+++ b/crates/plumgate/src/route/table/choose.rs
@@ -1,25 +1,28 @@
-//! The choice among the servers of a pool.
+//! Choice among the servers of a pool.
 
 use std::time::{Duration, Instant};
 
 use super::super::HIGHEST_RANK;
 use super::super::estimate::ServerEstimate;
 use super::super::speed::ServerSpeed;
-use super::{BATCH_COST, PREFIX_SAVING, REMOTE_PENALTY, RouteChoice, RoutePolicy, RouteTable};
+use super::{BATCH_SLOWDOWN, PREFIX_SAVING, REMOTE_PENALTY, RouteChoice, RoutePolicy, RouteTable};
 use crate::config::{FleetConfig, Server};
 use crate::dispatch::RequestTicket;
 use crate::ids::{ServerId, TierRank};
 
 impl RouteTable {
-    /// The best server with room for the request, if there is one.
+    /// Chooses the best server with a free slot for the request, by the route policy.
+    ///
+    /// `effective_rank` decides which slots the request may use; it differs from the ticket's rank for a
+    /// request served by its tier's floor. Returns `None` if no server has a free slot.
     pub fn choose(
         &mut self,
         ticket: &RequestTicket,
-        as_rank: TierRank,
+        effective_rank: TierRank,
         now: Instant,
     ) -> Option<RouteChoice> {
         let config = self.config.clone()?;
-        let candidates = self.candidates(&config, ticket, as_rank, now);
+        let candidates = self.candidates(&config, ticket, effective_rank, now);
         if candidates.is_empty() {
             return None;
         }
@@ -45,23 +48,23 @@
         &self,
         config: &'a FleetConfig,
         ticket: &RequestTicket,
-        as_rank: TierRank,
+        effective_rank: TierRank,
         now: Instant,
     ) -> Vec<&'a Server> {
         let pool = self.pools.get(&ticket.pool).into_iter().flatten();
         let servers = pool.filter_map(|id| config.inventory.servers.get(id));
-        let open = servers.filter(|server| self.has_room(config, server, as_rank, now));
+        let open = servers.filter(|server| self.has_room(config, server, effective_rank, now));
         let open: Vec<&Server> = open.collect();
-        // A server on which an attempt failed is used again only if there is no other.
-        let fresh: Vec<&Server> = open
+        // A server on which an attempt failed is used again only if no other has a free slot.
+        let untried: Vec<&Server> = open
             .iter()
             .copied()
             .filter(|server| !ticket.avoid.contains(&server.id))
             .collect();
-        if fresh.is_empty() { open } else { fresh }
+        if untried.is_empty() { open } else { untried }
     }
 
-    /// Whether one more request of a rank may go to the server.
+    /// Returns whether the server may get one more request of a rank.
     pub(super) fn has_room(
         &self,
         config: &FleetConfig,
@@ -76,27 +79,28 @@
             return false;
         }
         let own = estimate.own_in_flight();
-        // After a pause one request tries the server; the rest wait for how it ends.
+        // A half-open circuit lets one request through; the others wait for its outcome.
         if estimate.circuit.is_probing() {
             return own == 0;
         }
         let slots = usable_slots(config, server, rank);
-        let equal = self.shares.equal_share(server, slots);
+        let equal_share = self.shares.equal_share(server, slots);
         if rank > HIGHEST_RANK {
-            // Where peers are silent nothing is known to be free: the equal share is safe.
-            let is_blind = self.shares.has_silent(server);
-            return if is_blind {
-                own < equal
+            // While a node sends no reports, its use of the server is unknown: only the equal share is
+            // certain to be free.
+            let peers_unknown = self.shares.has_silent_node(server);
+            return if peers_unknown {
+                own < equal_share
             } else {
-                estimate.busy_for_lower(now) < slots
+                estimate.occupied_for_lower_tiers(now) < slots
             };
         }
-        // Peers' counts are late. The highest tier keeps its equal share beside others of its
-        // own, so that two nodes that see each other's old work don't both leave a free server
-        // idle. What peers hold for a lower tier they are asked to give back: beside it a
-        // request would wait within the server for as long as an overnight answer takes.
+        // Reports of other nodes lag behind. Against requests of its own tier the highest tier keeps its
+        // equal share, so that two nodes that see each other's finished requests don't both leave a free
+        // server idle. Slots that other nodes use for lower tiers are requested back by preemption: a
+        // request sent beside those would wait within the server for as long as an overnight answer takes.
         let free = slots.saturating_sub(estimate.peers_in_flight(now));
-        own < free.max(equal.saturating_sub(estimate.peers_below(rank, now)))
+        own < free.max(equal_share.saturating_sub(estimate.peers_below(rank, now)))
     }
 
     pub(super) fn score<'a>(
@@ -116,7 +120,7 @@
         candidates.iter().map(|server| score(server)).collect()
     }
 
-    /// The median speed of the candidates, for servers that this node has not seen at work.
+    /// Returns the median speed of the candidates, for servers that this node has not observed.
     pub(super) fn typical_speed(&self, candidates: &[&Server]) -> ServerSpeed {
         let estimates = candidates
             .iter()
@@ -141,10 +145,10 @@
         let speed = estimate.speed.expected(typical, now);
         let in_flight = f64::from(estimate.own_in_flight() + estimate.peers_in_flight(now));
         let occupancy = (in_flight + 1.0) / f64::from(server.slots.max(1));
-        // A batch with room makes each answer a little slower; a full one makes it wait.
-        let slowdown = 1.0 + BATCH_COST * occupancy.min(1.0);
+        // Each request in a batch slows down the others a little; a full batch makes a request wait.
+        let slowdown = 1.0 + BATCH_SLOWDOWN * occupancy.min(1.0);
         let work = speed.per_token * f64::from(ticket.expected_tokens.max(1)) * slowdown;
-        let queued = (occupancy - 1.0).max(0.0) * speed.hold;
+        let queued = (occupancy - 1.0).max(0.0) * speed.service_time;
         let saving = if cached == Some(&server.id) {
             PREFIX_SAVING
         } else {
@@ -157,13 +161,13 @@
         Duration::from_secs_f64(seconds.min(86_400.0))
     }
 
-    /// The index of the server to take, and what decided.
+    /// Returns the index of the chosen server, and the reason for the log.
     pub(super) fn pick(
         &mut self,
         scored: &[(&Server, Duration)],
         now: Instant,
     ) -> (usize, &'static str) {
-        let load = |table: &Self, of: &dyn Fn(&ServerEstimate) -> u32| {
+        let least_loaded = |table: &Self, of: &dyn Fn(&ServerEstimate) -> u32| {
             let loads = scored
                 .iter()
                 .map(|(server, _)| table.estimates.get(&server.id).map_or(0, of));
@@ -174,40 +178,44 @@
         };
         match self.options.policy {
             RoutePolicy::RoundRobin => {
-                self.turn = self.turn.wrapping_add(1);
-                (self.turn % scored.len(), "turn")
+                self.rotation = self.rotation.wrapping_add(1);
+                (self.rotation % scored.len(), "turn")
             }
             RoutePolicy::Random => (self.rng.usize(..scored.len()), "random"),
             RoutePolicy::LeastInFlight => (
-                load(self, &ServerEstimate::own_in_flight),
+                least_loaded(self, &ServerEstimate::own_in_flight),
                 "least_in_flight",
             ),
             RoutePolicy::LeastReported => (
-                load(self, &|estimate| estimate.reported(now).unwrap_or(0)),
+                least_loaded(self, &|estimate| estimate.reported(now).unwrap_or(0)),
                 "least_reported",
             ),
             RoutePolicy::PredictedWait => self.pick_lowest(scored),
         }
     }
 
-    /// Equals are drawn by lot, so that nodes with the same view don't choose the same server.
+    /// Picks the server with the lowest predicted wait.
+    ///
+    /// Ties are broken at random, so that nodes with the same view don't choose the same server.
     pub(super) fn pick_lowest(&mut self, scored: &[(&Server, Duration)]) -> (usize, &'static str) {
         let lowest = scored
             .iter()
             .map(|(_, wait)| *wait)
             .min()
             .unwrap_or_default();
-        let equals = scored
+        let ties = scored
             .iter()
             .enumerate()
             .filter(|(_, (_, wait))| *wait == lowest);
-        let equals: Vec<usize> = equals.map(|(index, _)| index).collect();
-        let drawn = self.rng.usize(..equals.len().max(1));
-        (equals.get(drawn).copied().unwrap_or(0), "lowest_wait")
+        let ties: Vec<usize> = ties.map(|(index, _)| index).collect();
+        let chosen = self.rng.usize(..ties.len().max(1));
+        (ties.get(chosen).copied().unwrap_or(0), "lowest_wait")
     }
 }
 
-/// The slots that a rank may fill: lower tiers leave a reserve for a burst of the highest.
+/// Returns the number of slots that a rank may use.
+///
+/// Lower tiers leave a reserve for bursts of the highest tier, but may use at least one slot.
 fn usable_slots(config: &FleetConfig, server: &Server, rank: TierRank) -> u32 {
     if rank <= HIGHEST_RANK {
         return server.slots;
