--- a/crates/plumgate/src/attempt.rs
+++ b/crates/plumgate/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One request on its way through one node, as `charts/attempt.toml` allows it.
+//! State of one request on one node, following the state chart `charts/attempt.toml`.
 
 use std::sync::{Arc, LazyLock};
 
@@ -7,7 +7,7 @@
 use crate::ids::{AttemptNumber, ServerId};
 use crate::outcome::RunOutcome;
 
-/// The text of the chart.
+/// Text of the state chart of a request.
 pub const ATTEMPT_CHART: &str = include_str!("../charts/attempt.toml");
 
 static CHART: LazyLock<Arc<StateChart>> = LazyLock::new(|| {
@@ -15,33 +15,33 @@
     Arc::new(chart.expect("the chart is part of the program and checked by its tests"))
 });
 
-/// What happens to a request on its way.
+/// Event in the processing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEvent {
     /// A server was chosen.
     Dispatched,
-    /// No connection to the server came about.
+    /// The connection to the server could not be established.
     ConnectFailed,
-    /// The first byte of the request is about to leave.
+    /// The first byte of the request is about to be sent.
     FirstByte,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     ServerRefused,
-    /// The head of the answer came.
+    /// The response head arrived.
     HeadReceived,
-    /// The connection broke or went silent.
+    /// The connection broke or stopped delivering data.
     Cut,
-    /// The same run goes on over another connection.
+    /// The same run continues over another connection.
     Resumed,
-    /// The request is put back to be run another time.
+    /// The request is queued again for another run.
     RunAgain,
-    /// The answer came whole.
+    /// The response is complete.
     Finished,
-    /// The node or the caller gave the request up.
+    /// The node or the caller abandoned the request.
     GivenUp,
 }
 
 impl AttemptEvent {
-    /// The event's name in the chart.
+    /// Returns the name of the event in the chart.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Dispatched => "dispatched",
@@ -58,7 +58,7 @@
     }
 }
 
-/// The progress of one request.
+/// Progress of one request through its attempts.
 #[derive(Clone, Debug)]
 pub struct AttemptRun {
     run: ChartRun,
@@ -73,7 +73,7 @@
 }
 
 impl AttemptRun {
-    /// A request that nothing was done for yet.
+    /// Creates the state of a request that has not been dispatched yet.
     pub fn new() -> Self {
         Self {
             run: ChartRun::new(CHART.clone()),
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Follows an event.
+    /// Applies an event; fails if the current state does not expect it.
     pub fn apply(&mut self, event: AttemptEvent) -> Result<()> {
         self.run.apply(event.as_str())
     }
 
-    /// Starts the next attempt, on a server.
+    /// Starts the next attempt, on the given server.
     pub fn dispatch(&mut self, server: ServerId) -> Result<()> {
         self.apply(AttemptEvent::Dispatched)?;
         self.number += 1;
@@ -95,23 +95,23 @@
         Ok(())
     }
 
-    /// The number of the current attempt, 0 before the first.
+    /// Returns the number of the current attempt, 0 before the first.
     pub fn number(&self) -> AttemptNumber {
         self.number
     }
 
-    /// The servers that were tried, in order.
+    /// Returns the servers that were tried, in order.
     pub fn tried(&self) -> &[ServerId] {
         &self.tried
     }
 
-    /// What the caller would be told if the request were given up now.
+    /// Returns the outcome that the caller gets if the request is abandoned now.
     pub fn outcome(&self) -> RunOutcome {
-        // Every state of the chart names its outcome; a state without one would be in doubt.
+        // Every state of the chart names its outcome; a state without one counts as an in-doubt run.
         self.run.outcome().unwrap_or(RunOutcome::Unknown)
     }
 
-    /// The name of the state in the chart.
+    /// Returns the name of the current state in the chart.
     pub fn state(&self) -> &str {
         self.run.state()
     }
--- a/crates/plumgate/src/chart.rs
+++ b/crates/plumgate/src/chart.rs
@@ -1,31 +1,31 @@
-//! State charts, kept in files and interpreted.
+//! State charts: read from TOML files, checked and interpreted.
 //!
-//! A chart names its states, the events that each state expects, and what follows.
-//! Reading one refuses unknown names, unreachable states and states without a way out.
+//! A chart names its states, the events that each state expects, and the state that follows. Reading a
+//! chart rejects unknown names, unreachable states and states from which no end state can be reached.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::config::TableReader;
-use crate::config::{Placed, SourceFile};
+use crate::config::{Located, SourceFile};
 use crate::errors::{Error, Result};
 use crate::outcome::RunOutcome;
 
-/// The text of the chart of a node's life.
+/// Text of the state chart of a node's lifecycle.
 pub const NODE_CHART: &str = include_str!("../charts/node.toml");
 
-/// One state of a chart.
+/// State of a chart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChartState {
-    /// What follows on each event, by name.
+    /// Target state by event name.
     transitions: BTreeMap<String, String>,
-    /// Whether the chart ends here.
+    /// Whether this is an end state.
     is_end: bool,
-    /// What a caller is told when its request ends here.
+    /// Outcome that a caller gets when its request ends in this state.
     outcome: Option<RunOutcome>,
 }
 
-/// A checked chart.
+/// State chart that passed all checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateChart {
     name: String,
@@ -34,7 +34,7 @@
 }
 
 impl StateChart {
-    /// Reads and checks the text of a chart file; all findings come back together.
+    /// Reads and checks the text of a chart file; an error holds all findings.
     pub fn read(file: &str, text: &str) -> Result<Self> {
         let source = SourceFile::new(file, text);
         let table = source.parse();
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The name of the chart.
+    /// Returns the name of the chart.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -66,13 +66,13 @@
     }
     let start = start?;
     root.check_name(&start, "state", &known);
-    let reachable = reach(&start.value, |state| targets(&states, state));
-    let leads_out = states_that_end(&states);
+    let reachable = reachable_from(&start.value, |state| targets(&states, state));
+    let ending = states_with_end(&states);
     for (name, reader) in readers {
         if !reachable.contains(&name) {
             reader.report("can't be reached from the start");
         }
-        if !leads_out.contains(&name) {
+        if !ending.contains(&name) {
             reader.report("has no way to an end");
         }
         reader.finish();
@@ -86,7 +86,7 @@
 
 fn read_state(reader: &TableReader<'_, '_>, known: &[&str]) -> ChartState {
     let mut transitions = BTreeMap::new();
-    for (event, target) in reader.string_fields("on") {
+    for (event, target) in reader.string_table("on") {
         reader.check_name(&target, "state", known);
         transitions.insert(event, target.value);
     }
@@ -100,7 +100,7 @@
     }
 }
 
-fn read_outcome(reader: &TableReader<'_, '_>, word: &Placed<String>) -> Option<RunOutcome> {
+fn read_outcome(reader: &TableReader<'_, '_>, word: &Located<String>) -> Option<RunOutcome> {
     let outcomes = [
         RunOutcome::NotRun,
         RunOutcome::Answered,
@@ -119,16 +119,20 @@
     })
 }
 
-fn states_that_end(states: &BTreeMap<String, ChartState>) -> BTreeSet<String> {
-    let leads = |name: &String| {
-        reach(name, |state| targets(states, state))
+fn states_with_end(states: &BTreeMap<String, ChartState>) -> BTreeSet<String> {
+    let can_end = |name: &String| {
+        reachable_from(name, |state| targets(states, state))
             .iter()
             .any(|state| states.get(state).is_some_and(|state| state.is_end))
     };
-    states.keys().filter(|name| leads(name)).cloned().collect()
+    states
+        .keys()
+        .filter(|name| can_end(name))
+        .cloned()
+        .collect()
 }
 
-fn reach(start: &str, next: impl Fn(&str) -> Vec<String>) -> BTreeSet<String> {
+fn reachable_from(start: &str, next: impl Fn(&str) -> Vec<String>) -> BTreeSet<String> {
     let mut reached = BTreeSet::from([start.to_owned()]);
     let mut open = vec![start.to_owned()];
     while let Some(state) = open.pop() {
@@ -141,7 +145,7 @@
     reached
 }
 
-/// A place in a chart, moved by events.
+/// Current state in a chart, changed by events.
 #[derive(Clone, Debug)]
 pub struct ChartRun {
     chart: Arc<StateChart>,
@@ -149,13 +153,13 @@
 }
 
 impl ChartRun {
-    /// A run that stands at the start of the chart.
+    /// Creates a run in the start state of the chart.
     pub fn new(chart: Arc<StateChart>) -> Self {
         let state = chart.start.clone();
         Self { chart, state }
     }
 
-    /// Follows an event; an unexpected one changes nothing and is an error.
+    /// Applies an event; an unexpected one changes nothing and is an error.
     pub fn apply(&mut self, event: &str) -> Result<()> {
         let next = self
             .current()
@@ -169,23 +173,23 @@
         }
     }
 
-    /// Whether the current state expects an event.
+    /// Returns whether the current state expects the event.
     pub fn expects(&self, event: &str) -> bool {
         self.current()
             .is_some_and(|state| state.transitions.contains_key(event))
     }
 
-    /// The name of the current state.
+    /// Returns the name of the current state.
     pub fn state(&self) -> &str {
         &self.state
     }
 
-    /// Whether the run has ended.
+    /// Returns whether the current state is an end state.
     pub fn is_ended(&self) -> bool {
         self.current().is_some_and(|state| state.is_end)
     }
 
-    /// What the current state says about the run of a request.
+    /// Returns the outcome that the chart gives for the current state.
     pub fn outcome(&self) -> Option<RunOutcome> {
         self.current().and_then(|state| state.outcome)
     }
--- a/crates/plumgate/src/claim.rs
+++ b/crates/plumgate/src/claim.rs
@@ -1,65 +1,67 @@
-//! At most one run of a request over all nodes: who may run a key.
+//! Claims of idempotency keys: at most one run of a request over all nodes.
 //!
-//! Before the first byte of a non-idempotent request goes to a server, its node claims
-//! the key by a conditional write to the platform's table. Claims are never taken over:
-//! what a dead claimer did is unknown, and stays so until the key's lifetime ends.
+//! Before the first byte of a non-idempotent request goes to a server, its node claims the key by a
+//! conditional write to the platform's table. Claims are never taken over: whether a claimer that
+//! crashed ran its request is unknown, and stays so until the key's lifetime ends.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::WorkspaceId;
 use crate::outcome::RunOutcome;
 
-/// Unanswered writes and reads after which a claim is given up.
-const TRIES_MOST: u32 = 4;
+/// Unanswered writes and reads after which a claim is abandoned.
+const MAX_TRIES: u32 = 4;
 
 /// Version of a row in the platform's table.
 pub type RowVersion = u64;
 
-/// The row of one key.
+/// Row of one key in the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// The id of the attempt that claimed the key; unique over all nodes and times.
+    /// Id of the attempt that claimed the key; never used twice, on any node.
     pub claimer: String,
-    /// The node of the claimer.
+    /// Node of the claimer.
     pub node: String,
-    /// A digest of the request, since one key must name one request.
+    /// Digest of the request, to detect a key that is reused for another request.
     pub request_digest: String,
-    /// What is known of the run.
+    /// What is known about the run.
     pub state: ClaimState,
 }
 
-/// What is known of the run of a claimed key.
+/// What is known about the run of a claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
     /// The claimer may be running the request.
     Claimed,
-    /// The answer is kept in the object store under this name.
+    /// The response is stored in the object store under this name.
     Answered(String),
-    /// The claimer ended without an answer; the request may have run.
+    /// The claimer ended without a response; the request may have run.
     Unknown,
-    /// The claimer surely did not run the request: the key may be claimed again.
+    /// The claimer did not run the request: the key may be claimed again.
     NotRun,
 }
 
-/// What the claim's owner is to do.
+/// Next step of the driver of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Write the row if there is none, or if it still has this version.
+    /// Write the row: with a version, only if the stored row still has it; without, only if there is no
+    /// row.
     Put(ClaimRow, Option<RowVersion>),
     /// Read the row.
     Read,
-    /// The key is this attempt's: run the request. The row has this version.
+    /// The key belongs to this attempt: run the request. The row has this version.
     Granted(RowVersion),
     /// Another attempt holds the key.
     Taken(ClaimRow),
     /// The key was used for another request.
     Mismatched,
-    /// No claim is possible; the request is refused as not run.
+    /// The key can't be claimed; the request is refused as not run.
     Unavailable,
 }
 
-/// The name of a key's row: workspaces never share rows, whatever their keys are.
+/// Returns the name of a key's row. It is derived from workspace and key, so that workspaces never share
+/// a row.
 pub fn claim_row_name(workspace: &WorkspaceId, key: &str) -> String {
     use sha2::{Digest, Sha256};
     let digest = Sha256::new()
@@ -69,7 +71,7 @@
     crate::config::hex(&digest.finalize())
 }
 
-/// One attempt to claim one key.
+/// State of one attempt to claim one key.
 #[derive(Clone, Debug)]
 pub struct ClaimRun {
     row: ClaimRow,
@@ -77,7 +79,7 @@
 }
 
 impl ClaimRun {
-    /// A claim by an attempt.
+    /// Creates a claim of the attempt `claimer`.
     pub fn new(
         claimer: impl Into<String>,
         node: impl Into<String>,
@@ -92,33 +94,33 @@
         Self { row, tries: 0 }
     }
 
-    /// The first step.
+    /// Returns the first action.
     pub fn start(&self) -> ClaimAction {
         ClaimAction::Put(self.row.clone(), None)
     }
 
-    /// The write took effect.
+    /// Handles a write that took effect.
     pub fn apply_written(&self, version: RowVersion) -> ClaimAction {
         ClaimAction::Granted(version)
     }
 
-    /// A write or a read got no answer, so that nobody knows whether it took effect.
+    /// Handles a write or read without a response; whether a write took effect is unknown.
     ///
-    /// The row is read back: writing again blindly would find this attempt's own claim and
-    /// refuse its own request.
+    /// The row is read back: a repeated write would be refused because of this attempt's own claim, and
+    /// the attempt would refuse its own request.
     pub fn apply_unanswered(&mut self) -> ClaimAction {
         self.tries += 1;
-        if self.tries >= TRIES_MOST {
+        if self.tries >= MAX_TRIES {
             return ClaimAction::Unavailable;
         }
         ClaimAction::Read
     }
 
-    /// The row as it stands, read back or told by a refused write.
+    /// Handles the current row, read back or returned by a refused write.
     pub fn apply_row(&mut self, found: Option<(ClaimRow, RowVersion)>) -> ClaimAction {
         let Some((row, version)) = found else {
             self.tries += 1;
-            if self.tries >= TRIES_MOST {
+            if self.tries >= MAX_TRIES {
                 return ClaimAction::Unavailable;
             }
             return ClaimAction::Put(self.row.clone(), None);
@@ -135,12 +137,12 @@
         ClaimAction::Taken(row)
     }
 
-    /// Whether a row is this attempt's claim.
+    /// Returns whether the row is this attempt's claim.
     pub fn owns(&self, row: &ClaimRow) -> bool {
         row.claimer == self.row.claimer
     }
 
-    /// The row after the attempt ended without a kept answer.
+    /// Returns the row to write after the attempt ended without a stored response.
     pub fn ended(&self, outcome: RunOutcome) -> ClaimRow {
         let state = match outcome {
             RunOutcome::NotRun => ClaimState::NotRun,
@@ -152,7 +154,7 @@
         }
     }
 
-    /// The row after the answer was kept under a name.
+    /// Returns the row to write after the response was stored as `object`.
     pub fn answered(&self, object: impl Into<String>) -> ClaimRow {
         ClaimRow {
             state: ClaimState::Answered(object.into()),
--- a/crates/plumgate/src/config/bundle.rs
+++ b/crates/plumgate/src/config/bundle.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration, as it is kept and as it is used.
+//! One version of the configuration, as stored and as used.
 
 use std::collections::BTreeSet;
 
@@ -16,20 +16,20 @@
 /// Name of the rules in findings.
 pub const RULES_FILE: &str = "rules.toml";
 
-/// The texts of one version, as the object store keeps them.
+/// Texts of one version, as stored in the object store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigBundle {
-    /// The text of the inventory.
+    /// Text of the inventory.
     pub inventory: String,
-    /// The text of the rules.
+    /// Text of the rules.
     pub rules: String,
-    /// The backend servers that an operator drains.
+    /// Backend servers that an operator drains.
     #[serde(default)]
     pub drained: BTreeSet<String>,
 }
 
 impl ConfigBundle {
-    /// A bundle of two texts, with nothing drained.
+    /// Creates a bundle of two texts, without drained servers.
     pub fn new(inventory: impl Into<String>, rules: impl Into<String>) -> Self {
         Self {
             inventory: inventory.into(),
@@ -38,19 +38,19 @@
         }
     }
 
-    /// The same bundle with these servers drained.
+    /// Returns the bundle with these servers drained.
     pub fn with_drained(mut self, drained: impl IntoIterator<Item = String>) -> Self {
         self.drained = drained.into_iter().collect();
         self
     }
 
-    /// The digest of the bundle, which is also its name in the object store.
+    /// Returns the digest of the bundle, which is also its name in the object store.
     pub fn digest(&self) -> String {
         let body = serde_json::to_vec(self).unwrap_or_default();
         hex(&Sha256::digest(body))
     }
 
-    /// Reads both texts; all findings come back together.
+    /// Reads and checks both texts; an error holds all findings.
     pub fn read(&self, version: ConfigVersion) -> Result<FleetConfig> {
         let (rules, mut findings) = read_rules(RULES_FILE, &self.rules);
         let tiers: Vec<&str> = rules.tiers.keys().map(AsRef::as_ref).collect();
@@ -80,8 +80,8 @@
             }
             let known = inventory.servers.keys().map(AsRef::as_ref);
             let mut message = format!("\"{name}\" is not a backend server");
-            if let Some(near) = nearest_name(name, known) {
-                message.push_str(&format!("; did you mean \"{near}\"?"));
+            if let Some(similar) = nearest_name(name, known) {
+                message.push_str(&format!("; did you mean \"{similar}\"?"));
             }
             findings.push(FileFinding {
                 file: "drained".to_owned(),
@@ -97,24 +97,24 @@
     }
 }
 
-/// One version of the configuration, checked and ready for use.
+/// Version of the configuration, checked and ready for use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// The version, which only goes up.
+    /// Version, which only increases.
     pub version: ConfigVersion,
-    /// What stands where.
+    /// Data centres, backend servers and workspaces.
     pub inventory: FleetInventory,
-    /// How it is served.
+    /// Tiers, classes, services and limits of a node.
     pub rules: FleetRules,
-    /// The servers that get no new work by an operator's order.
+    /// Servers that an operator drains: they get no new requests.
     pub drained: BTreeSet<ServerId>,
 }
 
 impl FleetConfig {
-    /// The workspace that an API key belongs to.
+    /// Returns the workspace of an API key.
     ///
-    /// The key itself is never compared: its digest is looked up, so the time that
-    /// the look-up takes tells nothing about the digits of any key.
+    /// The key is looked up by its digest and never compared itself, so that the duration of the look-up
+    /// reveals nothing about any key.
     pub fn workspace_of(&self, key: &str) -> Option<&Workspace> {
         use subtle::ConstantTimeEq;
         let digest = key_digest(key);
@@ -123,8 +123,8 @@
         equal.then(|| self.inventory.workspaces.get(id)).flatten()
     }
 
-    /// The rank at which a workspace's request of a class is served: the lower
-    /// of what the class asks for and what the workspace pays for.
+    /// Returns the rank of a workspace's request of a class: the lower of the class's tier and the tier
+    /// that the workspace pays for.
     pub fn rank_of(&self, workspace: &Workspace, class: &RequestClass) -> TierRank {
         let rank = |tier| {
             self.rules
@@ -135,7 +135,7 @@
         rank(&workspace.tier).max(rank(&class.tier))
     }
 
-    /// The servers of a pool.
+    /// Returns the servers of a pool.
     pub fn pool<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Server> {
         self.inventory
             .servers
--- a/crates/plumgate/src/config/diff.rs
+++ b/crates/plumgate/src/config/diff.rs
@@ -1,18 +1,18 @@
-//! What changes between two versions of the configuration.
+//! Differences between two versions of the configuration.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Debug};
 
 use super::bundle::FleetConfig;
 
-/// One entry that differs between two versions.
+/// Entry that differs between two versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigChange {
-    /// An entry that only the new version has.
+    /// Entry that only the new version has.
     Added(String),
-    /// An entry that only the old version has.
+    /// Entry that only the old version has.
     Removed(String),
-    /// An entry that both have, with the old and the new text.
+    /// Entry of both versions: name, old text and new text.
     Changed(String, String, String),
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// All entries that differ, by kind and name.
+/// Returns all entries that differ, by kind and name.
 pub fn config_changes(old: &FleetConfig, new: &FleetConfig) -> Vec<ConfigChange> {
     let mut changes = Vec::new();
     compare(
@@ -102,12 +102,12 @@
     changes: &mut Vec<ConfigChange>,
 ) {
     for (name, before) in old {
-        let name_of = format!("{kind}.{name}");
+        let path = format!("{kind}.{name}");
         match new.get(name) {
-            None => changes.push(ConfigChange::Removed(name_of)),
+            None => changes.push(ConfigChange::Removed(path)),
             Some(after) if after != before => {
                 let (before, after) = (format!("{before:?}"), format!("{after:?}"));
-                changes.push(ConfigChange::Changed(name_of, before, after));
+                changes.push(ConfigChange::Changed(path, before, after));
             }
             Some(_) => {}
         }
--- a/crates/plumgate/src/config/inventory.rs
+++ b/crates/plumgate/src/config/inventory.rs
@@ -1,22 +1,22 @@
-//! The inventory: data centres, backend servers and workspaces, from the asset register.
+//! Inventory: data centres, backend servers and workspaces, from the asset register.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
 use sha2::{Digest, Sha256};
 
-use super::reader::{Placed, SourceFile, TableReader};
+use super::reader::{Located, SourceFile, TableReader};
 use crate::findings::FindingList;
 use crate::ids::{DataCentreId, PoolId, ServerId, TierId, WorkspaceId};
 
-/// Most requests that one backend server may be said to hold at once.
-const MOST_SLOTS: u64 = 4096;
-/// Most of any workspace limit.
-const MOST_LIMIT: u64 = 1_000_000;
+/// Largest number of slots of one backend server.
+const MAX_SLOTS: u64 = 4096;
+/// Largest value of any workspace limit.
+const MAX_LIMIT: u64 = 1_000_000;
 /// Length of a SHA-256 digest in hexadecimal digits.
 const DIGEST_DIGITS: usize = 64;
 
-/// What stands in the inventory.
+/// Contents of the inventory.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetInventory {
     /// The data centres by name.
@@ -29,28 +29,28 @@
     pub keys: HashMap<String, WorkspaceId>,
 }
 
-/// One data centre.
+/// Data centre.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DataCentre {
-    /// The region that the data centre belongs to.
+    /// Region that the data centre belongs to.
     pub region: String,
 }
 
-/// What a backend server is.
+/// Kind of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerKind {
-    /// A model engine, which batches, streams, resumes and cancels.
+    /// Model engine: batches requests, streams responses, resumes and cancels runs.
     Engine,
-    /// A plain service beside the model engines.
+    /// Plain service beside the model engines.
     Service,
 }
 
-/// One backend server.
+/// Backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
     /// The name of the server.
     pub id: ServerId,
-    /// The data centre that holds the server.
+    /// The data centre of the server.
     pub data_centre: DataCentreId,
     /// Whether the server is an engine or a plain service.
     pub kind: ServerKind,
@@ -58,36 +58,36 @@
     pub pool: PoolId,
     /// The address that the server listens on.
     pub address: SocketAddr,
-    /// How many requests the server works on at once.
+    /// How many requests the server processes concurrently.
     pub slots: u32,
-    /// Whether the server refuses an order with an old fencing number.
+    /// Whether the server refuses an order with an outdated fencing number.
     pub checks_fencing: bool,
 }
 
-/// One workspace, which is one customer's share of the fleet.
+/// Workspace, which is one customer's share of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
     /// The name of the workspace.
     pub id: WorkspaceId,
-    /// The best tier that the workspace pays for.
+    /// The highest tier that the workspace pays for.
     pub tier: TierId,
     /// How many requests the workspace may have in flight over all nodes.
     pub concurrency: u32,
-    /// How many requests the workspace may start a second over all nodes.
+    /// How many requests the workspace may start per second over all nodes.
     pub requests_per_second: u32,
 }
 
-/// The digest under which an API key stands in the inventory.
+/// Returns the digest under which an API key is listed in the inventory.
 pub fn key_digest(key: &str) -> String {
     hex(&Sha256::digest(key.as_bytes()))
 }
 
-/// Lower-case hexadecimal digits of some bytes.
+/// Returns the bytes in lower-case hexadecimal digits.
 pub(crate) fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Reads an inventory; findings come back together with what could be read.
+/// Reads an inventory; returns what could be read and all findings.
 pub(super) fn read_inventory(
     name: &str,
     text: &str,
@@ -107,7 +107,9 @@
 
 fn read_data_centres(root: &TableReader<'_, '_>, inventory: &mut FleetInventory) {
     for (name, reader) in root.tables("data_centres") {
-        let region = reader.required_string("region").map(|placed| placed.value);
+        let region = reader
+            .required_string("region")
+            .map(|located| located.value);
         let data_centre = DataCentre {
             region: region.unwrap_or_default(),
         };
@@ -120,7 +122,7 @@
     let mut addresses: BTreeMap<SocketAddr, String> = BTreeMap::new();
     for (name, reader) in root.tables("servers") {
         if let Some(server) = read_server(&name, &reader, inventory) {
-            // One address under two names would be given twice its load.
+            // A server that is listed under two names would get twice its load.
             if let Some(other) = addresses.insert(server.address, name.clone()) {
                 let message = format!("has the address {} of \"{other}\"", server.address);
                 reader.report(&message);
@@ -137,11 +139,11 @@
     inventory: &FleetInventory,
 ) -> Option<Server> {
     let known: Vec<&str> = inventory.data_centres.keys().map(AsRef::as_ref).collect();
-    let data_centre = reader.required_name_of("data_centre", "data centre", &known);
+    let data_centre = reader.required_known_name("data_centre", "data centre", &known);
     let address = reader
         .required_string("address")
         .and_then(|text| read_address(reader, &text));
-    let slots = reader.required_integer("slots", MOST_SLOTS) as u32;
+    let slots = reader.required_integer("slots", MAX_SLOTS) as u32;
     let checks_fencing = reader.boolean("checks_fencing", false);
     let model = reader.string("model");
     let service = reader.string("service");
@@ -164,11 +166,11 @@
     })
 }
 
-fn read_address(reader: &TableReader<'_, '_>, text: &Placed<String>) -> Option<SocketAddr> {
+fn read_address(reader: &TableReader<'_, '_>, text: &Located<String>) -> Option<SocketAddr> {
     let address = text.value.parse().ok();
     if address.is_none() {
         let message = format!("\"{}\" is not an IP number with a port", text.value);
-        reader.report_placed(text, message);
+        reader.report_value(text, message);
     }
     address
 }
@@ -177,13 +179,13 @@
     for (name, reader) in root.tables("workspaces") {
         let id: WorkspaceId = name.as_str().into();
         let tier = reader
-            .required_name_of("tier", "tier", tiers)
+            .required_known_name("tier", "tier", tiers)
             .unwrap_or_default();
         let workspace = Workspace {
             id: id.clone(),
             tier: tier.into(),
-            concurrency: reader.required_integer("concurrency", MOST_LIMIT) as u32,
-            requests_per_second: reader.required_integer("requests_per_second", MOST_LIMIT) as u32,
+            concurrency: reader.required_integer("concurrency", MAX_LIMIT) as u32,
+            requests_per_second: reader.required_integer("requests_per_second", MAX_LIMIT) as u32,
         };
         for digest in reader.strings("key_digests") {
             read_key(&reader, &digest, &id, inventory);
@@ -195,7 +197,7 @@
 
 fn read_key(
     reader: &TableReader<'_, '_>,
-    digest: &Placed<String>,
+    digest: &Located<String>,
     workspace: &WorkspaceId,
     inventory: &mut FleetInventory,
 ) {
@@ -206,14 +208,14 @@
             .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
     if !well_formed {
         let message = "is not a SHA-256 digest in lower-case hexadecimal; see plumgate key-digest";
-        reader.report_placed(digest, message.to_owned());
+        reader.report_value(digest, message.to_owned());
         return;
     }
-    // One key in two workspaces would mix two customers' data.
+    // A key in two workspaces would mix the data of two customers.
     if let Some(other) = inventory
         .keys
         .insert(digest.value.clone(), workspace.clone())
     {
-        reader.report_placed(digest, format!("already names workspace \"{other}\""));
+        reader.report_value(digest, format!("already names workspace \"{other}\""));
     }
 }
--- a/crates/plumgate/src/config/reader.rs
+++ b/crates/plumgate/src/config/reader.rs
@@ -1,4 +1,4 @@
-//! Reads TOML tables field by field and keeps every finding with its line.
+//! Reader of TOML tables, field by field, that records every finding with its line.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 
 use crate::findings::{FileFinding, FindingList, nearest_name};
 
-/// One file of the configuration and the findings about it.
+/// File of the configuration with the findings about it.
 pub(crate) struct SourceFile<'a> {
     name: &'a str,
     text: &'a str,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> SourceFile<'a> {
-    /// A file that is read under this name.
+    /// Creates a file with this name for findings.
     pub(crate) fn new(name: &'a str, text: &'a str) -> Self {
         Self {
             name,
@@ -51,15 +51,15 @@
         });
     }
 
-    /// All findings so far.
+    /// Returns all findings so far.
     pub(crate) fn into_findings(self) -> FindingList {
         self.findings.into_inner()
     }
 }
 
-/// A value together with the byte offset where it stands.
-pub(crate) struct Placed<T> {
-    /// The value as read.
+/// Value with its location in the file.
+pub(crate) struct Located<T> {
+    /// Value as read.
     pub(crate) value: T,
     /// Byte offset in the file.
     pub(crate) offset: usize,
@@ -67,17 +67,17 @@
     pub(crate) field: String,
 }
 
-/// Reads one table; remembers which fields were asked for.
+/// Reader of one table, which records the fields that were requested.
 pub(crate) struct TableReader<'f, 't> {
     source: &'f SourceFile<'t>,
     table: &'f DeTable<'t>,
     path: String,
     offset: usize,
-    asked: RefCell<BTreeSet<&'static str>>,
+    requested: RefCell<BTreeSet<&'static str>>,
 }
 
 impl<'f, 't> TableReader<'f, 't> {
-    /// A reader of the root table.
+    /// Creates a reader of the root table.
     pub(crate) fn new(source: &'f SourceFile<'t>, table: &'f Spanned<DeTable<'t>>) -> Self {
         Self::with_path(source, table.get_ref(), String::new(), table.span().start)
     }
@@ -93,22 +93,22 @@
             table,
             path,
             offset,
-            asked: RefCell::default(),
+            requested: RefCell::default(),
         }
     }
 
-    /// The named tables below a field, each with its reader.
+    /// Returns the named tables below a field, each with its reader.
     pub(crate) fn tables(&self, field: &'static str) -> Vec<(String, TableReader<'f, 't>)> {
         let Some(value) = self.find(field) else {
             return Vec::new();
         };
         let DeValue::Table(table) = value.get_ref() else {
-            self.wrong_type::<()>(field, value, "a table");
+            self.report_wrong_type::<()>(field, value, "a table");
             return Vec::new();
         };
         let mut readers = Vec::new();
         for (name, entry) in table.iter() {
-            let path = format!("{}.{}", self.path_of(field), name.get_ref());
+            let path = format!("{}.{}", self.path_to(field), name.get_ref());
             match entry.get_ref() {
                 DeValue::Table(inner) => {
                     let offset = name.span().start;
@@ -118,37 +118,37 @@
                 other => self.source.report(
                     entry.span().start,
                     &path,
-                    format!("is {}, where a table belongs", other.type_str()),
+                    format!("has type {}, expected a table", other.type_str()),
                 ),
             }
         }
         readers
     }
 
-    /// A text field.
-    pub(crate) fn string(&self, field: &'static str) -> Option<Placed<String>> {
+    /// Returns a string field, if present.
+    pub(crate) fn string(&self, field: &'static str) -> Option<Located<String>> {
         let value = self.find(field)?;
         match value.get_ref() {
-            DeValue::String(text) => Some(self.placed(field, value, text.to_string())),
-            _ => self.wrong_type(field, value, "a text"),
+            DeValue::String(text) => Some(self.located(field, value, text.to_string())),
+            _ => self.report_wrong_type(field, value, "a string"),
         }
     }
 
-    /// A text field that must be there.
-    pub(crate) fn required_string(&self, field: &'static str) -> Option<Placed<String>> {
+    /// Returns a string field; records a finding if it is missing.
+    pub(crate) fn required_string(&self, field: &'static str) -> Option<Located<String>> {
         if self.find(field).is_none() {
-            self.missing(field);
+            self.report_missing(field);
         }
         self.string(field)
     }
 
-    /// All texts of a table below a field, by name.
-    pub(crate) fn string_fields(&self, field: &'static str) -> Vec<(String, Placed<String>)> {
+    /// Returns all strings of a table below a field, by name.
+    pub(crate) fn string_table(&self, field: &'static str) -> Vec<(String, Located<String>)> {
         let Some(value) = self.find(field) else {
             return Vec::new();
         };
         let DeValue::Table(table) = value.get_ref() else {
-            self.wrong_type::<()>(field, value, "a table");
+            self.report_wrong_type::<()>(field, value, "a table");
             return Vec::new();
         };
         let mut fields = Vec::new();
@@ -156,77 +156,77 @@
             let path = format!("{field}.{}", name.get_ref());
             match entry.get_ref() {
                 DeValue::String(text) => {
-                    let placed = self.placed(&path, entry, text.to_string());
-                    fields.push((name.get_ref().to_string(), placed));
+                    let located = self.located(&path, entry, text.to_string());
+                    fields.push((name.get_ref().to_string(), located));
                 }
                 _ => {
-                    self.wrong_type::<()>(&path, entry, "a text");
+                    self.report_wrong_type::<()>(&path, entry, "a string");
                 }
             }
         }
         fields
     }
 
-    /// A list of texts; empty where the field is missing.
-    pub(crate) fn strings(&self, field: &'static str) -> Vec<Placed<String>> {
+    /// Returns a list of strings; empty if the field is missing.
+    pub(crate) fn strings(&self, field: &'static str) -> Vec<Located<String>> {
         let Some(value) = self.find(field) else {
             return Vec::new();
         };
         let DeValue::Array(array) = value.get_ref() else {
-            self.wrong_type::<()>(field, value, "a list of texts");
+            self.report_wrong_type::<()>(field, value, "a list of strings");
             return Vec::new();
         };
         let mut texts = Vec::new();
         for entry in array.iter() {
             match entry.get_ref() {
-                DeValue::String(text) => texts.push(self.placed(field, entry, text.to_string())),
+                DeValue::String(text) => texts.push(self.located(field, entry, text.to_string())),
                 _ => {
-                    self.wrong_type::<()>(field, entry, "a text");
+                    self.report_wrong_type::<()>(field, entry, "a string");
                 }
             }
         }
         texts
     }
 
-    /// A whole number within bounds; the default where the field is missing.
-    pub(crate) fn integer(&self, field: &'static str, default: u64, most: u64) -> u64 {
+    /// Returns an integer from 0 to `max`; `default` if the field is missing or invalid.
+    pub(crate) fn integer(&self, field: &'static str, default: u64, max: u64) -> u64 {
         let Some(value) = self.find(field) else {
             return default;
         };
         let DeValue::Integer(number) = value.get_ref() else {
-            self.wrong_type::<()>(field, value, "a whole number");
+            self.report_wrong_type::<()>(field, value, "an integer");
             return default;
         };
         let parsed = u64::from_str_radix(number.as_str(), number.radix()).ok();
-        match parsed.filter(|n| *n <= most) {
+        match parsed.filter(|n| *n <= max) {
             Some(number) => number,
             None => {
-                let message = format!("{} is not between 0 and {most}", number.as_str());
+                let message = format!("{} is not between 0 and {max}", number.as_str());
                 self.source
-                    .report(value.span().start, &self.path_of(field), message);
+                    .report(value.span().start, &self.path_to(field), message);
                 default
             }
         }
     }
 
-    /// A whole number that must be there and be above 0.
-    pub(crate) fn required_integer(&self, field: &'static str, most: u64) -> u64 {
+    /// Returns an integer above 0 and up to `max`; records a finding if it is missing or out of range.
+    pub(crate) fn required_integer(&self, field: &'static str, max: u64) -> u64 {
         let Some(value) = self.find(field) else {
-            self.missing(field);
+            self.report_missing(field);
             return 1;
         };
-        let number = self.integer(field, 1, most);
+        let number = self.integer(field, 1, max);
         if number == 0 {
             self.source.report(
                 value.span().start,
-                &self.path_of(field),
+                &self.path_to(field),
                 "must be above 0".into(),
             );
         }
         number
     }
 
-    /// A share from 0 to 1; the default where the field is missing.
+    /// Returns a share from 0 to 1; `default` if the field is missing or invalid.
     pub(crate) fn share(&self, field: &'static str, default: f64) -> f64 {
         let Some(value) = self.find(field) else {
             return default;
@@ -239,12 +239,12 @@
         match parsed.filter(|share| (0.0..=1.0).contains(share)) {
             Some(share) => share,
             None => self
-                .wrong_type(field, value, "a share from 0 to 1")
+                .report_wrong_type(field, value, "a share from 0 to 1")
                 .unwrap_or(default),
         }
     }
 
-    /// A yes-or-no field; the default where it is missing.
+    /// Returns a boolean; `default` if the field is missing or invalid.
     pub(crate) fn boolean(&self, field: &'static str, default: bool) -> bool {
         let Some(value) = self.find(field) else {
             return default;
@@ -252,52 +252,52 @@
         match value.get_ref() {
             DeValue::Boolean(flag) => *flag,
             _ => self
-                .wrong_type(field, value, "true or false")
+                .report_wrong_type(field, value, "true or false")
                 .unwrap_or(default),
         }
     }
 
-    /// A name that must be one of the known ones, where the field is there.
-    pub(crate) fn name_of(
+    /// Returns a name, if present; records a finding if it is not one of `known`.
+    pub(crate) fn known_name(
         &self,
         field: &'static str,
         noun: &str,
         known: &[&str],
     ) -> Option<String> {
-        let placed = self.string(field)?;
-        self.check_name(&placed, noun, known);
-        Some(placed.value)
+        let located = self.string(field)?;
+        self.check_name(&located, noun, known);
+        Some(located.value)
     }
 
-    /// A name that must be there and be one of the known ones.
-    pub(crate) fn required_name_of(
+    /// Returns a name; records a finding if it is missing or not one of `known`.
+    pub(crate) fn required_known_name(
         &self,
         field: &'static str,
         noun: &str,
         known: &[&str],
     ) -> Option<String> {
         if self.find(field).is_none() {
-            self.missing(field);
+            self.report_missing(field);
         }
-        self.name_of(field, noun, known)
+        self.known_name(field, noun, known)
     }
 
-    /// Records a finding where a name is not a known one, with a suggestion.
-    pub(crate) fn check_name(&self, placed: &Placed<String>, noun: &str, known: &[&str]) {
-        if known.contains(&placed.value.as_str()) {
+    /// Records a finding, with a suggestion, if a name is not one of `known`.
+    pub(crate) fn check_name(&self, located: &Located<String>, noun: &str, known: &[&str]) {
+        if known.contains(&located.value.as_str()) {
             return;
         }
-        let mut message = format!("\"{}\" is not a {noun}", placed.value);
-        match nearest_name(&placed.value, known.iter().copied()) {
-            Some(near) => message.push_str(&format!("; did you mean \"{near}\"?")),
+        let mut message = format!("\"{}\" is not a {noun}", located.value);
+        match nearest_name(&located.value, known.iter().copied()) {
+            Some(similar) => message.push_str(&format!("; did you mean \"{similar}\"?")),
             None => message.push_str(&format!("; known are {}", known.join(", "))),
         }
-        self.source.report(placed.offset, &placed.field, message);
+        self.source.report(located.offset, &located.field, message);
     }
 
     /// Records a finding about a field's value.
-    pub(crate) fn report_placed<T>(&self, placed: &Placed<T>, message: String) {
-        self.source.report(placed.offset, &placed.field, message);
+    pub(crate) fn report_value<T>(&self, located: &Located<T>, message: String) {
+        self.source.report(located.offset, &located.field, message);
     }
 
     /// Records a finding about the table as a whole.
@@ -306,16 +306,16 @@
             .report(self.offset, &self.path, message.to_owned());
     }
 
-    /// Reports fields that nobody asked for: most are misspelt ones.
+    /// Records a finding for each field that was not requested: most of these are misspelt.
     pub(crate) fn finish(self) {
-        let asked = self.asked.borrow();
+        let requested = self.requested.borrow();
         for (name, _) in self.table.iter() {
-            if asked.contains(name.get_ref().as_ref()) {
+            if requested.contains(name.get_ref().as_ref()) {
                 continue;
             }
-            let path = self.path_of(name.get_ref());
-            let message = match nearest_name(name.get_ref(), asked.iter().copied()) {
-                Some(near) => format!("is not a field; did you mean \"{near}\"?"),
+            let path = self.path_to(name.get_ref());
+            let message = match nearest_name(name.get_ref(), requested.iter().copied()) {
+                Some(similar) => format!("is not a field; did you mean \"{similar}\"?"),
                 None => "is not a field".to_owned(),
             };
             self.source.report(name.span().start, &path, message);
@@ -323,11 +323,11 @@
     }
 
     fn find(&self, field: &'static str) -> Option<&'f Spanned<DeValue<'t>>> {
-        self.asked.borrow_mut().insert(field);
+        self.requested.borrow_mut().insert(field);
         self.table.get(field)
     }
 
-    fn path_of(&self, field: &str) -> String {
+    fn path_to(&self, field: &str) -> String {
         if self.path.is_empty() {
             field.to_owned()
         } else {
@@ -335,24 +335,29 @@
         }
     }
 
-    fn placed<T>(&self, field: &str, value: &Spanned<DeValue<'t>>, inner: T) -> Placed<T> {
-        Placed {
+    fn located<T>(&self, field: &str, value: &Spanned<DeValue<'t>>, inner: T) -> Located<T> {
+        Located {
             value: inner,
             offset: value.span().start,
-            field: self.path_of(field),
+            field: self.path_to(field),
         }
     }
 
-    fn missing(&self, field: &str) {
+    fn report_missing(&self, field: &str) {
         self.source
-            .report(self.offset, &self.path_of(field), "is missing".to_owned());
+            .report(self.offset, &self.path_to(field), "is missing".to_owned());
     }
 
-    fn wrong_type<T>(&self, field: &str, value: &Spanned<DeValue<'t>>, wanted: &str) -> Option<T> {
+    fn report_wrong_type<T>(
+        &self,
+        field: &str,
+        value: &Spanned<DeValue<'t>>,
+        expected: &str,
+    ) -> Option<T> {
         let found = value.get_ref().type_str();
-        let message = format!("is of type {found}, where {wanted} belongs");
+        let message = format!("has type {found}, expected {expected}");
         self.source
-            .report(value.span().start, &self.path_of(field), message);
+            .report(value.span().start, &self.path_to(field), message);
         None
     }
 }
--- a/crates/plumgate/src/config/rules.rs
+++ b/crates/plumgate/src/config/rules.rs
@@ -1,34 +1,34 @@
-//! The rules: tiers, request classes, plain services and the limits of a node.
+//! Rules: tiers, request classes, plain services and the limits of a node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::reader::{Placed, SourceFile, TableReader};
+use super::reader::{Located, SourceFile, TableReader};
 use crate::findings::FindingList;
 use crate::ids::{ClassId, PoolId, TierId, TierRank};
 
-/// Longest time that any rule may name, in milliseconds: one day.
-const MOST_MILLISECONDS: u64 = 86_400_000;
-/// Most tokens that a class may be said to generate.
-const MOST_TOKENS: u64 = 1_000_000;
-/// Loads a minute where the rules don't say.
+/// Longest time in any rule, in milliseconds: one day.
+const MAX_MILLISECONDS: u64 = 86_400_000;
+/// Largest number of expected tokens of a class, and largest queue length.
+const MAX_TOKENS: u64 = 1_000_000;
+/// Default of `loads_per_minute`.
 const DEFAULT_LOADS: u64 = 6;
-/// Most loads a minute.
-const MOST_LOADS: u64 = 6_000;
-/// Lowest tier, as a number.
-const MOST_RANK: u64 = 9;
-/// Requests of each tier that a node queues where the rules don't say.
+/// Largest value of `loads_per_minute`.
+const MAX_LOADS: u64 = 6_000;
+/// Rank of the lowest possible tier.
+const MAX_RANK: u64 = 9;
+/// Default of `queue_length`, in requests of each tier.
 const DEFAULT_QUEUE: u64 = 2_000;
-/// Longest wait in a queue where the rules don't say, in milliseconds.
+/// Default of `longest_wait_ms`, in milliseconds.
 const DEFAULT_LONGEST_WAIT: u64 = 60_000;
-/// How long a claimed key and its answer are kept where the rules don't say: one hour.
+/// Default of `key_lifetime_ms`, in milliseconds: one hour.
 const DEFAULT_KEY_LIFETIME: u64 = 3_600_000;
-/// Share of retries to requests where the rules don't say.
+/// Default of `retry_share`, in retries per request.
 const DEFAULT_RETRY_SHARE: f64 = 0.1;
-/// Longest silence of a server within an answer where the rules don't say, in milliseconds.
+/// Default of `progress_timeout_ms`, in milliseconds.
 const DEFAULT_PROGRESS_TIMEOUT: u64 = 2_000;
 
-/// What stands in the rules.
+/// Contents of the rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetRules {
     /// The tiers by name.
@@ -43,43 +43,43 @@
     pub queue_length: usize,
     /// How long a request may wait in a queue, whatever its class.
     pub longest_wait: Duration,
-    /// How long a claimed key and its answer are kept.
+    /// How long a claimed key and its response are stored.
     pub key_lifetime: Duration,
     /// How many retries a node may start for each request that it accepts.
     pub retry_share: f64,
-    /// How long a server may be silent within an answer before its connection is replaced.
+    /// How long a server may send nothing within a response before its connection is replaced.
     pub progress_timeout: Duration,
-    /// How many models a data centre loads from the weight store a minute, for each model.
+    /// How many loads of one model from the weight store a data centre starts per minute.
     pub loads_per_minute: u32,
-    /// Which share of each pool's slots lower tiers leave free for the highest tier.
+    /// Share of each pool's slots that is reserved for the highest tier.
     pub burst_reserve: f64,
 }
 
-/// One service level.
+/// Service level.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tier {
     /// The name of the tier.
     pub id: TierId,
     /// The position of the tier, 1 for the highest.
     pub rank: TierRank,
-    /// The share of dispatches that the tier gets even while higher tiers wait.
+    /// The share of dispatches that the tier gets even while requests of higher tiers wait.
     pub floor: f64,
 }
 
-/// One class of requests.
+/// Class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// The name of the class.
     pub id: ClassId,
     /// The tier of the class.
     pub tier: TierId,
-    /// The time from arrival to the first token, or to the whole answer of a service.
+    /// The target time from arrival to the first token, or to the whole response of a service.
     pub target: Duration,
     /// How long a request of the class waits for a server before it is refused.
     pub patience: Duration,
     /// Whether a request of the class may run more than once.
     pub idempotent: bool,
-    /// The tokens that an answer has on average, before any were observed.
+    /// The average tokens of a response, used until responses were observed.
     pub expected_tokens: u32,
 }
 
@@ -90,12 +90,12 @@
     pub id: PoolId,
     /// The class of the service's calls.
     pub class: ClassId,
-    /// The calls that may not be repeated, each "METHOD /path".
+    /// The calls that must not be repeated, each "METHOD /path" and matching by path prefix.
     pub non_idempotent: Vec<String>,
 }
 
 impl ServiceRule {
-    /// Whether a call may be repeated.
+    /// Returns whether a call may be repeated.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         !self.non_idempotent.iter().any(|call| {
             call.split_once(' ')
@@ -104,7 +104,7 @@
     }
 }
 
-/// Reads the rules; findings come back together with what could be read.
+/// Reads the rules; returns what could be read and all findings.
 pub(super) fn read_rules(name: &str, text: &str) -> (FleetRules, FindingList) {
     let source = SourceFile::new(name, text);
     let table = source.parse();
@@ -114,18 +114,18 @@
     let services = read_services(&root, &classes);
     let known: Vec<&str> = classes.keys().map(AsRef::as_ref).collect();
     let milliseconds =
-        |field, default| Duration::from_millis(root.integer(field, default, MOST_MILLISECONDS));
+        |field, default| Duration::from_millis(root.integer(field, default, MAX_MILLISECONDS));
     let rules = FleetRules {
         default_class: root
-            .name_of("default_class", "class", &known)
+            .known_name("default_class", "class", &known)
             .map(Into::into),
-        queue_length: root.integer("queue_length", DEFAULT_QUEUE, MOST_TOKENS) as usize,
+        queue_length: root.integer("queue_length", DEFAULT_QUEUE, MAX_TOKENS) as usize,
         longest_wait: milliseconds("longest_wait_ms", DEFAULT_LONGEST_WAIT),
         key_lifetime: milliseconds("key_lifetime_ms", DEFAULT_KEY_LIFETIME),
         retry_share: root.share("retry_share", DEFAULT_RETRY_SHARE),
         progress_timeout: milliseconds("progress_timeout_ms", DEFAULT_PROGRESS_TIMEOUT),
         loads_per_minute: root
-            .integer("loads_per_minute", DEFAULT_LOADS, MOST_LOADS)
+            .integer("loads_per_minute", DEFAULT_LOADS, MAX_LOADS)
             .max(1) as u32,
         burst_reserve: root.share("burst_reserve", 0.0),
         tiers,
@@ -142,20 +142,22 @@
     let mut floors = 0.0;
     for (name, reader) in root.tables("tiers") {
         let id: TierId = name.into();
-        let rank = reader.required_integer("rank", MOST_RANK) as TierRank;
+        let rank = reader.required_integer("rank", MAX_RANK) as TierRank;
         let floor = reader.share("floor", 0.0);
         floors += floor;
         if tiers.values().any(|tier| tier.rank == rank) {
             reader.report(&format!("has the rank {rank} of another tier"));
         }
         if floors > 0.5 {
-            reader.report("brings the floors of all tiers above 0.5, which starves the highest");
+            reader.report(
+                "raises the sum of all floors above 0.5, which would starve the highest tier",
+            );
         }
         tiers.insert(id.clone(), Tier { id, rank, floor });
         reader.finish();
     }
     if tiers.is_empty() {
-        root.report("no tiers are named");
+        root.report("at least one tier is required");
     }
     tiers
 }
@@ -169,9 +171,9 @@
     for (name, reader) in root.tables("classes") {
         let id: ClassId = name.into();
         let tier = reader
-            .required_name_of("tier", "tier", &known)
+            .required_known_name("tier", "tier", &known)
             .unwrap_or_default();
-        let target = reader.required_integer("target_ms", MOST_MILLISECONDS);
+        let target = reader.required_integer("target_ms", MAX_MILLISECONDS);
         let class = RequestClass {
             id: id.clone(),
             tier: tier.into(),
@@ -179,10 +181,10 @@
             patience: Duration::from_millis(reader.integer(
                 "patience_ms",
                 target,
-                MOST_MILLISECONDS,
+                MAX_MILLISECONDS,
             )),
             idempotent: reader.boolean("idempotent", true),
-            expected_tokens: reader.integer("expected_tokens", 100, MOST_TOKENS) as u32,
+            expected_tokens: reader.integer("expected_tokens", 100, MAX_TOKENS) as u32,
         };
         classes.insert(id, class);
         reader.finish();
@@ -199,7 +201,7 @@
     for (name, reader) in root.tables("services") {
         let id: PoolId = name.into();
         let class = reader
-            .required_name_of("class", "class", &known)
+            .required_known_name("class", "class", &known)
             .unwrap_or_default();
         let calls = reader.strings("non_idempotent");
         for call in &calls {
@@ -219,12 +221,12 @@
     services
 }
 
-fn check_call(reader: &TableReader<'_, '_>, call: &Placed<String>) {
+fn check_call(reader: &TableReader<'_, '_>, call: &Located<String>) {
     let well_formed = call.value.split_once(' ').is_some_and(|(method, path)| {
         method.bytes().all(|b| b.is_ascii_uppercase()) && path.starts_with('/')
     });
     if !well_formed {
         let message = format!("\"{}\" is not a call such as \"POST /issue\"", call.value);
-        reader.report_placed(call, message);
+        reader.report_value(call, message);
     }
 }
--- a/crates/plumgate/src/errors.rs
+++ b/crates/plumgate/src/errors.rs
@@ -1,13 +1,13 @@
-//! The errors of the crate.
+//! Error type of the crate.
 
 use displaydoc::Display;
 
 use crate::findings::FindingList;
 
-/// The result that the crate's functions return.
+/// Result of the crate's functions.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What can go wrong in a decision.
+/// Error of a decision or of its input.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Error {
     /// {0}
@@ -18,13 +18,13 @@
     MalformedMessage,
     /// message carries a wrong authentication code
     ForgedMessage,
-    /// message was sent {0} ms away from this node's time
+    /// time of the message differs from this node's clock by {0} ms
     StaleMessage(u64),
-    /// message repeats or precedes one already seen
+    /// message repeats an earlier one or is older than the replay window
     ReplayedMessage,
-    /// message has protocol version {0}, which this node does not speak
+    /// message has protocol version {0}, which this node does not support
     UnknownProtocol(u8),
-    /// "{0}" is no mechanism of the policy
+    /// "{0}" is not a mechanism of the policy
     UnknownPolicyPart(String),
     /// event "{1}" is not expected in state "{0}"
     UnexpectedEvent(String, String),
--- a/crates/plumgate/src/findings.rs
+++ b/crates/plumgate/src/findings.rs
@@ -1,11 +1,11 @@
-//! Findings about an operator's input, collected with their place and reported together.
+//! Findings about an operator's input, collected with their location and reported together.
 
 use std::fmt;
 
-/// How alike two names must be, from 0 to 1, for one to be suggested for the other.
-const SUGGESTION_LIKENESS: f64 = 0.75;
+/// Least Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.75;
 
-/// One thing that is wrong with an operator's input.
+/// Fault in an operator's input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileFinding {
     /// Name of the file, flag or environment variable.
@@ -14,7 +14,7 @@
     pub line: Option<usize>,
     /// Dotted path of the field; empty where the finding is about the whole input.
     pub field: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and what is expected instead.
     pub message: String,
 }
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// All findings about one input, in the order of their places.
+/// All findings about one input.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FindingList {
     findings: Vec<FileFinding>,
 }
 
 impl FindingList {
-    /// A list without findings.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
@@ -53,12 +53,12 @@
         self.findings.extend(other.findings);
     }
 
-    /// Whether nothing was found.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// The findings, sorted by file and line.
+    /// Returns the findings, sorted by file, line and field.
     pub fn sorted(&self) -> Vec<FileFinding> {
         let mut findings = self.findings.clone();
         findings.sort_by(|a, b| (&a.file, a.line, &a.field).cmp(&(&b.file, b.line, &b.field)));
@@ -77,7 +77,7 @@
     }
 }
 
-/// The known name that is nearest to a misspelt one, if any is near.
+/// Returns the known name most similar to a misspelt one, if any is similar enough.
 pub(crate) fn nearest_name<'a>(
     name: &str,
     known: impl IntoIterator<Item = &'a str>,
@@ -85,7 +85,7 @@
     known
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(likeness, _)| *likeness >= SUGGESTION_LIKENESS)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, candidate)| candidate)
 }
--- a/crates/plumgate/src/follow.rs
+++ b/crates/plumgate/src/follow.rs
@@ -1,4 +1,4 @@
-//! How a node comes to the newest configuration and never goes back.
+//! Updates of a node's configuration to the newest version, never to an older one.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,29 +9,30 @@
 use crate::ids::ConfigVersion;
 use crate::wire::TextPatch;
 
-/// Time between two reads of the head by a node that is chosen to read it.
-const POLL_PAUSE: Duration = Duration::from_millis(500);
-/// Time between two reads by a node that is not chosen, in case that all chosen are cut off.
-const IDLE_POLL_PAUSE: Duration = Duration::from_secs(15);
-/// How long an answer is waited for before it is asked for again.
-const ASK_PAUSE: Duration = Duration::from_secs(1);
+/// Time between two reads of the head row by a node that is chosen to read it.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two reads by a node that is not chosen; it reads too in case all chosen nodes are cut
+/// off.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_secs(15);
+/// Time after which a version that did not arrive is requested again.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The row of the platform's table that names the newest version.
+/// Row of the platform's table that names the newest version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigHead {
     /// The version.
     pub version: ConfigVersion,
-    /// The digest of the bundle, its name in the object store.
+    /// Digest of the bundle, which is its name in the object store.
     pub digest: String,
-    /// The id of the change, by which its author knows it again.
+    /// Id of the change, by which its author recognizes it.
     pub change: String,
     /// Who made the change.
     pub author: String,
-    /// When it was made, in milliseconds of the Unix epoch.
+    /// When the change was made, in milliseconds since the Unix epoch.
     pub made_ms: u64,
 }
 
-/// One version in force on a node.
+/// Configuration version that is in force on a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldConfig {
     /// The version.
@@ -42,104 +43,111 @@
     pub digest: String,
 }
 
-/// What is to be done to get or pass on a version.
+/// Next step to fetch a version or to put it into force.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowAction {
     /// Read the head row.
     ReadHead,
     /// Read a bundle from the object store.
     ReadBody(ConfigHead),
-    /// Ask a peer for its version.
+    /// Request the whole version from this peer.
     AskPeer(String),
-    /// Bring a version into force.
+    /// Put a version into force.
     Adopt {
-        /// The version, read and checked.
+        /// Parsed and checked version.
         config: Arc<FleetConfig>,
-        /// The patch from the version before, to be passed on.
+        /// Patch from the previous version, to be sent to peers.
         patch: Option<(ConfigVersion, TextPatch)>,
     },
-    /// A version can't be used; the one in force stays.
+    /// Report a version that can't be used; the one in force stays.
     Reject {
         /// The version.
         version: ConfigVersion,
-        /// Why.
+        /// Reason, for operators.
         reason: String,
     },
 }
 
-/// Follows the head of the configuration.
+/// Keeps a node's configuration up to date with the head row.
 #[derive(Debug, Default)]
 pub struct ConfigFollower {
     held: Option<HeldConfig>,
     next_poll: Option<Instant>,
-    asked: Option<(ConfigVersion, Instant)>,
+    requested: Option<(ConfigVersion, Instant)>,
 }
 
 impl ConfigFollower {
-    /// A follower that holds nothing.
+    /// Creates a follower without a version in force.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The version in force, 0 for none.
+    /// Returns the version in force, 0 for none.
     pub fn version(&self) -> ConfigVersion {
         self.held.as_ref().map_or(0, |held| held.version)
     }
 
-    /// The version in force with its text.
+    /// Returns the version in force with its text.
     pub fn held(&self) -> Option<&HeldConfig> {
         self.held.as_ref()
     }
 
-    /// Reads the head when that is due; `chosen` says whether this node reads for its data centre.
+    /// Returns a read of the head row when one is due; `chosen`: this node reads for its data centre.
     pub fn tick(&mut self, chosen: bool, now: Instant) -> Option<FollowAction> {
         if self.next_poll.is_some_and(|due| now < due) {
             return None;
         }
-        // A node without any configuration serves nothing, so it doesn't wait for others.
-        let eager = chosen || self.held.is_none();
-        self.next_poll = Some(now + if eager { POLL_PAUSE } else { IDLE_POLL_PAUSE });
+        // A node without a configuration serves no requests, so it polls as often as a chosen node.
+        let polls_often = chosen || self.held.is_none();
+        self.next_poll = Some(
+            now + if polls_often {
+                POLL_INTERVAL
+            } else {
+                IDLE_POLL_INTERVAL
+            },
+        );
         Some(FollowAction::ReadHead)
     }
 
-    /// When the next read is due.
+    /// Returns when the next read is due; `None` before the first.
     pub fn next_poll(&self) -> Option<Instant> {
         self.next_poll
     }
 
-    /// The platform told its head. An older one than in force is a stale answer.
+    /// Handles the head row that the platform returned; one older than the version in force is stale and
+    /// ignored.
     pub fn apply_head(&mut self, head: ConfigHead, now: Instant) -> Option<FollowAction> {
-        self.wants(head.version, now)
+        self.should_request(head.version, now)
             .then_some(FollowAction::ReadBody(head))
     }
 
-    /// A peer told which version it has.
+    /// Handles the version that a peer reports.
     pub fn apply_peer_version(
         &mut self,
         node: &str,
         version: ConfigVersion,
         now: Instant,
     ) -> Option<FollowAction> {
-        self.wants(version, now)
+        self.should_request(version, now)
             .then(|| FollowAction::AskPeer(node.to_owned()))
     }
 
-    /// Whether a version is newer and was not asked for just now.
-    fn wants(&mut self, version: ConfigVersion, now: Instant) -> bool {
+    /// Returns whether the version is newer and was not requested within the last [`REQUEST_TIMEOUT`].
+    fn should_request(&mut self, version: ConfigVersion, now: Instant) -> bool {
         if version <= self.version() {
             return false;
         }
-        if let Some((asked, at)) = self.asked
-            && asked >= version
-            && now < at + ASK_PAUSE
+        if let Some((requested, at)) = self.requested
+            && requested >= version
+            && now < at + REQUEST_TIMEOUT
         {
             return false;
         }
-        self.asked = Some((version, now));
+        self.requested = Some((version, now));
         true
     }
 
-    /// A whole version came, from the object store or from a peer.
+    /// Handles a whole version from the object store or from a peer; `expected` is its digest, if known.
     pub fn apply_body(
         &mut self,
         version: ConfigVersion,
@@ -154,7 +162,10 @@
         };
         let digest = bundle.digest();
         if expected.is_some_and(|expected| expected != digest) {
-            return Some(self.reject(version, "the bundle has another digest than its head"));
+            return Some(self.reject(
+                version,
+                "the digest of the bundle differs from the expected one",
+            ));
         }
         let config = match bundle.read(version) {
             Ok(config) => Arc::new(config),
@@ -172,7 +183,8 @@
         Some(FollowAction::Adopt { config, patch })
     }
 
-    /// A patch came from a peer. One that doesn't fit is followed by a question for the whole.
+    /// Handles a patch from a peer; if it doesn't apply to the version in force, the whole version is
+    /// requested.
     pub fn apply_patch(
         &mut self,
         node: &str,
--- a/crates/plumgate/src/ids.rs
+++ b/crates/plumgate/src/ids.rs
@@ -14,13 +14,13 @@
 pub type TierId = Arc<str>;
 /// Name of a model or of a plain service: what a backend server serves.
 pub type PoolId = Arc<str>;
-/// Name of one VM of the system; a replaced VM gets another name.
+/// Name of one entry VM; a replacement VM gets another name.
 pub type NodeId = Arc<str>;
 /// Id of one caller's request, unique over all nodes.
 pub type RequestId = Arc<str>;
 /// Version of the configuration; it only ever goes up.
 pub type ConfigVersion = u64;
-/// Epoch of a lease; orders carry it so that engines can refuse an old holder.
+/// Epoch of a lease; orders carry it so that engines can refuse orders of an earlier holder.
 pub type FencingNumber = u64;
 /// Position of a tier, 1 for the highest.
 pub type TierRank = u8;
--- a/crates/plumgate/src/lease.rs
+++ b/crates/plumgate/src/lease.rs
@@ -1,7 +1,7 @@
 //! Leases in the platform's table, with fencing numbers for orders to engines.
 //!
-//! One holder at a time orders an engine to load a model or change its role. The row's
-//! epoch goes up with each holder and is the fencing number of its orders.
+//! Only one holder at a time orders an engine to load a model or change its role. The row's epoch
+//! increases with each holder and is the fencing number of its orders.
 
 use std::sync::{Arc, LazyLock};
 use std::time::{Duration, Instant};
@@ -12,34 +12,35 @@
 use crate::claim::RowVersion;
 use crate::ids::FencingNumber;
 
-/// The text of the chart.
+/// Text of the state chart of a lease.
 pub const LEASE_CHART: &str = include_str!("../charts/lease.toml");
-/// How long a lease lasts.
+/// Duration of a lease, counted from its last write.
 pub const LEASE_LENGTH: Duration = Duration::from_secs(10);
-/// How long before its end a holder stops to act, for clocks that run unlike.
+/// Time before the end of a lease at which the holder stops acting, since the clocks of two VMs differ
+/// in rate.
 pub const LEASE_MARGIN: Duration = Duration::from_secs(2);
-/// Longest time that an order is under way.
+/// Longest time from sending an order to its end at the engine.
 pub const LONGEST_ORDER: Duration = Duration::from_secs(3);
-/// When a holder renews, counted from the last renewal.
-const RENEW_AFTER: Duration = Duration::from_secs(3);
+/// Time from one renewal to the next.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
 static CHART: LazyLock<Arc<StateChart>> = LazyLock::new(|| {
     let chart = StateChart::read("lease.toml", LEASE_CHART);
     Arc::new(chart.expect("the chart is part of the program and checked by its tests"))
 });
 
-/// The row of one lease.
+/// Row of one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// The holder: a node with its incarnation.
+    /// Holder: a node with its incarnation.
     pub holder: String,
-    /// The fencing number.
+    /// Fencing number.
     pub epoch: FencingNumber,
-    /// Counts renewals, so that others see on their own clock that the holder is alive.
+    /// Number of renewals, by whose changes other nodes see on their own clock that the holder is alive.
     pub renewals: u64,
 }
 
-/// What the driver of a lease is to do.
+/// Next step of the driver of a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Read the row.
@@ -48,21 +49,21 @@
     Put(LeaseRow, Option<RowVersion>),
 }
 
-/// What the platform answered.
+/// Result of an action at the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAnswer {
     /// The write took effect.
     Written(RowVersion),
-    /// The row as it stands.
+    /// The current row.
     Row(Option<(LeaseRow, RowVersion)>),
-    /// No answer came.
+    /// No response arrived.
     Unanswered,
 }
 
-/// Another holder's row, by the moment (of any clock) at which it was first seen.
+/// Another holder's row, with the time (of any clock) at which this node first read it.
 ///
-/// Whether a lease has ended is judged by how long its row stood unchanged on this node's own clock: clocks
-/// of two VMs are never compared.
+/// Whether a lease has ended is decided by how long its row has been unchanged on this node's own clock:
+/// clocks of two VMs are never compared.
 #[derive(Clone, Debug)]
 pub(crate) struct SeenRow<R, V, M> {
     pub(crate) row: R,
@@ -70,15 +71,15 @@
     pub(crate) since: M,
 }
 
-/// A write whose effect is not known yet.
+/// Write whose effect is not known yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite<R, M> {
     pub(crate) row: R,
-    /// When the row was first asked to be written.
+    /// When the first write of this row was requested.
     pub(crate) asked: M,
 }
 
-/// One node's side of one lease.
+/// State of one lease on one node, holder or candidate.
 #[derive(Debug)]
 pub struct LeaseHolder {
     run: ChartRun,
@@ -92,7 +93,7 @@
 }
 
 impl LeaseHolder {
-    /// A node that doesn't hold the lease.
+    /// Creates the state of a node that doesn't hold the lease.
     pub fn new(holder: impl Into<String>) -> Self {
         Self {
             run: ChartRun::new(CHART.clone()),
@@ -106,9 +107,9 @@
         }
     }
 
-    /// What to do next, if anything is due. `wanted` says whether this node should hold the lease.
+    /// Returns the next action, if one is due. `wanted` says whether this node should hold the lease.
     pub fn tick(&mut self, wanted: bool, now: Instant) -> Option<LeaseAction> {
-        self.lapse(now);
+        self.expire(now);
         if !wanted {
             self.release();
         } else if self.run.is_ended() {
@@ -119,22 +120,22 @@
         }
         match self.run.state() {
             "idle" if wanted => self.claim(now),
-            "reading_back" => self.ask(LeaseAction::Read, now),
+            "reading_back" => self.request(LeaseAction::Read, now),
             "holding" if wanted => self.renew(now),
             _ => None,
         }
     }
 
-    /// Stops acting by the lease. The row stays as it is and ends by itself: an order that is
-    /// still under way must be over before another node orders.
+    /// Stops acting under the lease. The row stays unchanged and expires, so that an order that is still
+    /// in progress ends before another node sends one.
     fn release(&mut self) {
         if self.run.expects("release") {
             let _ = self.run.apply("release");
-            self.forget();
+            self.clear();
         }
     }
 
-    fn forget(&mut self) {
+    fn clear(&mut self) {
         self.valid_until = None;
         self.settled_at = None;
         self.held = None;
@@ -143,22 +144,22 @@
         self.seen = None;
     }
 
-    /// Gives the lease up by its own clock before anyone else may take it.
-    fn lapse(&mut self, now: Instant) {
+    /// Gives the lease up by this node's clock, [`LEASE_MARGIN`] before another node may claim it.
+    fn expire(&mut self, now: Instant) {
         if self.valid_until.is_some_and(|until| now >= until) {
             if self.run.expects("margin_reached") {
                 let _ = self.run.apply("margin_reached");
             }
-            self.forget();
+            self.clear();
         }
     }
 
     fn claim(&mut self, now: Instant) -> Option<LeaseAction> {
         let Some(seen) = &self.seen else {
-            return self.ask(LeaseAction::Read, now);
+            return self.request(LeaseAction::Read, now);
         };
         if now < seen.since + LEASE_LENGTH {
-            return self.ask(LeaseAction::Read, now);
+            return self.request(LeaseAction::Read, now);
         }
         let row = LeaseRow {
             holder: self.holder.clone(),
@@ -179,12 +180,12 @@
             let _ = self.run.apply("claim");
         }
         self.expect_write(&row, now);
-        self.ask(LeaseAction::Put(row, version), now)
+        self.request(LeaseAction::Put(row, version), now)
     }
 
-    /// Notes a write. The lease counts from the first time that this row was asked to be
-    /// written: a write that was repeated after a lost answer may have taken effect at once,
-    /// and the others count from then. Counting from the repeat would let two hold the lease.
+    /// Records a write. The lease counts from the first request to write this row: if a write is
+    /// repeated after a lost response, the first one may have taken effect, and the other nodes count
+    /// from then. Counting from the repeated write would let two nodes hold the lease.
     fn expect_write(&mut self, row: &LeaseRow, now: Instant) {
         let earlier = self.pending.take().filter(|pending| pending.row == *row);
         let asked = earlier.map_or(now, |pending| pending.asked);
@@ -197,7 +198,7 @@
     fn renew(&mut self, now: Instant) -> Option<LeaseAction> {
         let (row, version) = self.held.clone()?;
         let renewed = self.valid_until? - (LEASE_LENGTH - LEASE_MARGIN);
-        if now < renewed + RENEW_AFTER {
+        if now < renewed + RENEWAL_INTERVAL {
             return None;
         }
         let _ = self.run.apply("renew");
@@ -206,27 +207,27 @@
             ..row
         };
         self.expect_write(&row, now);
-        self.ask(LeaseAction::Put(row, Some(version)), now)
+        self.request(LeaseAction::Put(row, Some(version)), now)
     }
 
-    fn ask(&mut self, action: LeaseAction, now: Instant) -> Option<LeaseAction> {
+    fn request(&mut self, action: LeaseAction, now: Instant) -> Option<LeaseAction> {
         self.asked = Some(now);
         Some(action)
     }
 
-    /// The platform answered what was asked last.
+    /// Handles the platform's answer to the last action.
     pub fn apply(&mut self, answer: LeaseAnswer, now: Instant) -> Option<LeaseAction> {
         self.asked.take()?;
         match answer {
-            LeaseAnswer::Written(version) => self.hold(version, now),
-            LeaseAnswer::Unanswered => self.doubt(),
+            LeaseAnswer::Written(version) => self.on_written(version, now),
+            LeaseAnswer::Unanswered => self.on_unanswered(),
             LeaseAnswer::Row(None) => return self.apply_absent(now),
             LeaseAnswer::Row(Some((row, version))) => self.apply_row(row, version, now),
         }
         None
     }
 
-    fn hold(&mut self, version: RowVersion, now: Instant) {
+    fn on_written(&mut self, version: RowVersion, now: Instant) {
         let Some(PendingWrite { row, asked }) = self.pending.take() else {
             return;
         };
@@ -234,16 +235,16 @@
         let _ = self.run.apply("held");
         self.valid_until = Some(asked + LEASE_LENGTH - LEASE_MARGIN);
         if is_new {
-            // An engine that ignores fencing numbers may still get an order that the holder
-            // before sent last. Only after the longest order is the engine's state its own.
+            // An engine that ignores fencing numbers may still receive the last order of the previous
+            // holder. No such order is in progress any more once the longest order time has passed.
             self.settled_at = Some(now + LEASE_MARGIN + LONGEST_ORDER);
         }
         self.held = Some((row, version));
         self.seen = None;
-        self.lapse(now);
+        self.expire(now);
     }
 
-    fn doubt(&mut self) {
+    fn on_unanswered(&mut self) {
         if self.run.expects("unanswered") {
             let _ = self.run.apply("unanswered");
         }
@@ -265,13 +266,13 @@
     }
 
     fn apply_row(&mut self, row: LeaseRow, version: RowVersion, now: Instant) {
-        // A write in doubt took effect if the row is what it would have written.
+        // A write without a response took effect if the stored row equals it.
         if self
             .pending
             .as_ref()
             .is_some_and(|pending| pending.row == row)
         {
-            self.hold(version, now);
+            self.on_written(version, now);
             return;
         }
         if self.run.expects("lost") {
@@ -290,8 +291,8 @@
         }
     }
 
-    /// The fencing number, while this node may act by the lease. It is checked again right
-    /// before each order: a process that stood still in between must not act on the old answer.
+    /// Returns the fencing number while this node may act under the lease. Callers check again right
+    /// before each order: a process that was suspended in between must not act on an earlier result.
     pub fn fencing(&self, now: Instant) -> Option<FencingNumber> {
         let until = self.valid_until?;
         (now < until)
@@ -299,7 +300,8 @@
             .flatten()
     }
 
-    /// The fencing number for an engine that ignores it: only once earlier orders are over.
+    /// Returns the fencing number for an engine that ignores it: only once earlier holders' orders have
+    /// ended.
     pub fn settled_fencing(&self, now: Instant) -> Option<FencingNumber> {
         let settled = self.settled_at.is_some_and(|at| now >= at);
         if settled { self.fencing(now) } else { None }
--- a/crates/plumgate/src/lib.rs
+++ b/crates/plumgate/src/lib.rs
@@ -1,5 +1,5 @@
-//! Every decision of plumgate, a router for language-model traffic with service
-//! levels and priorities.
+//! Decision logic of plumgate, a router for language-model traffic with service levels
+//! and priorities.
 //!
 //! The crate does no I/O, starts no threads and reads no clock. Each part takes an
 //! event and the time and returns actions, so that a daemon, a test or another
--- a/crates/plumgate/src/membership.rs
+++ b/crates/plumgate/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which nodes there are, joined from the platform's lagging list and peer heartbeats.
+//! Set of nodes, merged from the platform's lagging list and from gossip with peers.
 //!
-//! Each node tells a digest of itself to a few others at a time, and they relay it. How
-//! often it does so follows the number of nodes, so that the bytes that a node receives
-//! stay bounded while the fleet grows.
+//! Each node sends a digest of its state to a few others at a time, and they relay it. The gossip
+//! interval grows with the number of nodes, so that the bytes that a node receives stay bounded while
+//! the fleet grows.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -12,44 +12,44 @@
 use crate::ids::{DataCentreId, NodeId};
 use crate::wire::NodeDigest;
 
-/// Shortest time between two rounds of gossip.
-const SHORTEST_ROUND: Duration = Duration::from_millis(500);
-/// Peers of the own data centre that a round reaches.
+/// Shortest time between two gossip rounds.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(500);
+/// Peers of the node's own data centre that a round is sent to.
 const FAN_OUT: usize = 3;
-/// Nodes of a data centre that talk to other data centres.
+/// Nodes of a data centre that exchange gossip with other data centres.
 const BRIDGES: usize = 2;
-/// Digests that one message carries at most.
-const DIGESTS_MOST: usize = 24;
-/// Beats of a node that may fail to come before it counts as gone.
-const BEATS_TO_LIVE: u32 = 8;
-/// Times that a digest reaches a node, on average, until all nodes have it.
+/// Largest number of digests in one message.
+const MAX_DIGESTS: usize = 24;
+/// Number of missed beats after which a node counts as gone.
+const MAX_MISSED_BEATS: u32 = 8;
+/// Average number of times that a digest reaches a node until all nodes have it.
 const REDUNDANCY: f64 = 2.5;
-/// Nodes up to which a fleet is small: fresh digests matter more there than bytes.
+/// Largest number of nodes of a small fleet, where fresh digests matter more than bytes sent.
 const SMALL_FLEET: usize = 16;
-/// Bytes a second that a node of a small fleet sends for gossip.
-const SMALL_BUDGET: f64 = 12.0 * 1024.0;
-/// Bytes a second that a node of a large fleet sends for gossip. It receives as much; both
-/// together stay below 14 KB/s and leave room for looks at servers and platform.
-const LARGE_BUDGET: f64 = 5.0 * 1024.0;
-/// Shortest time between two greetings of new nodes: each holds all digests.
-const GREETING_PAUSE: Duration = Duration::from_secs(1);
-/// How long a node that is gone is remembered, so that relayed old digests don't revive it.
-const GRAVE_LIFETIME: Duration = Duration::from_secs(120);
-/// A gap between two ticks that shows that this process was frozen.
-const FREEZE_GAP: Duration = Duration::from_secs(2);
-/// Times that a digest is relayed.
-const RELAYS_MOST: u32 = 4;
-
-/// A node on the platform's list of VMs.
+/// Gossip bytes per second that a node of a small fleet sends.
+const SMALL_FLEET_BYTE_RATE: f64 = 12.0 * 1024.0;
+/// Gossip bytes per second that a node of a large fleet sends. It receives as much; both together stay
+/// below 14 KB/s and leave bandwidth for requests to servers and platform.
+const LARGE_FLEET_BYTE_RATE: f64 = 5.0 * 1024.0;
+/// Shortest time between two greetings of new nodes, since each contains all digests.
+const GREETING_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which a gone node is remembered, so that relayed old digests don't make it count as alive.
+const GONE_RETENTION: Duration = Duration::from_secs(120);
+/// Gap between two ticks above which this process counts as having been suspended.
+const SUSPENSION_GAP: Duration = Duration::from_secs(2);
+/// Number of times that a node relays a digest.
+const MAX_RELAYS: u32 = 4;
+
+/// Node on the platform's list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedNode {
     /// The node.
     pub node: NodeId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     pub address: String,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
@@ -58,14 +58,14 @@
 pub struct NodeGroup {
     /// The nodes.
     pub nodes: BTreeSet<NodeId>,
-    /// Whether nothing was heard lately of some of them.
+    /// Whether some of them are listed by the platform but not alive in gossip.
     pub has_silent: bool,
 }
 
 /// All nodes that share servers and limits, by data centre.
 pub type SharingNodes = BTreeMap<DataCentreId, NodeGroup>;
 
-/// What is known of another node.
+/// State of another node.
 #[derive(Clone, Debug)]
 struct PeerState {
     digest: NodeDigest,
@@ -74,20 +74,20 @@
     gone: bool,
 }
 
-/// What a tick found.
+/// Change in the set of nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// A node was heard of for the first time, or again.
+    /// A digest of a node arrived for the first time, or again after it was gone.
     Joined(NodeId),
-    /// Nothing new was heard of a node for long.
+    /// No new digest of a node arrived within [`MemberTable::lifetime`].
     Gone(NodeId),
-    /// A node says that it is stopping.
+    /// A node reports that it is stopping.
     Stopping(NodeId),
-    /// This process stood still for so long: what it believes is old.
+    /// This process was suspended for this long: its view of other nodes is stale.
     Frozen(Duration),
 }
 
-/// A round of gossip: one message to some peers.
+/// Gossip round: one message to several peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipRound {
     /// The addresses of the peers.
@@ -108,14 +108,15 @@
     round: Duration,
     next_beat: Option<Instant>,
     next_greeting: Option<Instant>,
-    news: Vec<MemberEvent>,
+    pending_events: Vec<MemberEvent>,
     beat: Duration,
     last_tick: Option<Instant>,
-    distrusts_until: Option<Instant>,
+    stale_until: Option<Instant>,
 }
 
 impl MemberTable {
-    /// A table of a node that knows the addresses of some others.
+    /// Creates the table of a node that knows the addresses `seeds` of some others; `seed` starts its
+    /// random numbers.
     pub fn new(own: NodeDigest, seeds: impl IntoIterator<Item = String>, seed: u64) -> Self {
         let address = own.address.clone();
         Self {
@@ -125,28 +126,28 @@
             seeds: seeds.into_iter().filter(|seed| *seed != address).collect(),
             rng: fastrand::Rng::with_seed(seed),
             next_round: None,
-            round: SHORTEST_ROUND,
+            round: MIN_ROUND_INTERVAL,
             next_beat: None,
             next_greeting: None,
-            news: Vec::new(),
-            beat: SHORTEST_ROUND,
+            pending_events: Vec::new(),
+            beat: MIN_ROUND_INTERVAL,
             last_tick: None,
-            distrusts_until: None,
+            stale_until: None,
         }
     }
 
-    /// This node's own digest, to be filled with what it has to tell.
+    /// Returns this node's own digest, to be updated with its current state.
     pub fn own_mut(&mut self) -> &mut NodeDigest {
         &mut self.own
     }
 
-    /// This node's own digest.
+    /// Returns this node's own digest.
     pub fn own(&self) -> &NodeDigest {
         &self.own
     }
 
-    /// Takes over the platform's list. It lags: a node on it may be gone, and one that is
-    /// missing may be alive, so it only adds addresses and leaving marks.
+    /// Applies the platform's list. It lags: a node on it may be gone, and one that is missing may be
+    /// alive, so it only adds addresses and leaving marks.
     pub fn apply_list(&mut self, nodes: Vec<ListedNode>) {
         self.listed = nodes
             .into_iter()
@@ -154,7 +155,7 @@
             .collect();
     }
 
-    /// Takes in digests that a peer sent; returns those that were news.
+    /// Merges digests that a peer sent; returns those that were newer than the known ones.
     pub fn apply(&mut self, digests: Vec<NodeDigest>, now: Instant) -> Vec<NodeDigest> {
         digests
             .into_iter()
@@ -167,16 +168,16 @@
             return false;
         }
         let known = self.peers.get(digest.node.as_str());
-        let age = |digest: &NodeDigest| (digest.incarnation, digest.beat);
-        if known.is_some_and(|peer| age(&peer.digest) >= age(digest)) {
+        let version = |digest: &NodeDigest| (digest.incarnation, digest.beat);
+        if known.is_some_and(|peer| version(&peer.digest) >= version(digest)) {
             return false;
         }
         let id = NodeId::from(digest.node.as_str());
         if known.is_none_or(|peer| peer.gone) {
-            self.news.push(MemberEvent::Joined(id.clone()));
+            self.pending_events.push(MemberEvent::Joined(id.clone()));
         }
         if digest.stopping && known.is_none_or(|peer| !peer.digest.stopping) {
-            self.news.push(MemberEvent::Stopping(id.clone()));
+            self.pending_events.push(MemberEvent::Stopping(id.clone()));
         }
         let state = PeerState {
             digest: digest.clone(),
@@ -188,66 +189,68 @@
         true
     }
 
-    /// All that is known, for a node that was not known to be alive until now; `None` for others.
+    /// Returns all digests, for a sender that was not known to be alive until now; `None` for others.
     ///
-    /// Rounds carry a few digests at a time. A node that has just started, and a whole data
-    /// centre that comes back at once, would need many of them to know all others.
+    /// Rounds carry a few digests at a time. A node that has just started, or a whole data centre that
+    /// reconnects, would need many rounds to learn of all others.
     pub fn greeting(&mut self, sender: &str, now: Instant) -> Option<Vec<NodeDigest>> {
         let is_known = self.peers.get(sender).is_some_and(|peer| !peer.gone);
         if is_known || self.next_greeting.is_some_and(|due| now < due) {
             return None;
         }
-        self.next_greeting = Some(now + GREETING_PAUSE);
+        self.next_greeting = Some(now + GREETING_INTERVAL);
         let alive = self.peers.values().filter(|peer| !peer.gone);
         Some(alive.map(|peer| peer.digest.clone()).collect())
     }
 
-    /// Finds out who is gone and whether this process stood still.
+    /// Detects nodes that are gone and whether this process was suspended; returns all changes since the
+    /// last tick.
     pub fn tick(&mut self, now: Instant) -> Vec<MemberEvent> {
-        let mut events = std::mem::take(&mut self.news);
+        let mut events = std::mem::take(&mut self.pending_events);
         let gap = self
             .last_tick
             .map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
         self.last_tick = Some(now);
-        if gap > FREEZE_GAP {
+        if gap > SUSPENSION_GAP {
             events.push(MemberEvent::Frozen(gap));
-            self.distrust(now);
+            self.on_suspension(now);
         }
         let lifetime = self.lifetime();
         for (id, peer) in &mut self.peers {
-            let silent = now.saturating_duration_since(peer.heard);
-            if !peer.gone && silent > lifetime {
+            let silence = now.saturating_duration_since(peer.heard);
+            if !peer.gone && silence > lifetime {
                 peer.gone = true;
                 events.push(MemberEvent::Gone(id.clone()));
             }
         }
         self.peers.retain(|_, peer| {
-            now.saturating_duration_since(peer.heard) < lifetime + GRAVE_LIFETIME
+            now.saturating_duration_since(peer.heard) < lifetime + GONE_RETENTION
         });
         events
     }
 
-    /// After a freeze every peer looks silent, and the node itself may have been given up by
-    /// the others. It waits until it has heard peers again before it judges anyone.
-    fn distrust(&mut self, now: Instant) {
+    /// Handles a suspension of this process. Afterwards every peer looks silent, and the peers may count
+    /// this node as gone. Each live peer gets a full lifetime again, and this node's view counts as
+    /// stale for two rounds, until digests of peers arrive.
+    fn on_suspension(&mut self, now: Instant) {
         for peer in self.peers.values_mut().filter(|peer| !peer.gone) {
             peer.heard = now;
         }
-        self.distrusts_until = Some(now + self.round_length() * 2);
+        self.stale_until = Some(now + self.round_length() * 2);
     }
 
-    /// Whether what this node believes about others is too old to act on.
+    /// Returns whether this node's view of others is too old to act on.
     pub fn distrusts_itself(&self, now: Instant) -> bool {
-        self.distrusts_until.is_some_and(|until| now < until)
+        self.stale_until.is_some_and(|until| now < until)
     }
 
-    /// This node's own digest, newer than any that it sent before.
+    /// Returns this node's own digest, newer than any that it sent before.
     pub fn next_digest(&mut self) -> NodeDigest {
         self.own.beat += 1;
         self.own.clone()
     }
 
-    /// The next round of gossip, when it is due.
+    /// Returns the next gossip round, when it is due.
     pub fn gossip(&mut self, now: Instant) -> Option<GossipRound> {
         if self.next_round.is_some_and(|due| now < due) {
             return None;
@@ -267,49 +270,50 @@
         })
     }
 
-    /// When the next round is due.
+    /// Returns when the next round is due.
     pub fn next_round(&self) -> Option<Instant> {
         self.next_round
     }
 
-    /// The time between two rounds.
+    /// Returns the time between two rounds.
     pub fn round_length(&self) -> Duration {
         self.round
     }
 
-    /// Says how many bytes a round took.
+    /// Records how many bytes a round took.
     ///
-    /// The next round is the later the more they were, so that what a node sends a second, and
-    /// with it what it receives, stays bounded as fleets grow. Each beat of each node has to
-    /// reach all others, so beats come no faster than the bytes of all digests allow.
+    /// The more they were, the later the next round is, so that what a node sends and receives per
+    /// second stays bounded as fleets grow. Each beat of each node has to reach all others, so beats
+    /// come no faster than the bytes of all digests allow.
     pub fn note_sent(&mut self, bytes: u64, round: &GossipRound, now: Instant) {
         let nodes = self.live_count();
-        let budget = if nodes <= SMALL_FLEET {
-            SMALL_BUDGET
+        let byte_rate = if nodes <= SMALL_FLEET {
+            SMALL_FLEET_BYTE_RATE
         } else {
-            LARGE_BUDGET
+            LARGE_FLEET_BYTE_RATE
         };
         let carried = (round.addresses.len() * round.digests.len()).max(1);
         let digest = bytes as f64 / carried as f64;
-        let length = Duration::from_secs_f64(bytes as f64 / budget);
-        let beat = Duration::from_secs_f64(nodes as f64 * digest * REDUNDANCY / budget);
-        self.round = length.max(SHORTEST_ROUND);
+        let length = Duration::from_secs_f64(bytes as f64 / byte_rate);
+        let beat = Duration::from_secs_f64(nodes as f64 * digest * REDUNDANCY / byte_rate);
+        self.round = length.max(MIN_ROUND_INTERVAL);
         self.beat = beat.max(self.round);
         self.next_round = Some(now + self.round);
     }
 
-    /// How long what a node told counts without a newer word of it.
+    /// Returns how long a digest counts without a newer one of its node.
     pub fn lifetime(&self) -> Duration {
-        self.beat.max(SHORTEST_ROUND) * BEATS_TO_LIVE
+        self.beat.max(MIN_ROUND_INTERVAL) * MAX_MISSED_BEATS
     }
 
-    /// Makes the next round due at once.
+    /// Makes the next round due immediately.
     pub fn hurry(&mut self) {
         self.next_round = None;
         self.next_beat = None;
     }
 
-    /// The peers that are told next: some near ones, and others on behalf of a data centre.
+    /// Returns the addresses of the next round: some peers of the own data centre, one of each other
+    /// data centre if this node is a bridge, and one address without a live node.
     pub fn partners(&mut self) -> Vec<String> {
         let mut near = Vec::new();
         let mut far: BTreeMap<String, Vec<String>> = BTreeMap::new();
@@ -332,51 +336,52 @@
                 near.extend(self.rng.choice(addresses.iter()).cloned());
             }
         }
-        near.extend(self.stranger(&known));
+        near.extend(self.unreached_address(&known));
         near
     }
 
-    /// One address that nothing was heard from, so that separated groups find each other again.
-    fn stranger(&mut self, known: &BTreeSet<String>) -> Option<String> {
+    /// Returns one known address without a live node, so that partitioned groups find each other again.
+    fn unreached_address(&mut self, known: &BTreeSet<String>) -> Option<String> {
         let listed = self
             .listed
             .values()
             .filter(|node| !node.leaving)
             .map(|node| &node.address);
-        let silent = listed
+        let unreached = listed
             .chain(&self.seeds)
             .filter(|address| !known.contains(*address) && **address != self.own.address);
-        let silent: Vec<String> = silent.cloned().collect();
-        self.rng.choice(silent)
+        let unreached: Vec<String> = unreached.cloned().collect();
+        self.rng.choice(unreached)
     }
 
     fn digests_to_send(&mut self) -> Vec<NodeDigest> {
         let mut peers: Vec<&mut PeerState> = self
             .peers
             .values_mut()
-            .filter(|peer| !peer.gone && peer.relays < RELAYS_MOST)
+            .filter(|peer| !peer.gone && peer.relays < MAX_RELAYS)
             .collect();
-        // Among equals by lot: in the order of names the same nodes would always come first, and
-        // the last ones would never be heard of.
+        // Random order among equals: in the order of names the same nodes would always come first, and
+        // the digests of the last ones would never be relayed.
         self.rng.shuffle(&mut peers);
         peers.sort_by_key(|peer| peer.relays);
         let mut digests = vec![self.own.clone()];
-        for peer in peers.into_iter().take(DIGESTS_MOST - 1) {
+        for peer in peers.into_iter().take(MAX_DIGESTS - 1) {
             peer.relays += 1;
             digests.push(peer.digest.clone());
         }
         digests
     }
 
-    /// Whether this node talks to other data centres on behalf of its own.
+    /// Returns whether this node exchanges gossip with other data centres on behalf of its own.
     pub fn is_bridge(&self) -> bool {
         self.is_chosen("bridge", BRIDGES)
     }
 
-    /// Whether this node is one of the few of its data centre that are chosen for a role.
+    /// Returns whether this node is one of the `count` nodes of its data centre that are chosen for a
+    /// role.
     ///
-    /// The choice needs no agreement: two views may choose different nodes for a while, and
-    /// each role is harmless when more or others do it.
+    /// The choice needs no agreement: two views may choose different nodes for a while, and each role is
+    /// harmless when more nodes or others perform it.
     pub fn is_chosen(&self, role: &str, count: usize) -> bool {
         let own = self.own.data_centre.as_str();
         let peers = self.live().filter(|digest| digest.data_centre == own);
@@ -387,14 +392,14 @@
         better < count
     }
 
-    /// The node of all that are alive that is preferred for a role, this one included.
+    /// Returns the live node that is preferred for a role; it may be this one.
     pub fn preferred(&self, role: &str) -> &NodeDigest {
         let all = self.live().chain([&self.own]);
         let best = all.max_by_key(|digest| rendezvous_weight(role, &digest.node));
         best.unwrap_or(&self.own)
     }
 
-    /// The other nodes that are alive, not those that are stopping.
+    /// Returns the other live nodes, without those that are stopping.
     pub fn live(&self) -> impl Iterator<Item = &NodeDigest> {
         let alive = self
             .peers
@@ -403,13 +408,14 @@
         alive.map(|peer| &peer.digest)
     }
 
-    /// How many nodes are alive, this one included.
+    /// Returns how many nodes are alive, this one included.
     pub fn live_count(&self) -> usize {
         self.live().count() + 1
     }
 
-    /// The nodes that share servers and limits, by data centre: those alive, and those that the
-    /// platform lists though nothing was heard of them. Cut off, they may go on serving.
+    /// Returns the nodes that share servers and limits, by data centre: the live ones, and those that
+    /// the platform lists though they are not alive in gossip. A node that is cut off may continue to
+    /// serve requests.
     pub fn sharing(&self) -> SharingNodes {
         let mut groups = SharingNodes::new();
         let own = NodeId::from(self.own.node.as_str());
@@ -431,7 +437,7 @@
         groups
     }
 
-    /// The digest of a peer that is alive.
+    /// Returns the digest of a live peer.
     pub fn peer(&self, node: &str) -> Option<&NodeDigest> {
         self.peers
             .get(node)
@@ -440,7 +446,7 @@
     }
 }
 
-/// How much a node is preferred for a role; the highest wins.
+/// Returns the rendezvous hash of a node for a role; the node with the highest value is chosen.
 pub fn rendezvous_weight(role: &str, node: &str) -> u64 {
     xxh3_64_with_seed(node.as_bytes(), xxh3_64(role.as_bytes()))
 }
--- a/crates/plumgate/src/outcome.rs
+++ b/crates/plumgate/src/outcome.rs
@@ -1,21 +1,22 @@
-//! What a caller may be told about the run of its request.
+//! Outcome of a request as reported to its caller.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a model or service ran a request. The three are never mixed.
+/// Whether a model or service ran a request. None of the three is ever reported in place of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunOutcome {
-    /// No byte of the request could have reached a model, or the server said that it refused it.
+    /// No byte of the request could have reached a model, or the server reported that it refused the
+    /// request.
     NotRun,
-    /// The whole answer came back.
+    /// The whole response arrived.
     Answered,
-    /// The request may have run; nobody here can tell.
+    /// In-doubt run: the request may or may not have run.
     Unknown,
 }
 
 impl RunOutcome {
-    /// The word in errors and logs.
+    /// Returns the word for errors and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -24,10 +25,10 @@
         }
     }
 
-    /// The outcome of a request after one more attempt ended.
+    /// Returns the outcome of a request after one more attempt ended.
     ///
-    /// An earlier attempt that may have run stays in doubt: a later refusal
-    /// must not turn the whole request into "not run".
+    /// An earlier in-doubt attempt stays in doubt: a later refusal must not turn the outcome of the
+    /// whole request into "not run".
     pub fn after(self, attempt: Self) -> Self {
         match (self, attempt) {
             (_, Self::Answered) => Self::Answered,
--- a/crates/plumgate/src/placement.rs
+++ b/crates/plumgate/src/placement.rs
@@ -1,8 +1,8 @@
-//! Which model each engine is to have loaded, and which order brings it there.
+//! Orders that make each engine load the model that the inventory names.
 //!
-//! The inventory names the wanted model of each engine. The holder of a lease compares that
-//! with what the engines say and orders the difference, no faster than the weight store allows.
-//! Orders state the wanted end, so that an order that comes twice or late does no harm.
+//! The holder of a lease compares the wanted model of each engine with the models that the engine
+//! reports, and orders the difference, no faster than the weight store allows. Orders state the wanted
+//! result, so that an order that arrives twice or late does no harm.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,57 +10,57 @@
 use crate::config::{FleetConfig, Server, ServerKind};
 use crate::ids::{DataCentreId, PoolId, ServerId};
 
-/// How long what an engine said about its models counts.
-const STATE_LIFETIME: Duration = Duration::from_secs(5);
-/// How long an order may take to show before it is given again.
-const ORDER_PAUSE: Duration = Duration::from_secs(15);
+/// Time for which an engine's report of its models counts.
+const REPORT_LIFETIME: Duration = Duration::from_secs(5);
+/// Time for an order to take effect before it is repeated.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(15);
 
-/// The models that an engine says it has.
+/// Models that an engine reports, with whether each is loaded.
 pub type LoadedModels = BTreeMap<PoolId, bool>;
 
-/// One order to an engine.
+/// Order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementOrder {
     /// The engine.
     pub server: ServerId,
     /// The model.
     pub model: PoolId,
-    /// Whether the model is to be there afterwards.
+    /// Whether the model is to be loaded (`true`) or unloaded.
     pub loaded: bool,
-    /// What decided, for the log.
+    /// Reason of the order, for the log.
     pub reason: &'static str,
 }
 
-/// What an engine said, and when.
+/// Report of an engine's models, with its time.
 #[derive(Clone, Debug)]
-struct SeenModels {
+struct ModelReport {
     models: LoadedModels,
     at: Instant,
 }
 
-/// Plans the orders for one model in one data centre.
+/// Planner of the orders for one model in one data centre.
 #[derive(Debug)]
 pub struct PlacementPlanner {
     data_centre: DataCentreId,
     model: PoolId,
-    seen: BTreeMap<ServerId, SeenModels>,
+    reports: BTreeMap<ServerId, ModelReport>,
     ordered: BTreeMap<(ServerId, PoolId), Instant>,
     last_load: Option<Instant>,
 }
 
 impl PlacementPlanner {
-    /// A planner that has seen nothing yet.
+    /// Creates a planner without any reports.
     pub fn new(data_centre: impl Into<DataCentreId>, model: impl Into<PoolId>) -> Self {
         Self {
             data_centre: data_centre.into(),
             model: model.into(),
-            seen: BTreeMap::new(),
+            reports: BTreeMap::new(),
             ordered: BTreeMap::new(),
             last_load: None,
         }
     }
 
-    /// The engines that the planner is responsible for.
+    /// Returns the engines that the planner is responsible for.
     pub fn servers<'a>(&'a self, config: &'a FleetConfig) -> impl Iterator<Item = &'a Server> {
         config.pool(&self.model).filter(|server| {
             server.kind == ServerKind::Engine
@@ -69,19 +69,19 @@
         })
     }
 
-    /// Takes in what an engine says about its models.
+    /// Records an engine's report of its models.
     pub fn observe(&mut self, server: ServerId, models: LoadedModels, now: Instant) {
-        self.seen.insert(server, SeenModels { models, at: now });
+        self.reports.insert(server, ModelReport { models, at: now });
     }
 
-    /// Forgets what earlier orders were, for a node that takes the lease over: it judges by
-    /// what the engines say, not by what another ordered.
+    /// Clears reports and earlier orders, for a node that becomes the holder of the lease: it decides by
+    /// what the engines report, not by the orders of an earlier holder.
     pub fn begin(&mut self) {
-        self.seen.clear();
+        self.reports.clear();
         self.ordered.clear();
     }
 
-    /// The next order, if one is due. Only engines that told their state lately get any.
+    /// Returns the next order, if one is due. Only engines with a current report get orders.
     pub fn next_order(&mut self, config: &FleetConfig, now: Instant) -> Option<PlacementOrder> {
         let order = self
             .servers(config)
@@ -100,11 +100,11 @@
         config: &FleetConfig,
         now: Instant,
     ) -> Option<PlacementOrder> {
-        let seen = self.seen.get(&server.id)?;
-        if now.saturating_duration_since(seen.at) > STATE_LIFETIME {
+        let report = self.reports.get(&server.id)?;
+        if now.saturating_duration_since(report.at) > REPORT_LIFETIME {
             return None;
         }
-        let has = |model: &PoolId| seen.models.get(model).copied().unwrap_or(false);
+        let has = |model: &PoolId| report.models.get(model).copied().unwrap_or(false);
         let order = |model: &PoolId, loaded, reason| PlacementOrder {
             server: server.id.clone(),
             model: model.clone(),
@@ -115,9 +115,9 @@
             let allowed = self.may_load(config, now) && self.may_order(server, &self.model, now);
             return allowed.then(|| order(&self.model, true, "wanted_by_inventory"));
         }
-        // The old model goes only once the wanted one is there: the memory is needed by
-        // nothing before, and an unload that comes first would leave the engine with neither.
-        let mut others = seen
+        // The old model is unloaded only once the wanted one is loaded: nothing else needs the memory
+        // before, and unloading first would leave the engine without a model.
+        let mut others = report
             .models
             .iter()
             .filter(|(model, loaded)| **loaded && **model != self.model);
@@ -134,6 +134,6 @@
         let key = (server.id.clone(), model.clone());
         self.ordered
             .get(&key)
-            .is_none_or(|at| now >= *at + ORDER_PAUSE)
+            .is_none_or(|at| now >= *at + ORDER_RETRY_INTERVAL)
     }
 }
--- a/crates/plumgate/src/retry.rs
+++ b/crates/plumgate/src/retry.rs
@@ -1,21 +1,22 @@
-//! When a failed attempt may be followed by another, and which servers are left alone.
+//! Retries of failed attempts, backoff, and circuit breakers of servers.
 
 use std::time::{Duration, Instant};
 
 use crate::outcome::RunOutcome;
 
-/// Retries that a node may start before any request has paid for one.
-const BUDGET_START: f64 = 10.0;
-/// Most retries that a node saves up for a bad moment.
-const BUDGET_MOST: f64 = 100.0;
-/// Failures on new connections in a row that open a circuit.
+/// Retries in a new budget, before any request was accepted.
+const INITIAL_RETRIES: f64 = 10.0;
+/// Largest number of retries that a budget accumulates.
+const MAX_SAVED_RETRIES: f64 = 100.0;
+/// Consecutive failures on new connections that open a circuit.
 const CIRCUIT_FAILURES: u32 = 3;
-/// How long a circuit stays open the first time.
-const CIRCUIT_FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// How long a circuit stays open at most.
-const CIRCUIT_LONGEST_PAUSE: Duration = Duration::from_secs(30);
+/// Time for which a circuit stays open the first time; doubled each further time.
+const FIRST_CIRCUIT_PAUSE: Duration = Duration::from_secs(1);
+/// Longest time for which a circuit stays open.
+const MAX_CIRCUIT_PAUSE: Duration = Duration::from_secs(30);
 
-/// Bounds retries to a share of the requests, so that a failing fleet gets no second load.
+/// Budget that bounds retries to a share of the requests, so that retries don't multiply the load of a
+/// failing fleet.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
@@ -23,25 +24,25 @@
 }
 
 impl RetryBudget {
-    /// A budget that earns this share of a retry with each request.
+    /// Creates a budget that gains this share of a retry with each request.
     pub fn new(share: f64) -> Self {
         Self {
             share,
-            tokens: BUDGET_START,
+            tokens: INITIAL_RETRIES,
         }
     }
 
-    /// Changes the share that each request earns.
+    /// Sets the share of a retry that each request adds.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// A request was accepted.
+    /// Adds the share of one accepted request.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.share).min(BUDGET_MOST);
+        self.tokens = (self.tokens + self.share).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -51,10 +52,9 @@
     }
 }
 
-/// Whether a request may be run again after an attempt that ended so.
+/// Returns whether a request may be run again after an attempt with this outcome.
 ///
-/// A request that surely did not run may be; one in doubt only if running it
-/// twice does no harm.
+/// A request that did not run may be run again; an in-doubt one only if running it twice does no harm.
 pub fn may_run_again(outcome: RunOutcome, idempotent: bool) -> bool {
     match outcome {
         RunOutcome::NotRun => true,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Pauses between tries that grow and are spread, so that many nodes don't try in step.
+/// Exponential backoff with jitter, so that many nodes don't retry at the same time.
 #[derive(Clone, Debug)]
 pub struct BackoffPause {
     first: Duration,
@@ -72,7 +72,7 @@
 }
 
 impl BackoffPause {
-    /// Pauses from `first`, doubled by each failure, up to `longest`.
+    /// Creates pauses from `first`, doubled by each failure, up to `longest`.
     pub fn new(first: Duration, longest: Duration) -> Self {
         Self {
             first,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The next pause: a random time between half of the bound and the bound.
+    /// Returns the next pause: a random time between half of the bound and the bound.
     pub fn next(&mut self, rng: &mut fastrand::Rng) -> Duration {
         let factor = 1u32 << self.failures.min(16);
         let bound = (self.first * factor).min(self.longest);
@@ -95,10 +95,10 @@
     }
 }
 
-/// Keeps new work from a server that refuses new connections.
+/// Circuit breaker that keeps new requests from a server that refuses new connections.
 ///
-/// A connection that went silent proves nothing about its server, since something in
-/// between may have lost track of it. So only failures on new connections count.
+/// Only failures on new connections count: silence on an open connection proves nothing about the
+/// server, since a device in between may have lost the state of the connection.
 #[derive(Clone, Debug, Default)]
 pub struct CircuitBreaker {
     failures: u32,
@@ -107,35 +107,35 @@
 }
 
 impl CircuitBreaker {
-    /// A closed circuit.
+    /// Creates a closed circuit.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A new connection failed, or a request on a new connection got no head of an answer.
+    /// Records that a new connection failed, or that a request on a new connection got no response head.
     pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures < CIRCUIT_FAILURES {
             return;
         }
         let factor = 1u32 << self.pauses.min(10);
-        self.open_until = Some(now + (CIRCUIT_FIRST_PAUSE * factor).min(CIRCUIT_LONGEST_PAUSE));
+        self.open_until = Some(now + (FIRST_CIRCUIT_PAUSE * factor).min(MAX_CIRCUIT_PAUSE));
         self.pauses += 1;
         // One failure after the pause opens the circuit again.
         self.failures = CIRCUIT_FAILURES - 1;
     }
 
-    /// The server answered.
+    /// Records that the server responded, which closes the circuit.
     pub fn record_success(&mut self) {
         *self = Self::new();
     }
 
-    /// Whether new work may go to the server.
+    /// Returns whether new requests may be sent to the server.
     pub fn allows(&self, now: Instant) -> bool {
         self.open_until.is_none_or(|until| now >= until)
     }
 
-    /// Whether the circuit was opened and no success has closed it since.
+    /// Returns whether the circuit was opened and no success has closed it since.
     pub fn is_probing(&self) -> bool {
         self.pauses > 0
     }
--- a/crates/plumgate/src/store_version.rs
+++ b/crates/plumgate/src/store_version.rs
@@ -1,34 +1,34 @@
-//! Versions of the platform's store, which may come back from an old copy.
+//! Versions of the platform's store, which may be restored from an old snapshot.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How often the store came back from an old copy.
+/// Number of times that the store was restored from an old snapshot.
 pub type StoreEra = u64;
 
-/// A place in the store's history.
+/// Position in the store's history.
 ///
-/// A store that came back from a copy gives versions out again: two states may bear one number. The era rises
-/// each time, and is compared first.
+/// A store that was restored from a snapshot assigns numbers again, so that two different states may
+/// have one number. The era increases with each restore and is compared first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StoreVersion {
-    /// The era.
+    /// Era.
     pub era: StoreEra,
-    /// The version within the era.
+    /// Version number within the era.
     pub number: u64,
 }
 
 impl StoreVersion {
-    /// A version within an era.
+    /// Creates a version within an era.
     pub fn new(era: StoreEra, number: u64) -> Self {
         Self { era, number }
     }
 }
 
-/// A version of a store that never came back from a copy.
+/// Converts a version number of a store that was never restored (era 0).
 impl From<u64> for StoreVersion {
     fn from(number: u64) -> Self {
         Self::new(0, number)
--- a/crates/plumgate/src/token_bucket.rs
+++ b/crates/plumgate/src/token_bucket.rs
@@ -1,10 +1,10 @@
-//! A token bucket: a rate, and a depth that bounds what is saved up.
+//! Token bucket: a rate, and a depth that bounds the accumulated tokens.
 
 use std::time::{Duration, Instant};
 
-/// A moment on some clock.
+/// Point in time on some clock.
 pub(crate) trait Moment: Copy {
-    /// Time since an earlier moment; zero where that is later.
+    /// Returns the time since `earlier`; zero if that is later.
     fn since(self, earlier: Self) -> Duration;
 }
 
@@ -14,14 +14,14 @@
     }
 }
 
-/// Time since some start, as by a clock that counts suspension.
+/// Time since a fixed start, as given by a clock that also runs while the machine is suspended.
 impl Moment for Duration {
     fn since(self, earlier: Self) -> Duration {
         self.saturating_sub(earlier)
     }
 }
 
-/// Tokens that come in at a rate and are taken one by one.
+/// Tokens that are added at a rate and taken one by one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket<M> {
     tokens: f64,
@@ -29,7 +29,7 @@
 }
 
 impl<M: Moment> TokenBucket<M> {
-    /// A bucket with some tokens.
+    /// Creates a bucket with this many tokens.
     pub(crate) fn new(tokens: f64, now: M) -> Self {
         Self {
             tokens,
@@ -37,23 +37,23 @@
         }
     }
 
-    /// Takes in what came since the last call, at a rate a second and up to a depth.
+    /// Adds the tokens since the last call, at `rate` per second and up to `depth`.
     pub(crate) fn refill(&mut self, rate: f64, depth: f64, now: M) {
         let elapsed = now.since(self.refilled).as_secs_f64();
         self.tokens = (self.tokens + elapsed * rate).min(depth);
         self.refilled = now;
     }
 
-    /// Takes one token, unless fewer than `least` are there.
-    pub(crate) fn take(&mut self, least: f64) -> bool {
-        let is_there = self.tokens >= least.max(1.0);
-        if is_there {
+    /// Takes one token, unless there are fewer than `min`; returns whether it was taken.
+    pub(crate) fn take(&mut self, min: f64) -> bool {
+        let is_available = self.tokens >= min.max(1.0);
+        if is_available {
             self.tokens -= 1.0;
         }
-        is_there
+        is_available
     }
 
-    /// Time until a token is there, at a rate a second.
+    /// Returns the time until one token is available, at `rate` per second.
     pub(crate) fn wait(&self, rate: f64) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
         Duration::from_secs_f64(missing / rate.max(0.001))
--- a/crates/plumgate/src/wire.rs
+++ b/crates/plumgate/src/wire.rs
@@ -1,8 +1,8 @@
-//! Messages between the nodes, and how they are packed.
+//! Messages between the nodes, and their encoding.
 //!
-//! Layout: one byte of protocol version, the envelope packed by `postcard`, and a
-//! code that authenticates both (HMAC-SHA256, cut to 16 bytes). A message counts once,
-//! and only near the time at which it was sent.
+//! Layout: one byte of protocol version, the envelope encoded by `postcard`, and an authentication code
+//! over both (HMAC-SHA256, truncated to 16 bytes). A message is accepted once, and only near the time at
+//! which it was sent.
 
 use std::collections::HashMap;
 
@@ -15,84 +15,85 @@
 
 /// Protocol version that this node sends.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Oldest protocol version that this node still understands, for a rollout.
+/// Oldest protocol version that this node accepts, for rolling updates.
 pub const OLDEST_PROTOCOL: u8 = 1;
-/// Largest message in bytes that a node takes in.
+/// Largest message that a node accepts, in bytes.
 pub const LARGEST_MESSAGE: usize = 4 * 1024 * 1024;
 /// Length of the authentication code in bytes.
-const CODE_LENGTH: usize = 16;
-/// How far a message's time may lie from this node's, in milliseconds.
+const MAC_LENGTH: usize = 16;
+/// Largest difference between a message's time and this node's clock, in milliseconds.
 pub(crate) const TIME_BOUND_MS: u64 = 30_000;
-/// How many late messages of a sender are told apart from repeated ones.
+/// Replay window: late messages of a sender that are distinguished from repeated ones, in sequence
+/// numbers.
 const WINDOW: u64 = 64;
 
-type MessageCode = Hmac<Sha256>;
+type MessageMac = Hmac<Sha256>;
 
-/// A message with who sent it and when.
+/// Message with its sender and time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerEnvelope {
     /// The sending node.
     pub sender: String,
-    /// The start of the sending process, in milliseconds of the Unix epoch.
+    /// The start of the sending process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// The number of the message within the incarnation.
     pub sequence: u64,
-    /// When it was sent, in milliseconds of the Unix epoch.
+    /// When it was sent, in milliseconds since the Unix epoch.
     pub sent_ms: u64,
-    /// What it says.
+    /// Contents.
     pub message: PeerMessage,
 }
 
-/// What nodes tell each other. Variants are only ever added at the end, so that an older
-/// node refuses a newer one's message as malformed and understands all others.
+/// Message between nodes. New variants are only added at the end, so that an older node refuses just
+/// these as malformed and understands all others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// What the sender knows about the nodes, itself first.
+    /// Digests of the nodes that the sender knows, its own first.
     Digests(Vec<NodeDigest>),
-    /// The sender lacks the configuration that it was told of.
+    /// Request for a configuration version that was announced to the sender.
     AskConfig {
         /// The version that the sender has.
         have: ConfigVersion,
     },
-    /// A whole version of the configuration.
+    /// Whole version of the configuration.
     Config {
         /// The version.
         version: ConfigVersion,
         /// The bundle, as JSON.
         bundle: String,
     },
-    /// What turns one version into the next one.
+    /// Patch from one version of the configuration to a later one.
     ConfigPatch {
         /// The version that the patch applies to.
         from: ConfigVersion,
-        /// The version that it gives.
+        /// The version that results.
         version: ConfigVersion,
         /// The patch of the bundle's JSON.
         patch: TextPatch,
         /// The digest of the resulting bundle.
         digest: String,
     },
-    /// The sender needs room for a higher tier.
+    /// Request to preempt lower tiers: the sender needs slots for a higher tier.
     MakeRoom {
         /// The model or service.
         pool: String,
-        /// Requests of a lower tier than this one give way.
+        /// Rank of the waiting request; only requests of lower tiers are preempted.
         rank: TierRank,
     },
 }
 
-/// What one node tells about itself; relayed by others.
+/// State that a node reports about itself; relayed by others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeDigest {
     /// The node.
     pub node: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     pub address: String,
-    /// The start of its process, in milliseconds of the Unix epoch.
+    /// The start of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Counts up with each digest of the incarnation.
+    /// Number of the digest within the incarnation, increasing.
     pub beat: u64,
     /// The version of the configuration that is in force on it.
     pub config: ConfigVersion,
@@ -102,9 +103,9 @@
     pub pools: Vec<PoolLoad>,
     /// Its requests on the busiest servers.
     pub servers: Vec<ServerLoad>,
-    /// Its demand by workspace, the largest ones.
+    /// Its demand by workspace in requests per second, only the largest.
     pub demand: Vec<(String, f32)>,
-    /// The backend servers that it was told are leaving by the platform or by themselves.
+    /// The backend servers that the platform or the servers themselves reported to it as leaving.
     pub leaving: Vec<String>,
 }
 
@@ -128,37 +129,38 @@
     pub counts: Vec<(TierRank, u32)>,
 }
 
-/// Entries that all digests of a data centre together have for servers, and for workspaces.
-const ENTRIES_TOLD: usize = 512;
-/// Servers that one digest names at most.
-const SERVERS_MOST: usize = 64;
-/// Workspaces that one digest names at most.
-const WORKSPACES_MOST: usize = 32;
+/// Largest number of server entries in all digests of a data centre together; as many for workspaces.
+const DIGEST_ENTRIES: usize = 512;
+/// Largest number of servers in one digest.
+const MAX_DIGEST_SERVERS: usize = 64;
+/// Largest number of workspaces in one digest.
+const MAX_DIGEST_WORKSPACES: usize = 32;
 
-/// How many servers a digest names, the busiest first, among so many nodes. With hundreds of
-/// nodes and servers what a node sends to one server says little; its pools still say all.
+/// Returns how many servers a digest names, the busiest first, if there are this many nodes. With
+/// hundreds of nodes and servers, one node's load on one server matters little; its pools are still
+/// complete.
 pub fn servers_told(nodes: usize) -> usize {
-    (ENTRIES_TOLD / nodes.max(1)).clamp(1, SERVERS_MOST)
+    (DIGEST_ENTRIES / nodes.max(1)).clamp(1, MAX_DIGEST_SERVERS)
 }
 
-/// How many workspaces a digest names, the largest demand first, among so many nodes.
+/// Returns how many workspaces a digest names, the largest demand first, if there are this many nodes.
 pub fn workspaces_told(nodes: usize) -> usize {
-    (ENTRIES_TOLD / nodes.max(1)).clamp(1, WORKSPACES_MOST)
+    (DIGEST_ENTRIES / nodes.max(1)).clamp(1, MAX_DIGEST_WORKSPACES)
 }
 
-/// One replaced region of a text.
+/// Patch of a text: one replaced region.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextPatch {
-    /// Where the region starts, in bytes.
+    /// Byte offset at which the region starts.
     pub start: usize,
-    /// How many bytes are taken out.
+    /// How many bytes are removed.
     pub removed: usize,
-    /// What is put in.
+    /// Text that replaces the region.
     pub inserted: String,
 }
 
 impl TextPatch {
-    /// The smallest region that turns one text into another.
+    /// Returns the patch with the smallest region that turns `old` into `new`.
     pub fn between(old: &str, new: &str) -> Self {
         let same = |(a, b): &(u8, u8)| a == b;
         let mut start = old.bytes().zip(new.bytes()).take_while(same).count();
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The text after the patch; `None` where it doesn't fit.
+    /// Returns the text after the patch; `None` if the region is outside `old` or splits a character.
     pub fn apply(&self, old: &str) -> Option<String> {
         let head = old.get(..self.start)?;
         let tail = old.get(self.start.checked_add(self.removed)?..)?;
@@ -186,10 +188,10 @@
     }
 }
 
-/// The key that all nodes share.
+/// Secret key that all nodes share.
 #[derive(Clone)]
 pub struct PeerKey {
-    code: MessageCode,
+    code: MessageMac,
 }
 
 impl std::fmt::Debug for PeerKey {
@@ -199,22 +201,22 @@
 }
 
 impl PeerKey {
-    /// A key from the operator's secret.
+    /// Creates a key from the operator's secret.
     pub fn new(secret: &[u8]) -> Self {
-        let code = MessageCode::new_from_slice(secret);
+        let code = MessageMac::new_from_slice(secret);
         Self {
             code: code.expect("HMAC takes keys of any length"),
         }
     }
 
-    /// Packs and authenticates a message.
+    /// Encodes and authenticates a message.
     pub fn seal(&self, envelope: &PeerEnvelope) -> Result<Vec<u8>> {
         let start = vec![PROTOCOL_VERSION];
         let bytes = postcard::to_extend(envelope, start).map_err(|_| Error::MalformedMessage)?;
         Ok(self.seal_bytes(bytes))
     }
 
-    /// Puts a code behind bytes that authenticates them.
+    /// Appends an authentication code to the bytes.
     pub(crate) fn seal_bytes(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         let code = self
             .code
@@ -222,11 +224,11 @@
             .chain_update(&bytes)
             .finalize()
             .into_bytes();
-        bytes.extend_from_slice(&code[..CODE_LENGTH]);
+        bytes.extend_from_slice(&code[..MAC_LENGTH]);
         bytes
     }
 
-    /// Checks and unpacks a message.
+    /// Checks and decodes a message.
     pub fn open(&self, bytes: &[u8]) -> Result<PeerEnvelope> {
         if bytes.len() > LARGEST_MESSAGE {
             return Err(Error::OversizedMessage(bytes.len(), LARGEST_MESSAGE));
@@ -239,12 +241,12 @@
         postcard::from_bytes(packed).map_err(|_| Error::MalformedMessage)
     }
 
-    /// The bytes that a code authenticates. It is checked before anything is unpacked: nothing of a
-    /// stranger is parsed.
+    /// Checks the authentication code and returns the bytes without it. This precedes any decoding:
+    /// bytes of an unauthenticated sender are never parsed.
     pub(crate) fn open_bytes<'a>(&self, sealed: &'a [u8]) -> Result<&'a [u8]> {
         let end = sealed
             .len()
-            .checked_sub(CODE_LENGTH)
+            .checked_sub(MAC_LENGTH)
             .ok_or(Error::MalformedMessage)?;
         let (body, code) = sealed.split_at(end);
         let expected = self.code.clone().chain_update(body);
@@ -255,38 +257,38 @@
     }
 }
 
-/// What was seen of one sender.
+/// Replay window of one sender.
 #[derive(Clone, Copy, Debug, Default)]
 struct SenderWindow {
     incarnation: u64,
     highest: u64,
     seen: u64,
-    heard_ms: u64,
+    received_ms: u64,
 }
 
-/// Lets each message count once.
+/// Guard against replayed messages: accepts each message once.
 ///
-/// A recorded message that is played again would bring back old load or an old leaving mark.
-/// The time bound limits how long senders must be remembered; the window within it finds repeats.
+/// A recorded message that is sent again would restore an outdated load or leaving mark. The time bound
+/// limits how long senders must be remembered; the window detects repeated messages within it.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayGuard {
     senders: HashMap<String, SenderWindow>,
 }
 
 impl ReplayGuard {
-    /// A guard that has seen nothing.
+    /// Creates a guard without any senders.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes note of a message, or says why it doesn't count.
+    /// Records a message, or returns the error for which it is refused.
     pub fn check(&mut self, envelope: &PeerEnvelope, now_ms: u64) -> Result<()> {
         let distance = envelope.sent_ms.abs_diff(now_ms);
         if distance > TIME_BOUND_MS {
             return Err(Error::StaleMessage(distance));
         }
         self.senders
-            .retain(|_, window| now_ms.saturating_sub(window.heard_ms) <= 2 * TIME_BOUND_MS);
+            .retain(|_, window| now_ms.saturating_sub(window.received_ms) <= 2 * TIME_BOUND_MS);
         let window = self.senders.entry(envelope.sender.clone()).or_default();
         window.record(envelope, now_ms)
     }
@@ -303,7 +305,7 @@
                 ..Self::default()
             };
         }
-        self.heard_ms = now_ms;
+        self.received_ms = now_ms;
         let sequence = envelope.sequence;
         if sequence > self.highest {
             let shift = sequence - self.highest;
