--- a/crates/plumgate-node/src/gateway/answer.rs
+++ b/crates/plumgate-node/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a server's, relayed unchanged, or the node's own.
+//! Answers to callers: relayed unchanged from a server, or created by the node.
 
 use std::pin::Pin;
 
@@ -18,28 +18,28 @@
 use crate::caller_error::CallerError;
 use crate::http::json_response;
 
-/// Header with which one side of a connection says for how long it keeps it.
+/// Header that states how long one side of a connection keeps it open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Header of proxies' own connections.
+/// Non-standard header for connections to proxies.
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// One piece of a relayed stream.
+/// Piece of a relayed stream.
 pub(crate) type StreamPiece = Result<Frame<Bytes>, AnswerCut>;
 
-/// The body of an answer to a caller.
+/// Body of an answer to a caller.
 pub(crate) type GatewayBody<S> = Either<AnswerBody, StreamBody<Pin<Box<S>>>>;
 
-/// A whole body.
+/// Returns a body whose bytes are all known.
 pub(crate) fn whole_body<S: Stream<Item = StreamPiece>>(bytes: Bytes) -> GatewayBody<S> {
     Either::Left(AnswerBody::whole(bytes))
 }
 
-/// A body of pieces as they come.
+/// Returns a body that sends the pieces of a stream as they arrive.
 pub(crate) fn stream_body<S: Stream<Item = StreamPiece>>(pieces: S) -> GatewayBody<S> {
     Either::Right(StreamBody::new(Box::pin(pieces)))
 }
 
-/// The node's own answer.
+/// Returns the node's own answer for a request that failed.
 pub(crate) fn own_answer<W: WireFormat, S: Stream<Item = StreamPiece>>(
     wire: &W,
     id: &str,
@@ -51,15 +51,15 @@
     response
 }
 
-/// The head of a server's answer, for the caller.
+/// Returns a server's answer for the caller, without the headers of the server's connection.
 pub(crate) fn relayed_head<B>(head: response::Parts, body: B) -> Response<B> {
     let mut response = Response::from_parts(head, body);
-    drop_connection_headers(response.headers_mut());
+    remove_connection_headers(response.headers_mut());
     response
 }
 
-/// Drops the headers that concern one connection only.
-pub(crate) fn drop_connection_headers(headers: &mut HeaderMap) {
+/// Removes the headers that apply to one connection only (hop-by-hop headers).
+pub(crate) fn remove_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -84,12 +84,12 @@
     }
 }
 
-/// Drops the length of a body whose pieces are sent as they come.
-pub(crate) fn drop_length(headers: &mut HeaderMap) {
+/// Removes the content length, for a body whose pieces are sent as they arrive.
+pub(crate) fn remove_content_length(headers: &mut HeaderMap) {
     headers.remove(CONTENT_LENGTH);
 }
 
-/// Tells the caller that no further request is taken on its connection.
+/// Announces to the caller that the connection closes after this response.
 pub(crate) fn mark_last<B>(response: &mut Response<B>) {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(CONNECTION, close);
--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request goes to a server, and the head of its answer comes back.
+//! One attempt: sends a request to a server and receives the head of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,90 +10,90 @@
 use hyper::{Request, Response, Version};
 use plumgate::gateway::{ConnectionKind, RepeatKind, WorkOutcome};
 
-use super::answer::drop_connection_headers;
+use super::answer::remove_connection_headers;
 use super::guards::{RunRefusal, WorkGuard};
 use super::ports::{AnswerMeaning, AttemptFacts, WireFormat};
-use super::request::{AttemptEnd, AttemptOrder, RESTARTED, ServerAnswer};
+use super::request::{AttemptOrder, AttemptOutcome, RESTARTED, ServerAnswer};
 use super::shared::GatewayShared;
 use crate::clock::{Clock, until};
 use crate::http::OutgoingRequest;
 use crate::link::{HttpLink, LinkError};
 
-/// How long a new connection to a server may take to come about. A first packet that is lost is
-/// sent again after a second only; another server answers sooner.
+/// How long a new connection to a server may take to open. A lost first packet is sent again only after a second;
+/// another server answers sooner.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long after the end of a request's time the server's own word on it is waited for.
-const LAST_WORD: Duration = Duration::from_millis(80);
+/// How long after the request's deadline the node still waits for the server's own answer.
+const ANSWER_GRACE: Duration = Duration::from_millis(80);
 
 /// Carries out one attempt up to the head of the answer.
 pub(crate) async fn attempt<C: Clock, W: WireFormat>(
     shared: &Arc<GatewayShared<C, W>>,
     order: AttemptOrder<'_>,
     mut work: WorkGuard<C, W>,
-) -> AttemptEnd<C, W> {
-    let (mut link, age) = match connect(shared, &order).await {
+) -> AttemptOutcome<C, W> {
+    let (mut link, connection) = match connect(shared, &order).await {
         Ok(opened) => opened,
         Err(failure) => {
-            work.judge(failure.work_end());
-            return AttemptEnd::NotRun {
+            work.set_outcome(failure.work_outcome());
+            return AttemptOutcome::NotRun {
                 reason: failure.as_str(),
                 arrived: false,
             };
         }
     };
-    // Another end, or the server's own word, may have come to light while the connection was opened.
-    match work.begin_run(order.request.identity, age) {
+    // Another crash, or a statement of the server, may have become known while the connection was opened.
+    match work.begin_run(order.request.identity, connection) {
         Ok(()) => {}
-        Err(RunRefusal::Barred(refusal)) => {
-            work.judge(WorkOutcome::Unsent);
-            return AttemptEnd::Barred(refusal);
+        Err(RunRefusal::Disallowed(refusal)) => {
+            work.set_outcome(WorkOutcome::Unsent);
+            return AttemptOutcome::Disallowed(refusal);
         }
-        Err(RunRefusal::Held(hold)) => {
-            return AttemptEnd::NotRun {
-                reason: hold.reason.as_str(),
+        Err(RunRefusal::Blocked(blocked)) => {
+            return AttemptOutcome::NotRun {
+                reason: blocked.reason.as_str(),
                 arrived: false,
             };
         }
     }
     shared.note_limited_send(&order.request.id, order.server, order.cause);
     shared.note_noticed_send(&order.request.id, order.server, order.cause);
-    let request = outgoing(shared, &order);
-    let wait_until = order.head_by.min(order.request.due + LAST_WORD);
-    let life = work.life();
-    let exchange = life.run(link.exchange(request));
+    let request = build_request(shared, &order);
+    let wait_until = order.head_deadline.min(order.request.due + ANSWER_GRACE);
+    let incarnation = work.incarnation();
+    let exchange = incarnation.run(link.exchange(request));
     match until(&shared.clock, wait_until, exchange).await {
         Some(None) => {
-            work.judge(WorkOutcome::Restarted);
-            AttemptEnd::InDoubt(RESTARTED)
+            work.set_outcome(WorkOutcome::Restarted);
+            AttemptOutcome::InDoubt(RESTARTED)
         }
-        Some(Some(Ok(response))) => judge_answer(shared, &order, response, link, work),
+        Some(Some(Ok(response))) => evaluate_answer(shared, &order, response, link, work),
         Some(Some(Err(LinkError::Unsent))) => {
-            work.judge(WorkOutcome::Unsent);
-            AttemptEnd::NotRun {
+            work.set_outcome(WorkOutcome::Unsent);
+            AttemptOutcome::NotRun {
                 reason: "closed_before_send",
                 arrived: false,
             }
         }
         Some(Some(Err(LinkError::Broken(_)))) => {
-            work.judge(WorkOutcome::Broken);
+            work.set_outcome(WorkOutcome::Broken);
             shared.links.clear(&order.server.id);
-            AttemptEnd::InDoubt("broken")
+            AttemptOutcome::InDoubt("broken")
         }
         None if shared.clock.now() < order.request.due => {
-            work.judge(WorkOutcome::Silent);
+            work.set_outcome(WorkOutcome::Silent);
             shared.links.clear(&order.server.id);
-            AttemptEnd::InDoubt("silent")
+            AttemptOutcome::InDoubt("silent")
         }
-        None => AttemptEnd::TimedOut,
+        None => AttemptOutcome::TimedOut,
     }
 }
 
-/// Why no connection came about.
+/// Reason for which no connection was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectFailure {
     /// The server's machine refused it.
     Refused,
-    /// Nothing came back.
+    /// No response arrived in time.
     Silent,
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    fn work_end(self) -> WorkOutcome {
+    fn work_outcome(self) -> WorkOutcome {
         match self {
             Self::Refused => WorkOutcome::Refused,
             Self::Silent => WorkOutcome::Unreachable,
@@ -117,10 +117,10 @@
     shared: &Arc<GatewayShared<C, W>>,
     order: &AttemptOrder<'_>,
 ) -> Result<(HttpLink, ConnectionKind), ConnectFailure> {
-    // A server may close an idle connection just as a request leaves, and nobody knows then
-    // whether it ran. What may run only once therefore gets a connection of its own.
+    // A server may close an idle connection just as a request is sent; it is then unknown whether the request
+    // ran. A request that may run only once therefore gets a new connection.
     let now = shared.clock.now();
-    // A request under which a server ended gets one too: it shows that the next one lived.
+    // So does a request under which a server crashed: a new connection shows that the next server was up.
     if order.request.route.kind == RepeatKind::Idempotent
         && !shared.quarantine().has_evidence(order.request.identity)
         && let Some(link) = shared.links.take(&order.server.id, now).await
@@ -137,7 +137,7 @@
     }
 }
 
-fn outgoing<C: Clock, W: WireFormat>(
+fn build_request<C: Clock, W: WireFormat>(
     shared: &GatewayShared<C, W>,
     order: &AttemptOrder<'_>,
 ) -> OutgoingRequest {
@@ -145,13 +145,13 @@
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.head.method.clone();
     *outgoing.version_mut() = Version::HTTP_11;
-    // Servers take the path alone, whatever form the caller used.
+    // Servers accept the path alone, whatever form of the target the caller used.
     if let Some(path) = request.head.uri.path_and_query() {
         *outgoing.uri_mut() = path.clone().into();
     }
     let headers = outgoing.headers_mut();
     *headers = request.head.headers.clone();
-    drop_connection_headers(headers);
+    remove_connection_headers(headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove(EXPECT);
     if !request.body.is_empty() {
@@ -170,25 +170,25 @@
     outgoing
 }
 
-fn judge_answer<C: Clock, W: WireFormat>(
+fn evaluate_answer<C: Clock, W: WireFormat>(
     shared: &GatewayShared<C, W>,
     order: &AttemptOrder<'_>,
     response: Response<Incoming>,
     link: HttpLink,
     mut work: WorkGuard<C, W>,
-) -> AttemptEnd<C, W> {
+) -> AttemptOutcome<C, W> {
     let (head, body) = response.into_parts();
     let (id, server) = (&order.request.id, &order.server.id);
     let facts = shared
         .wire
         .read_answer(id, server, head.status, &head.headers);
     if let Some(statement) = facts.statement {
-        work.note_statement(&statement);
+        work.on_statement(&statement);
     }
     match facts.meaning {
         AnswerMeaning::Own => {
-            work.note_reached();
-            AttemptEnd::Answer(Box::new(ServerAnswer {
+            work.on_response_started();
+            AttemptOutcome::Answer(Box::new(ServerAnswer {
                 head,
                 body,
                 link,
@@ -197,42 +197,42 @@
             }))
         }
         AnswerMeaning::NotRun { misdirected } => {
-            // Another server has the address now: the entry is old, and nothing else says so.
-            let end = if misdirected {
+            // Another server has the address now: the entry is stale, and nothing else shows it.
+            let outcome = if misdirected {
                 WorkOutcome::Refused
             } else {
                 WorkOutcome::Full
             };
-            work.judge(end);
+            work.set_outcome(outcome);
             let reason = if misdirected { "misdirected" } else { "full" };
-            AttemptEnd::NotRun {
+            AttemptOutcome::NotRun {
                 reason,
                 arrived: true,
             }
         }
-        // An answer to another request, out of step on this connection, must reach nobody.
+        // An answer to another request, out of order on this connection, must not reach any caller.
         AnswerMeaning::Foreign => {
-            work.judge(WorkOutcome::Failed);
-            AttemptEnd::InDoubt("foreign_answer")
+            work.set_outcome(WorkOutcome::Failed);
+            AttemptOutcome::InDoubt("foreign_answer")
         }
         AnswerMeaning::Untrue => {
-            work.judge(WorkOutcome::Failed);
-            AttemptEnd::InDoubt("untrue_answer")
+            work.set_outcome(WorkOutcome::Failed);
+            AttemptOutcome::InDoubt("untrue_answer")
         }
     }
 }
 
-/// Why a body did not come whole.
+/// Reason for which a body was not read whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadFailure {
     /// The connection broke.
     Cut,
-    /// It is larger than an answer may be.
+    /// The body exceeds the maximum size.
     TooLarge,
 }
 
 impl ReadFailure {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Cut => "cut",
@@ -240,8 +240,8 @@
         }
     }
 
-    /// What it says of the server.
-    pub(crate) fn work_end(self) -> WorkOutcome {
+    /// Returns the outcome of the request as evidence about the server.
+    pub(crate) fn work_outcome(self) -> WorkOutcome {
         match self {
             Self::Cut => WorkOutcome::Broken,
             Self::TooLarge => WorkOutcome::Failed,
@@ -249,7 +249,7 @@
     }
 }
 
-/// Reads a whole body up to a bound.
+/// Reads a whole body of at most `most` bytes.
 pub(crate) async fn read_whole(
     link: &mut HttpLink,
     body: &mut Incoming,
--- a/crates/plumgate-node/src/gateway/caller.rs
+++ b/crates/plumgate-node/src/gateway/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' side of a gateway node: connections from their beginning to their end.
+//! Connections of callers to a gateway node, and the requests on them.
 
 use std::convert::Infallible;
 use std::net::{TcpListener, TcpStream};
@@ -17,7 +17,7 @@
 
 use super::answer::{GatewayBody, StreamPiece, mark_last, own_answer};
 use super::checks::accept;
-use super::connection::{CallerStream, ConnectionUse, GuardedBody};
+use super::connection::{CallerStream, ConnectionActivity, GuardedBody};
 use super::duties::DUTIES_PATH;
 use super::guards::ConnectionGuard;
 use super::ports::WireFormat;
@@ -30,17 +30,17 @@
 use crate::http::text_response;
 use crate::log::LogLine;
 
-/// Pause before connections are accepted again after that failed.
+/// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Header lines that a request may have.
-const HEADERS_MOST: usize = 100;
-/// Smallest bound on a head that the library takes, in bytes.
-const HEAD_FLOOR: usize = 16 * 1024;
+/// Maximum number of header lines of a request.
+const MAX_HEADERS: usize = 100;
+/// Smallest size of the read buffer in bytes, however small the limit on heads is; hyper panics below 8 KiB.
+const MIN_READ_BUFFER: usize = 16 * 1024;
 
-/// Accepts callers' connections until the node is leaving.
+/// Accepts callers' connections until the node stops accepting requests.
 ///
-/// The listener goes when the balancer has had its time. A request taken later would be cut off
-/// by the end of the process; a connection that is refused sends its caller elsewhere at once.
+/// The listener closes once the balancer has had time to stop sending connections. A request accepted later would
+/// be cut off by the end of the process; a caller whose connection is refused goes to another node at once.
 pub(crate) async fn accept_callers<C: Clock + Unpin, W: WireFormat>(
     shared: Arc<GatewayShared<C, W>>,
     listener: Async<TcpListener>,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Completes when the node takes no more requests.
+/// Completes when the node accepts no more requests.
 async fn wait_for_closing<C: Clock, W>(shared: &GatewayShared<C, W>) {
     loop {
         let changed = shared.life_changed.listen();
@@ -93,7 +93,7 @@
     shared: &GatewayShared<C, W>,
     error: &std::io::Error,
 ) {
-    // Out of file handles, most likely: the next connections wait until some close.
+    // Most likely the process is out of file descriptors: further connections wait until some close.
     LogLine::new("accept_failed")
         .with("error", error)
         .warn(&shared.log);
@@ -126,7 +126,7 @@
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
         .serve_connection(FuturesIo::new(stream), service);
-    // A probe that breaks off is the prober's matter.
+    // An error of a probe's connection concerns only the prober.
     let _ = connection.await;
 }
 
@@ -134,80 +134,80 @@
     shared: Arc<GatewayShared<C, W>>,
     stream: Async<TcpStream>,
 ) {
-    // Small pieces of a stream must not wait for each other.
+    // Without Nagle's algorithm, as small pieces of a stream must not be delayed.
     let _ = stream.get_ref().set_nodelay(true);
     let _guard = ConnectionGuard::new(shared.clone());
-    let usage = Arc::new(ConnectionUse::new(shared.clock.now()));
+    let activity = Arc::new(ConnectionActivity::new(shared.clock.now()));
     let limits = limits(&shared);
     let service = service_fn(|request| {
         let shared = shared.clone();
-        let usage = usage.clone();
+        let activity = activity.clone();
         async move {
-            let guard = usage.begin_answer(shared.clock.clone());
+            let guard = activity.begin_answer(shared.clock.clone());
             let mut response = serve(&shared, request).await;
-            // A node that is leaving takes no further request on a connection, and says so. So does one
-            // whose knowledge grows too old: the balancer sends it no new connections, but those that
-            // are open would stay, and their callers be refused one request after another.
+            // A node that is leaving accepts no further request on a connection and announces that. So does a node
+            // whose data is too stale: the balancer sends it no new connections, but open ones would remain, and
+            // each request on them would be refused.
             if !shared.is_ready() {
                 mark_last(&mut response);
             }
             Ok::<_, Infallible>(response.map(|body| GuardedBody::new(body, guard)))
         }
     });
-    let stream = CallerStream::new(stream, usage.clone(), shared.clock.clone());
+    let stream = CallerStream::new(stream, activity.clone(), shared.clock.clone());
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(limits.head_bytes.max(HEAD_FLOOR))
-        .max_headers(HEADERS_MOST)
+        .max_buf_size(limits.head_bytes.max(MIN_READ_BUFFER))
+        .max_headers(MAX_HEADERS)
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let served = async {
-        // How a caller's connection ends is the caller's matter.
+        // An error of a caller's connection concerns only the caller.
         let _ = connection.as_mut().await;
         CloseReason::Served
     };
-    let reason = future::or(served, wait_for_close(&shared, &usage)).await;
+    let reason = future::or(served, wait_for_close(&shared, &activity)).await;
     if reason != CloseReason::Leaving {
-        // Nothing is being answered: the connection may go as it is.
+        // No request is being answered: the connection can be dropped.
         return;
     }
-    // The request in flight is answered whole; then the connection closes.
+    // The request in flight is answered in full; then the connection closes.
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
 
-/// Why a connection ends.
+/// Reason for which a connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// It has ended by itself.
+    /// It was closed by the caller, after an answer, or by an error.
     Served,
-    /// It was idle or at a head for too long.
+    /// It was idle, or received the head of a request, for too long.
     Expired,
     /// The node is leaving.
     Leaving,
 }
 
-/// Completes when a connection should end: it is idle or at a head for too long, or the node is
-/// leaving.
+/// Completes when a connection should close: it was idle, or received the head of a request, for too long, or the
+/// node is leaving.
 async fn wait_for_close<C: Clock, W>(
     shared: &GatewayShared<C, W>,
-    usage: &ConnectionUse,
+    activity: &ConnectionActivity,
 ) -> CloseReason {
     loop {
         let life_changed = shared.life_changed.listen();
-        let used = usage.listen();
+        let activity_changed = activity.listen();
         if shared.life.load().closing {
             return CloseReason::Leaving;
         }
-        // The limits are read anew each time: they may change while a connection is open.
+        // The limits are read each time, as they may change while a connection is open.
         let now = shared.clock.now();
-        let ends_at = usage.ends_at(limits(shared));
-        if ends_at.is_some_and(|at| now >= at) {
+        let closes_at = activity.closes_at(limits(shared));
+        if closes_at.is_some_and(|at| now >= at) {
             return CloseReason::Expired;
         }
-        let changed = future::or(life_changed, used);
-        match ends_at {
+        let changed = future::or(life_changed, activity_changed);
+        match closes_at {
             Some(at) => {
                 let _ = until(&shared.clock, at, changed).await;
             }
--- a/crates/plumgate-node/src/gateway/connection.rs
+++ b/crates/plumgate-node/src/gateway/connection.rs
@@ -1,5 +1,5 @@
-//! When a caller's connection is used, so that it can end when it has been idle, or has been at one
-//! request's head, for too long.
+//! Activity of a caller's connection, so that it can be closed if it was idle, or received the head of one
+//! request, for too long.
 
 use std::io;
 use std::net::TcpStream;
@@ -16,94 +16,95 @@
 
 use crate::clock::Clock;
 
-/// How long a connection is kept beyond the limit that callers know, so that a request that
-/// leaves at the limit does not cross the close.
+/// How long a connection is kept beyond the idle limit that callers know, so that a request sent at the limit does
+/// not cross the close.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What a connection is at.
+/// What a connection currently does.
 #[derive(Clone, Copy, Debug)]
-enum UseState {
-    /// It waits for a request since then.
+enum ActivityState {
+    /// Waits for a request since then.
     Idle(Instant),
-    /// The head of a request is coming since then.
+    /// Receives the head of a request since then.
     Head(Instant),
-    /// A request is being answered.
+    /// Answers a request.
     Answering,
 }
 
-/// What a connection is at, shared by those who read it and those who end it.
-pub(crate) struct ConnectionUse {
-    state: Mutex<UseState>,
+/// Activity of a connection, shared by its stream, its answers and the task that closes it.
+pub(crate) struct ConnectionActivity {
+    state: Mutex<ActivityState>,
     changed: Event,
 }
 
-impl ConnectionUse {
-    /// A connection that was just opened.
+impl ConnectionActivity {
+    /// Creates the activity of a connection that was just opened.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            state: Mutex::new(UseState::Idle(now)),
+            state: Mutex::new(ActivityState::Idle(now)),
             changed: Event::new(),
         }
     }
 
-    /// A request's head has come; the guard lives until the whole answer is out.
+    /// Records that the head of a request was received; the guard is held until the whole answer was sent.
     pub(crate) fn begin_answer<C: Clock>(self: &Arc<Self>, clock: C) -> AnswerGuard<C> {
-        *self.state() = UseState::Answering;
+        *self.state() = ActivityState::Answering;
         AnswerGuard {
-            usage: self.clone(),
+            activity: self.clone(),
             clock,
         }
     }
 
-    /// Bytes came.
-    fn note_bytes(&self, now: Instant) {
+    /// Records that bytes were received.
+    fn on_bytes(&self, now: Instant) {
         let mut state = self.state();
-        if matches!(*state, UseState::Idle(_)) {
-            *state = UseState::Head(now);
+        if matches!(*state, ActivityState::Idle(_)) {
+            *state = ActivityState::Head(now);
             self.changed.notify(usize::MAX);
         }
     }
 
-    /// When the connection should end, if nothing changes; never while a request is answered.
-    pub(crate) fn ends_at(&self, limits: CallerLimits) -> Option<Instant> {
+    /// Returns when the connection should close if its activity does not change; `None` while a request is
+    /// answered.
+    pub(crate) fn closes_at(&self, limits: CallerLimits) -> Option<Instant> {
         match *self.state() {
-            UseState::Idle(since) => Some(since + limits.idle_timeout + IDLE_MARGIN),
-            UseState::Head(since) => Some(since + limits.head_timeout),
-            UseState::Answering => None,
+            ActivityState::Idle(since) => Some(since + limits.idle_timeout + IDLE_MARGIN),
+            ActivityState::Head(since) => Some(since + limits.head_timeout),
+            ActivityState::Answering => None,
         }
     }
 
-    /// Completes when the connection is at something else.
+    /// Returns a listener that completes when the activity changes.
     pub(crate) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    fn state(&self) -> MutexGuard<'_, UseState> {
+    fn state(&self) -> MutexGuard<'_, ActivityState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Marks a connection as answering for as long as it lives.
+/// Marks a connection as answering until it is dropped.
 pub(crate) struct AnswerGuard<C: Clock> {
-    usage: Arc<ConnectionUse>,
+    activity: Arc<ConnectionActivity>,
     clock: C,
 }
 
 impl<C: Clock> Drop for AnswerGuard<C> {
     fn drop(&mut self) {
-        *self.usage.state() = UseState::Idle(self.clock.now());
-        self.usage.changed.notify(usize::MAX);
+        *self.activity.state() = ActivityState::Idle(self.clock.now());
+        self.activity.changed.notify(usize::MAX);
     }
 }
 
-/// The body of an answer with the guard that goes when the body does.
+/// Body of an answer, with a guard that is dropped with it.
 pub(crate) struct GuardedBody<B, C: Clock> {
     body: B,
     _guard: AnswerGuard<C>,
 }
 
 impl<B, C: Clock> GuardedBody<B, C> {
-    /// A body that keeps its connection answering.
+    /// Creates a body that keeps its connection marked as answering.
     pub(crate) fn new(body: B, guard: AnswerGuard<C>) -> Self {
         Self {
             body,
@@ -132,19 +133,23 @@
     }
 }
 
-/// A caller's stream that notes when bytes come.
+/// Stream of a caller that records when bytes are received.
 pub(crate) struct CallerStream<C> {
     stream: Async<TcpStream>,
-    usage: Arc<ConnectionUse>,
+    activity: Arc<ConnectionActivity>,
     clock: C,
 }
 
 impl<C: Clock> CallerStream<C> {
-    /// A stream whose use is noted.
-    pub(crate) fn new(stream: Async<TcpStream>, usage: Arc<ConnectionUse>, clock: C) -> Self {
+    /// Creates a stream that records received bytes in `activity`.
+    pub(crate) fn new(
+        stream: Async<TcpStream>,
+        activity: Arc<ConnectionActivity>,
+        clock: C,
+    ) -> Self {
         Self {
             stream,
-            usage,
+            activity,
             clock,
         }
     }
@@ -158,7 +163,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if matches!(polled, Poll::Ready(Ok(1..))) {
-            self.usage.note_bytes(self.clock.now());
+            self.activity.on_bytes(self.clock.now());
         }
         polled
     }
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -1,4 +1,4 @@
-//! What is counted for as long as it lives: connections, requests, and the work of servers.
+//! Guards that count connections, requests and the load of servers until they are dropped.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,17 +9,17 @@
     WorkTicket,
 };
 
-use super::lives::ServerLife;
+use super::lives::ServerIncarnation;
 use super::ports::WireFormat;
 use super::shared::GatewayShared;
 use super::suspects::ask_server;
 use crate::clock::Clock;
 
-/// Counts a caller's connection for as long as it lives.
+/// Counts a caller's connection as open until it is dropped.
 pub(crate) struct ConnectionGuard<C, W>(Arc<GatewayShared<C, W>>);
 
 impl<C, W> ConnectionGuard<C, W> {
-    /// A connection was opened.
+    /// Counts a connection that was opened.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Self {
         shared.open_connections.fetch_add(1, Ordering::SeqCst);
         Self(shared)
@@ -32,11 +32,11 @@
     }
 }
 
-/// Counts a request for as long as it lives.
+/// Counts a request as open until it is dropped.
 pub(crate) struct RequestGuard<C, W>(Arc<GatewayShared<C, W>>);
 
 impl<C, W> RequestGuard<C, W> {
-    /// A request came.
+    /// Counts a request that was accepted.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Self {
         shared.open_requests.fetch_add(1, Ordering::SeqCst);
         shared.metrics.in_flight.inc();
@@ -51,42 +51,43 @@
     }
 }
 
-/// Why a request is not sent after all.
+/// Reason for which a request is not sent to the chosen server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunRefusal {
-    /// It may end the server.
-    Held(BlockedRequest),
-    /// The server's own word is against it: it said something meanwhile, or a permit has lapsed.
-    Barred(SendRefusal),
+    /// It is blocked because it may crash the server.
+    Blocked(BlockedRequest),
+    /// The server's own statements forbid it: it made one in the meantime, or a permit has expired.
+    Disallowed(SendRefusal),
 }
 
-/// One request at a server; however it ends, the server's load is given back.
+/// One request at a server. When it is dropped, however the request ended, the server's load is released, the
+/// outcome recorded, and an unused permit returned.
 pub(crate) struct WorkGuard<C: Clock, W: WireFormat> {
     shared: Arc<GatewayShared<C, W>>,
     server: ServerEntry,
     ticket: Option<WorkTicket>,
-    /// The run, once the request was sent.
+    /// Run in the quarantine table, once the request was sent.
     run: Option<RunTicket>,
     /// When the request was sent.
     sent: BootTime,
-    /// The permit to send it, until it is used.
+    /// Permit to send the request, until it is used.
     permit: Option<SendPermit>,
-    /// Whether the server leaves, and no other can take the request.
+    /// Whether the server leaves and no other can handle the request.
     is_last_resort: bool,
-    end: WorkOutcome,
-    /// The incarnation of the server that works on it.
-    life: Arc<ServerLife>,
+    outcome: WorkOutcome,
+    /// Incarnation of the server that handles the request.
+    incarnation: Arc<ServerIncarnation>,
 }
 
 impl<C: Clock, W: WireFormat> WorkGuard<C, W> {
-    /// A request goes to a server.
+    /// Creates the guard of a request that is about to be sent to a server.
     pub(crate) fn new(
         shared: Arc<GatewayShared<C, W>>,
         pick: &ServerPick,
         ticket: WorkTicket,
         permit: Option<SendPermit>,
     ) -> Self {
-        let life = shared.lives.current(ticket.server());
+        let incarnation = shared.lives.current(ticket.server());
         Self {
             shared,
             server: pick.server.clone(),
@@ -95,21 +96,22 @@
             run: None,
             sent: BootTime::ZERO,
             permit,
-            end: WorkOutcome::Inconclusive,
-            life,
+            outcome: WorkOutcome::Inconclusive,
+            incarnation,
         }
     }
 
-    /// The incarnation of the server that works on the request.
-    pub(crate) fn life(&self) -> Arc<ServerLife> {
-        self.life.clone()
+    /// Returns the incarnation of the server that handles the request.
+    pub(crate) fn incarnation(&self) -> Arc<ServerIncarnation> {
+        self.incarnation.clone()
     }
 
-    /// The request is about to be sent, unless it is held back.
+    /// Records that the request is about to be sent. Fails if the server's statements forbid it or the quarantine
+    /// blocks the request.
     pub(crate) fn begin_run(
         &mut self,
         identity: RequestIdentity,
-        age: ConnectionKind,
+        connection: ConnectionKind,
     ) -> Result<(), RunRefusal> {
         let now = self.shared.clock.now();
         self.sent = self.shared.clock.boot_time();
@@ -119,16 +121,16 @@
             is_last_resort: self.is_last_resort,
         };
         let checked = self.shared.statements().check(&self.server, send);
-        checked.map_err(RunRefusal::Barred)?;
+        checked.map_err(RunRefusal::Disallowed)?;
         let mut quarantine = self.shared.quarantine();
-        let run = quarantine.begin(identity, &self.server, age, now);
-        self.run = Some(run.map_err(RunRefusal::Held)?);
+        let run = quarantine.begin(identity, &self.server, connection, now);
+        self.run = Some(run.map_err(RunRefusal::Blocked)?);
         self.permit = None;
         Ok(())
     }
 
-    /// The server said something of itself in its answer.
-    pub(crate) fn note_statement(&self, statement: &ServerStatement) {
+    /// Records what the server states about itself in its answer.
+    pub(crate) fn on_statement(&self, statement: &ServerStatement) {
         let times = AnswerTimes {
             sent: self.sent,
             seen: self.shared.clock.boot_time(),
@@ -138,14 +140,14 @@
         self.shared.note_notices(&self.server, statement, times);
     }
 
-    /// The server surely has the request: the head of its answer came.
-    pub(crate) fn note_reached(&mut self) {
+    /// Records that the server certainly has the request, as the head of its answer was received.
+    pub(crate) fn on_response_started(&mut self) {
         if let Some(run) = &mut self.run {
             run.on_response_started();
         }
     }
 
-    /// The server began to answer.
+    /// Records that the server began to send its answer.
     pub(crate) fn record_first_byte(&mut self) {
         if let Some(ticket) = &mut self.ticket {
             let now = self.shared.clock.now();
@@ -153,9 +155,9 @@
         }
     }
 
-    /// What the end of the request says of the server.
-    pub(crate) fn judge(&mut self, end: WorkOutcome) {
-        self.end = end;
+    /// Sets the outcome of the request, as evidence about the server.
+    pub(crate) fn set_outcome(&mut self, outcome: WorkOutcome) {
+        self.outcome = outcome;
     }
 }
 
@@ -166,11 +168,11 @@
             self.shared.statements().limits.return_permit(permit);
         }
         if let Some(ticket) = self.ticket.take() {
-            self.shared.loads().finish(ticket, self.end, now);
+            self.shared.loads().finish(ticket, self.outcome, now);
         }
         if let Some(run) = self.run.take() {
             let identity = run.identity();
-            let finding = self.shared.quarantine().finish(run, self.end, now);
+            let finding = self.shared.quarantine().finish(run, self.outcome, now);
             match finding {
                 RunFinding::Nothing => {}
                 RunFinding::ProbeServer => ask_server(&self.shared, &self.server),
@@ -179,7 +181,7 @@
                 }
             }
         }
-        if self.end == WorkOutcome::Refused {
+        if self.outcome == WorkOutcome::Refused {
             self.shared.note_refused(&self.server);
         }
         self.shared.log_suspects();
--- a/crates/plumgate-node/src/gateway/links.rs
+++ b/crates/plumgate-node/src/gateway/links.rs
@@ -1,4 +1,4 @@
-//! Idle connections to backend servers.
+//! Pool of idle connections to backend servers.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -8,13 +8,13 @@
 
 use crate::link::HttpLink;
 
-/// Idle connections that are kept for one server.
-const IDLE_MOST: usize = 8;
+/// Maximum number of idle connections to one server.
+const MAX_IDLE_LINKS: usize = 8;
 
-/// An idle connection.
+/// Idle connection, and until when it may be used.
 struct IdleLink {
     link: HttpLink,
-    until: Instant,
+    usable_until: Instant,
 }
 
 /// Idle connections by server.
@@ -24,30 +24,33 @@
 }
 
 impl LinkPool {
-    /// An idle connection to a server that can still be used.
+    /// Takes an idle connection to a server that is still usable.
     pub(crate) async fn take(&self, server: &ServerId, now: Instant) -> Option<HttpLink> {
         loop {
-            let IdleLink { mut link, until } = self.pop(server)?;
-            if now < until && link.is_usable().await {
+            let IdleLink {
+                mut link,
+                usable_until,
+            } = self.pop(server)?;
+            if now < usable_until && link.is_usable().await {
                 return Some(link);
             }
         }
     }
 
-    /// Keeps a connection whose last answer was read to its end.
-    pub(crate) fn put(&self, server: &ServerId, link: HttpLink, until: Instant) {
+    /// Adds a connection whose last answer was read to its end; closes it if the server has enough of them.
+    pub(crate) fn put(&self, server: &ServerId, link: HttpLink, usable_until: Instant) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let links = idle.entry(server.clone()).or_default();
-        if links.len() < IDLE_MOST {
-            links.push(IdleLink { link, until });
+        if links.len() < MAX_IDLE_LINKS {
+            links.push(IdleLink { link, usable_until });
         }
     }
 
-    /// Closes connections whose time is over, and those to servers that are gone.
+    /// Closes expired connections, and drops the entries of servers that have none left.
     pub(crate) fn sweep(&self, now: Instant) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         for links in idle.values_mut() {
-            links.retain(|link| now < link.until);
+            links.retain(|link| now < link.usable_until);
         }
         idle.retain(|_, links| !links.is_empty());
     }
--- a/crates/plumgate-node/src/gateway/lives.rs
+++ b/crates/plumgate-node/src/gateway/lives.rs
@@ -1,9 +1,9 @@
-//! Incarnations of backend servers, and what has to end with them.
+//! Incarnations of backend servers, and the requests that end with them.
 //!
-//! A server that crashed and started again under its id knows nothing of the requests that its
-//! predecessor ran. Their connections may stay silent for good: a caller would wait until its time
-//! is over for an answer that nobody makes. The entry of the successor is the proof that no more
-//! will come, so what runs at the predecessor ends then, as a request that may have run.
+//! A server that crashed and restarted under the same id has lost the requests of its previous incarnation. Their
+//! connections may stay silent for ever, and a caller would wait until its deadline for an answer that is never
+//! sent. The entry of the new incarnation proves that no answer will come, so requests at the previous one
+//! end then, as requests that may have run.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,22 +13,22 @@
 use futures_lite::future;
 use plumgate::ids::ServerId;
 
-/// One incarnation of a server.
+/// Incarnation of a server.
 #[derive(Debug, Default)]
-pub(crate) struct ServerLife {
-    is_over: AtomicBool,
+pub(crate) struct ServerIncarnation {
+    has_ended: AtomicBool,
     ended: Event,
 }
 
-impl ServerLife {
-    /// Waits for a piece of work there; `None` where the incarnation ended first. What has come
-    /// already is taken before that.
+impl ServerIncarnation {
+    /// Waits for an operation at this incarnation; `None` if the incarnation ended first. An operation that can
+    /// complete at once does so even if the incarnation has ended.
     pub(crate) async fn run<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let work = async { Some(work.await) };
         let ended = async {
             loop {
                 let listener = self.ended.listen();
-                if self.is_over() {
+                if self.has_ended() {
                     return None;
                 }
                 listener.await;
@@ -37,40 +37,46 @@
         future::or(work, ended).await
     }
 
-    /// Whether the server has started again since.
-    pub(crate) fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::SeqCst)
+    /// Returns whether the server has restarted since.
+    pub(crate) fn has_ended(&self) -> bool {
+        self.has_ended.load(Ordering::SeqCst)
     }
 }
 
-/// The incarnations that requests run at.
+/// Current incarnations of servers that requests were sent to.
 #[derive(Debug, Default)]
 pub(crate) struct ServerLives {
-    lives: Mutex<HashMap<ServerId, Arc<ServerLife>>>,
+    incarnations: Mutex<HashMap<ServerId, Arc<ServerIncarnation>>>,
 }
 
 impl ServerLives {
-    /// The incarnation that has an id now.
-    pub(crate) fn current(&self, server: &ServerId) -> Arc<ServerLife> {
-        let mut lives = self.lives.lock().unwrap_or_else(PoisonError::into_inner);
-        lives.entry(server.clone()).or_default().clone()
+    /// Returns the current incarnation of a server.
+    pub(crate) fn current(&self, server: &ServerId) -> Arc<ServerIncarnation> {
+        let mut incarnations = self
+            .incarnations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        incarnations.entry(server.clone()).or_default().clone()
     }
 
-    /// The server of an id has started again.
+    /// Ends the current incarnation of a server after a restart, and the requests that wait for it.
     pub(crate) fn end(&self, server: &ServerId) {
-        if let Some(life) = self.remove(server) {
-            life.is_over.store(true, Ordering::SeqCst);
-            life.ended.notify(usize::MAX);
+        if let Some(incarnation) = self.remove(server) {
+            incarnation.has_ended.store(true, Ordering::SeqCst);
+            incarnation.ended.notify(usize::MAX);
         }
     }
 
-    /// A server's entry is gone; it goes on with what it has begun.
+    /// Removes a server whose entry is gone; requests that it already runs continue.
     pub(crate) fn forget(&self, server: &ServerId) {
         self.remove(server);
     }
 
-    fn remove(&self, server: &ServerId) -> Option<Arc<ServerLife>> {
-        let mut lives = self.lives.lock().unwrap_or_else(PoisonError::into_inner);
-        lives.remove(server)
+    fn remove(&self, server: &ServerId) -> Option<Arc<ServerIncarnation>> {
+        let mut incarnations = self
+            .incarnations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        incarnations.remove(server)
     }
 }
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! One request on its way: servers are tried until one answers, or the caller is told why not.
+//! Relay loop of one request: tries servers until one answers, or refuses the request with a reason.
 
 use std::time::{Duration, Instant};
 
@@ -16,39 +16,41 @@
 use super::attempt::read_whole;
 use super::metrics::ReasonLabels;
 use super::ports::{AnswerFacts, WireFormat};
-use super::request::{AttemptEnd, RESTARTED, ServerAnswer};
-use super::run::{RelayRun, TRIES_MOST};
+use super::request::{AttemptOutcome, RESTARTED, ServerAnswer};
+use super::run::{MAX_SERVERS_TRIED, RelayRun};
 use super::stream::StreamRelay;
 use crate::caller_error::CallerError;
 use crate::clock::{Clock, until};
 use crate::link::HttpLink;
 
-/// Largest answer that is read whole before it goes on: more is no answer of a plain service.
-const LARGEST_WHOLE: usize = 8 * 1024 * 1024;
-/// Multiple of a route's target after which a repeatable request is sent to another server.
-const SILENCE_TARGETS: f64 = 2.5;
-/// Share of the time left that one try of a repeatable request may take at most.
-const TRY_SHARE: f64 = 0.5;
-/// How long after its time an answer that has begun is still read, for the server's own word.
-const WHOLE_RESERVE: Duration = Duration::from_millis(80);
-/// Pause that is asked of a caller whose request all tried servers refused.
-const REFUSED_PAUSE: Duration = Duration::from_millis(400);
-/// Pause that is asked of a caller where no server takes work.
-const NO_SERVER_PAUSE: Duration = Duration::from_millis(400);
-/// The same where all servers that are known leave: others are started, and the store tells of them within about a
-/// second of their first row.
-const SUCCESSOR_PAUSE: Duration = Duration::from_secs(1);
-/// Share of a route's target for which a request waits for a server that is held back by its own word.
-const HOLD_WAIT_SHARE: f64 = 0.125;
-/// How much longer a request waits for it than one that is one step more urgent.
-const WAKE_STEP: Duration = Duration::from_millis(2);
-/// Time by which a server's connection is given up before the server would close it.
-const KEEP_MARGIN: Duration = Duration::from_millis(500);
+/// Largest answer in bytes that is read whole before it is relayed; services without streams answer with less.
+const MAX_WHOLE_BODY: usize = 8 * 1024 * 1024;
+/// Multiple of a route's target latency after which a repeatable request without an answer is sent to another
+/// server.
+const HEAD_TIMEOUT_TARGETS: f64 = 2.5;
+/// Largest share of the time left that one attempt of a repeatable request may take.
+const MAX_ATTEMPT_SHARE: f64 = 0.5;
+/// How long after its deadline a request still receives an answer that has begun, so that the server can end it
+/// itself.
+const BODY_GRACE: Duration = Duration::from_millis(80);
+/// Delay that a caller is asked for if all tried servers refused the request.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Delay that a caller is asked for if no server accepts requests.
+const NO_SERVER_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Delay that a caller is asked for if all known servers leave: others are started, and nodes receive them from
+/// the store within about a second after their first row was written.
+const ALL_LEAVING_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Share of a route's target latency for which a request waits for a server whose own statements defer requests.
+const DEFERRAL_WAIT_SHARE: f64 = 0.125;
+/// How much longer a request waits for a deferred server than a request that is one urgency level higher.
+const URGENCY_WAKE_STEP: Duration = Duration::from_millis(2);
+/// Margin by which an idle connection is discarded before the server would close it.
+const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What follows a try.
-enum NextTry {
-    Again,
-    Done(Response<Bytes>),
+/// What the relay does after an attempt.
+enum NextStep {
+    Retry,
+    Respond(Response<Bytes>),
     Fail(CallerError),
 }
 
@@ -58,80 +60,82 @@
         mut self,
     ) -> Response<GatewayBody<impl Stream<Item = StreamPiece> + Send + use<C, W>>> {
         let error = loop {
-            let (pick, permit) = match self.choose().await {
+            let (pick, permit) = match self.choose_server().await {
                 Ok(chosen) => chosen,
                 Err(error) => break error,
             };
             let next = match self.try_server(&pick, permit).await {
-                AttemptEnd::Answer(answer) if self.begins_stream(&answer) => {
+                AttemptOutcome::Answer(answer) if self.begins_stream(&answer) => {
                     let (head, relay) = StreamRelay::begin(self, *answer);
                     return relayed_head(head, stream_body(relay.pieces()));
                 }
-                AttemptEnd::Answer(answer) => self.take_whole(*answer).await,
-                AttemptEnd::NotRun { reason, arrived } => self.after_refusal(reason, arrived),
-                AttemptEnd::Barred(refusal) => self.after_bar(&pick, refusal),
-                AttemptEnd::InDoubt(reason) => {
+                AttemptOutcome::Answer(answer) => self.relay_whole_body(*answer).await,
+                AttemptOutcome::NotRun { reason, arrived } => self.after_refusal(reason, arrived),
+                AttemptOutcome::Disallowed(refusal) => self.after_disallowed(&pick, refusal),
+                AttemptOutcome::InDoubt(reason) => {
                     self.settle().await;
-                    self.after_doubt(reason)
+                    self.after_in_doubt(reason)
                 }
-                AttemptEnd::TimedOut => NextTry::Fail(self.time_out()),
+                AttemptOutcome::TimedOut => NextStep::Fail(self.time_out()),
             };
             match next {
-                NextTry::Again => {}
-                NextTry::Done(response) => return response.map(whole_body),
-                NextTry::Fail(error) => break error,
+                NextStep::Retry => {}
+                NextStep::Respond(response) => return response.map(whole_body),
+                NextStep::Fail(error) => break error,
             }
         };
         self.report(error.outcome, error.kind, error.status);
         own_answer(&self.shared.wire, &self.request.id, &error)
     }
 
-    /// The next server and the permit that it takes to send there, or why there is none.
-    async fn choose(&mut self) -> Result<(ServerPick, Option<SendPermit>), CallerError> {
+    /// Chooses the next server and obtains the permit that its limit requires; fails if no server can be used.
+    async fn choose_server(&mut self) -> Result<(ServerPick, Option<SendPermit>), CallerError> {
         loop {
             let Some(pick) = self.pick()? else {
-                self.await_server().await?;
+                self.wait_for_server().await?;
                 continue;
             };
-            if let Ok(permit) = self.claim(&pick).await {
+            if let Ok(permit) = self.request_permit(&pick).await {
                 return Ok((pick, permit));
             }
         }
     }
 
-    /// Waits for a server that is held back by its own word, if that is soon. Otherwise the caller is told when to
-    /// come back.
-    async fn await_server(&mut self) -> Result<(), CallerError> {
+    /// Waits for a server whose own statements defer requests, if the wait is short. Otherwise fails with the time
+    /// after which the caller should retry.
+    async fn wait_for_server(&mut self) -> Result<(), CallerError> {
         let now = self.shared.clock.now();
         let placement = self.request.placement(&self.tried, false);
-        let Some(hold) = self.shared.loads().deferred_until(&placement, now) else {
+        let Some(deferral) = self.shared.loads().deferred_until(&placement, now) else {
             return Ok(());
         };
-        let held_for = hold.until.saturating_duration_since(now);
+        let deferred_for = deferral.until.saturating_duration_since(now);
         let waited = now.saturating_duration_since(self.request.arrived);
-        let patience = self.request.route.target.mul_f64(HOLD_WAIT_SHARE);
-        if waited + held_for <= patience {
-            // The most urgent request is the first to see that the server is back.
-            let behind = WAKE_STEP * u32::from(self.request.urgency);
-            self.shared.clock.sleep(held_for + behind).await;
+        let max_wait = self.request.route.target.mul_f64(DEFERRAL_WAIT_SHARE);
+        if waited + deferred_for <= max_wait {
+            // The most urgent request is the first to find the server available again.
+            let behind = URGENCY_WAKE_STEP * u32::from(self.request.urgency);
+            self.shared.clock.sleep(deferred_for + behind).await;
             return Ok(());
         }
         let spread = self.shared.random_share();
-        let pause = self.admission().retry_delay(held_for, self.left(), spread);
-        Err(self.give_up(hold.cause.as_str(), pause))
+        let pause = self
+            .admission()
+            .retry_delay(deferred_for, self.time_left(), spread);
+        Err(self.unserved_error(deferral.cause.as_str(), pause))
     }
 
-    /// The next server, or why there is none; none too where all are held back by their own words.
+    /// Chooses the next server; `None` if all servers defer requests, an error if none can be used.
     fn pick(&mut self) -> Result<Option<ServerPick>, CallerError> {
         let now = self.shared.clock.now();
         let left = self.request.due.saturating_duration_since(now);
         if left.is_zero() {
-            return Err(self.give_up("timeout", Duration::ZERO));
+            return Err(self.unserved_error("timeout", Duration::ZERO));
         }
-        let is_isolated = match self.verdict() {
+        let is_isolated = match self.quarantine_verdict() {
             RequestVerdict::Send => false,
             RequestVerdict::SendIsolated => true,
-            RequestVerdict::Block(hold) => return Err(self.hold_back(hold)),
+            RequestVerdict::Block(blocked) => return Err(self.blocked_error(blocked)),
         };
         let placement = self.request.placement(&self.tried, is_isolated);
         let pick = self.shared.loads().pick(&placement, now);
@@ -145,16 +149,16 @@
             {
                 return Ok(None);
             }
-            let is_left = self.shared.loads().has_only_leaving(&self.request.pool);
-            let (reason, pause) = if is_left {
-                (SendRefusal::Leaving.as_str(), SUCCESSOR_PAUSE)
+            let has_only_leaving = self.shared.loads().has_only_leaving(&self.request.pool);
+            let (reason, pause) = if has_only_leaving {
+                (SendRefusal::Leaving.as_str(), ALL_LEAVING_RETRY_DELAY)
             } else {
-                ("no_server", NO_SERVER_PAUSE)
+                ("no_server", NO_SERVER_RETRY_DELAY)
             };
             let pause = self.admission().retry_delay(pause, left, spread);
-            return Err(self.give_up(reason, pause));
+            return Err(self.unserved_error(reason, pause));
         };
-        if !std::mem::replace(&mut self.is_demand_noted, true) {
+        if !std::mem::replace(&mut self.is_demand_recorded, true) {
             let mut loads = self.shared.loads();
             loads.record_demand(&self.request.pool, &pick, now);
         }
@@ -169,7 +173,7 @@
             && let AdmissionDecision::Refuse { retry_after } =
                 self.admission().decide(&wait, spread)
         {
-            return Err(self.give_up("overloaded", retry_after));
+            return Err(self.unserved_error("overloaded", retry_after));
         }
         Ok(Some(pick))
     }
@@ -178,7 +182,7 @@
         AdmissionPolicy::new().with_switches(self.shared.options.switches)
     }
 
-    /// Time left until the request misses the target that it is refused by.
+    /// Returns the time left until the request misses the target by which requests are refused.
     fn target_left(&self, now: Instant) -> Duration {
         let waited = now.saturating_duration_since(self.request.arrived);
         self.request.refusal_target.saturating_sub(waited)
@@ -188,103 +192,107 @@
         &mut self,
         pick: &ServerPick,
         permit: Option<SendPermit>,
-    ) -> AttemptEnd<C, W> {
+    ) -> AttemptOutcome<C, W> {
         let now = self.shared.clock.now();
         self.log_route(pick, now);
-        let head_by = self.head_by(now);
-        self.offer(pick, permit, head_by, None).await
+        let head_deadline = self.head_deadline(now);
+        self.send_attempt(pick, permit, head_deadline, None).await
     }
 
-    /// Until when a server's answer must begin before another server is tried.
-    fn head_by(&self, now: Instant) -> Instant {
+    /// Returns the time by which a server's answer must begin before another server is tried.
+    fn head_deadline(&self, now: Instant) -> Instant {
         let route = &self.request.route;
         let last_run = self.runs + 1 >= route.max_attempts;
         if route.kind != RepeatKind::Idempotent || last_run {
             return self.request.due + Duration::from_secs(1);
         }
         let left = self.request.due.saturating_duration_since(now);
-        let patience = route.target.mul_f64(SILENCE_TARGETS);
-        now + patience.min(left.mul_f64(TRY_SHARE))
+        let max_wait = route.target.mul_f64(HEAD_TIMEOUT_TARGETS);
+        now + max_wait.min(left.mul_f64(MAX_ATTEMPT_SHARE))
     }
 
     fn begins_stream(&self, answer: &ServerAnswer<C, W>) -> bool {
         self.request.route.kind.is_stream() && answer.head.status.is_success()
     }
 
-    /// Reads an answer whole: what breaks off can then be tried again, or fails visibly.
-    async fn take_whole(&mut self, mut answer: ServerAnswer<C, W>) -> NextTry {
+    /// Reads an answer whole before it is relayed, so that a request whose answer breaks off can be retried or
+    /// fails visibly.
+    async fn relay_whole_body(&mut self, mut answer: ServerAnswer<C, W>) -> NextStep {
         self.apply(AttemptEvent::HeadReceived);
-        self.note_began(self.ran_for().unwrap_or_default());
+        self.record_run_start(self.ran_for().unwrap_or_default());
         answer.work.record_first_byte();
-        let deadline = self.request.due + WHOLE_RESERVE;
-        let reading = read_whole(&mut answer.link, &mut answer.body, LARGEST_WHOLE);
-        let life = answer.work.life();
-        let body = match until(&self.shared.clock, deadline, life.run(reading)).await {
-            None => return NextTry::Fail(self.time_out()),
+        let deadline = self.request.due + BODY_GRACE;
+        let reading = read_whole(&mut answer.link, &mut answer.body, MAX_WHOLE_BODY);
+        let incarnation = answer.work.incarnation();
+        let body = match until(&self.shared.clock, deadline, incarnation.run(reading)).await {
+            None => return NextStep::Fail(self.time_out()),
             Some(None) => {
-                answer.work.judge(WorkOutcome::Restarted);
+                answer.work.set_outcome(WorkOutcome::Restarted);
                 drop(answer);
-                return self.after_doubt(RESTARTED);
+                return self.after_in_doubt(RESTARTED);
             }
             Some(Some(Ok(body))) => body,
             Some(Some(Err(failure))) => {
-                answer.work.judge(failure.work_end());
+                answer.work.set_outcome(failure.work_outcome());
                 drop(answer);
                 self.settle().await;
-                return self.after_doubt(failure.as_str());
+                return self.after_in_doubt(failure.as_str());
             }
         };
         let status = answer.head.status;
         if status.is_server_error() {
-            answer.work.judge(WorkOutcome::Failed);
+            answer.work.set_outcome(WorkOutcome::Failed);
             if self.allow_run_again("server_error") {
                 self.apply(AttemptEvent::Cut);
                 self.apply(AttemptEvent::RunAgain);
-                return NextTry::Again;
+                return NextStep::Retry;
             }
         } else {
-            answer.work.judge(WorkOutcome::Answered);
+            answer.work.set_outcome(WorkOutcome::Answered);
         }
         self.apply(AttemptEvent::Finished);
-        // A connection to an incarnation that is over leads nowhere.
-        if !life.is_over() {
-            self.keep_link(&answer.facts, answer.link);
+        // A connection to an incarnation that has ended can't be reused.
+        if !incarnation.has_ended() {
+            self.return_link(&answer.facts, answer.link);
         }
         self.observe_first_byte();
         self.report(RunOutcome::Answered, "server", status);
-        NextTry::Done(relayed_head(answer.head, body))
+        NextStep::Respond(relayed_head(answer.head, body))
     }
 
-    /// The request did not leave, as its server said something of itself meanwhile. That costs it nothing: no
-    /// server has seen it.
-    fn after_bar(&mut self, pick: &ServerPick, refusal: SendRefusal) -> NextTry {
-        self.note_bar(&pick.server, refusal);
-        NextTry::Again
+    /// Handles a request that was not sent because the server's statements forbid it by now. Another attempt takes
+    /// nothing from the retry budget: no server has received the request.
+    fn after_disallowed(&mut self, pick: &ServerPick, refusal: SendRefusal) -> NextStep {
+        self.on_disallowed(&pick.server, refusal);
+        NextStep::Retry
     }
 
-    /// A server surely did not run the request.
-    fn after_refusal(&mut self, reason: &'static str, arrived: bool) -> NextTry {
-        self.note_refusal(arrived);
+    /// Handles a request that a server did certainly not run: retries it, if the limits of retries allow.
+    fn after_refusal(&mut self, reason: &'static str, arrived: bool) -> NextStep {
+        self.on_refusal(arrived);
         self.count_failure(reason);
         let tries = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
-        if tries < TRIES_MOST && self.pay_retry(reason) {
-            return NextTry::Again;
+        if tries < MAX_SERVERS_TRIED && self.spend_retry(reason) {
+            return NextStep::Retry;
         }
-        let left = self.left();
+        let left = self.time_left();
         let spread = self.shared.random_share();
-        let pause = self.admission().retry_delay(REFUSED_PAUSE, left, spread);
-        NextTry::Fail(self.give_up(reason, pause))
+        let pause = self
+            .admission()
+            .retry_delay(REFUSED_RETRY_DELAY, left, spread);
+        NextStep::Fail(self.unserved_error(reason, pause))
     }
 
-    /// A server may have run the request, and its answer won't come.
-    fn after_doubt(&mut self, reason: &'static str) -> NextTry {
+    /// Handles a request that a server may have run and whose answer is lost: runs it again, if it is repeatable
+    /// and the limits of retries allow.
+    fn after_in_doubt(&mut self, reason: &'static str) -> NextStep {
         self.apply(AttemptEvent::Cut);
         self.count_failure(reason);
         if self.allow_run_again(reason) {
             self.apply(AttemptEvent::RunAgain);
-            return NextTry::Again;
+            return NextStep::Retry;
         }
-        NextTry::Fail(CallerError::unknown(
+        NextStep::Fail(CallerError::unknown(
             reason,
             "the backend server failed; the request may have run",
         ))
@@ -298,36 +306,35 @@
         }
     }
 
-    /// The error for a request that may end the next server too.
+    /// Returns the error for a request that is blocked because it may crash the next server too.
     ///
-    /// One that was not sent is refused as such, with the time until which no server will get it: its caller
-    /// should not come back before, and a status that says that the request is wrong would claim more
-    /// than is known.
-    fn hold_back(&self, hold: BlockedRequest) -> CallerError {
-        let reason = hold.reason.as_str();
+    /// A request that no server has run is refused with 503 and the time until which it stays blocked: the caller
+    /// should not retry earlier. A status that calls the request invalid would claim more than is known.
+    fn blocked_error(&self, blocked: BlockedRequest) -> CallerError {
+        let reason = blocked.reason.as_str();
         let labels = ReasonLabels { reason };
         self.shared.metrics.held_back.get_or_create(&labels).inc();
         match self.run.outcome() {
             RunOutcome::NotRun => CallerError::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
                 reason,
-                "backend servers ended each time that this request ran; this time it was not run",
-                hold.retry_after,
+                "backend servers crashed each time that this request ran; this time it was not run",
+                blocked.retry_after,
             ),
             RunOutcome::Unknown | RunOutcome::Answered => CallerError::unknown(
                 reason,
-                "backend servers ended under this request; it is not sent to another one",
+                "backend servers crashed while they ran this request; it is not sent to another one",
             ),
         }
     }
 
-    /// The error for a request that goes to no further server.
-    fn give_up(&self, reason: &'static str, retry_after: Duration) -> CallerError {
+    /// Returns the error for a request that is sent to no further server.
+    fn unserved_error(&self, reason: &'static str, retry_after: Duration) -> CallerError {
         match self.run.outcome() {
             RunOutcome::NotRun => CallerError::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
                 reason,
-                "no backend server takes the request now; it was not run",
+                "no backend server accepts the request now; it was not run",
                 retry_after,
             ),
             RunOutcome::Unknown | RunOutcome::Answered => CallerError::unknown(
@@ -337,14 +344,14 @@
         }
     }
 
-    fn keep_link(&self, facts: &AnswerFacts, link: HttpLink) {
+    fn return_link(&self, facts: &AnswerFacts, link: HttpLink) {
         let Some(server) = self.tried.last() else {
             return;
         };
         let Some(keeps_for) = facts.keeps_for else {
             return;
         };
-        let until = self.shared.clock.now() + keeps_for.saturating_sub(KEEP_MARGIN);
+        let until = self.shared.clock.now() + keeps_for.saturating_sub(IDLE_CLOSE_MARGIN);
         self.shared.links.put(server, link, until);
     }
 }
--- a/crates/plumgate-node/src/gateway/relay_report.rs
+++ b/crates/plumgate-node/src/gateway/relay_report.rs
@@ -1,4 +1,4 @@
-//! What a request's way leaves behind: log lines and counts.
+//! Log lines and metrics of a request.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 use crate::log::LogLine;
 
 impl<C: Clock, W: WireFormat> RelayRun<C, W> {
-    /// The first byte of the answer goes to the caller.
+    /// Records that the first byte of the answer is sent to the caller.
     pub(crate) fn observe_first_byte(&mut self) {
         let now = self.shared.clock.now();
         let took = now.saturating_duration_since(self.request.arrived);
@@ -22,14 +22,14 @@
         metrics.observe_first_byte(self.request.urgency, took);
     }
 
-    /// A further event goes to the caller, this long after the one before.
+    /// Records that a further event is sent to the caller, `pause` after the previous one.
     pub(crate) fn observe_pause(&mut self, pause: Duration) {
         self.longest_pause = self.longest_pause.max(pause);
         let metrics = &self.shared.metrics;
         metrics.observe_pause(self.request.urgency, pause);
     }
 
-    /// An attempt failed.
+    /// Counts and logs a failed attempt.
     pub(crate) fn count_failure(&self, reason: &'static str) {
         let labels = ReasonLabels { reason };
         let attempts = &self.shared.metrics.failed_attempts;
@@ -45,7 +45,7 @@
             .info(&self.shared.log);
     }
 
-    /// A server was chosen.
+    /// Logs the choice of a server.
     pub(crate) fn log_route(&self, pick: &ServerPick, now: Instant) {
         let waited = now.saturating_duration_since(self.request.arrived);
         let line = LogLine::new("route")
@@ -77,7 +77,7 @@
         line.info(&self.shared.log);
     }
 
-    /// Says how the request ended.
+    /// Counts and logs the outcome of the request.
     pub(crate) fn report(&mut self, outcome: RunOutcome, reason: &'static str, status: StatusCode) {
         self.log_end(outcome, reason, Some(status));
     }
@@ -114,7 +114,8 @@
 }
 
 impl<C: Clock, W> Drop for RelayRun<C, W> {
-    /// The caller went away before the end: the request is dropped with its connections.
+    /// Reports a request whose caller closed the connection before the end; its connections to servers close
+    /// with it.
     fn drop(&mut self) {
         if !self.is_reported {
             self.log_end(self.run.outcome(), "caller_gone", None);
--- a/crates/plumgate-node/src/gateway/request.rs
+++ b/crates/plumgate-node/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! A request that is relayed, and the attempts that are made for it.
+//! Types of a relayed request and of its attempts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,44 +19,44 @@
 use crate::clock::Clock;
 use crate::link::HttpLink;
 
-/// Why a request ended whose server started again.
+/// Reason logged for a request whose server restarted.
 pub(crate) const RESTARTED: &str = "server_restarted";
 
-/// A request that may be relayed.
+/// Checked request that may be relayed.
 #[derive(Debug)]
 pub(crate) struct RelayRequest {
-    /// The id of the caller's attempt.
+    /// Id of the caller's attempt.
     pub(crate) id: String,
-    /// Its route.
+    /// Route of the request.
     pub(crate) route: Arc<GatewayRoute>,
-    /// The pool that the route's weights chose.
+    /// Pool chosen by the route's weights.
     pub(crate) pool: PoolId,
-    /// The workspace that holds the caller's key.
+    /// Workspace that holds the caller's key.
     pub(crate) workspace: Option<WorkspaceId>,
-    /// Its urgency, 0 first.
+    /// Urgency; 0 is the most urgent.
     pub(crate) urgency: u8,
-    /// How sensitive its stream is.
+    /// Sensitivity of its stream to pauses.
     pub(crate) class: StreamClass,
-    /// The target that it is refused by.
+    /// Target latency by which the request is admitted or refused.
     pub(crate) refusal_target: Duration,
-    /// What tells it from other requests, whatever its id.
+    /// Identity by which repeats of the request are recognized, whatever their ids.
     pub(crate) identity: RequestIdentity,
-    /// Its head.
+    /// Head as received.
     pub(crate) head: Parts,
-    /// Its body.
+    /// Whole body.
     pub(crate) body: Bytes,
-    /// What its head says.
+    /// Facts read from the head.
     pub(crate) facts: RequestFacts,
-    /// When it arrived.
+    /// When the request arrived.
     pub(crate) arrived: Instant,
-    /// When its time is over.
+    /// Deadline of the answer.
     pub(crate) due: Instant,
-    /// The version of the configuration that it is served by.
+    /// Version of the configuration that applies to the request.
     pub(crate) config: u64,
 }
 
 impl RelayRequest {
-    /// What a server is chosen for; `is_isolated` where the request may end it.
+    /// Returns the input for the choice of a server; `is_isolated` if the request may crash the server.
     pub(crate) fn placement<'a>(
         &'a self,
         avoid: &'a [ServerId],
@@ -73,51 +73,51 @@
     }
 }
 
-/// A server's answer, with its head.
+/// Answer of a server whose head was received.
 pub(crate) struct ServerAnswer<C: Clock, W: WireFormat> {
-    /// The head.
+    /// Head of the answer.
     pub(crate) head: response::Parts,
-    /// The body, still to be read.
+    /// Body, not yet read.
     pub(crate) body: Incoming,
-    /// The connection that carries it.
+    /// Connection that carries the answer.
     pub(crate) link: HttpLink,
-    /// The server's load.
+    /// Guard that counts the request as load of the server.
     pub(crate) work: WorkGuard<C, W>,
-    /// What the head says.
+    /// Facts read from the head.
     pub(crate) facts: AnswerFacts,
 }
 
-/// How an attempt ended.
-pub(crate) enum AttemptEnd<C: Clock, W: WireFormat> {
+/// Outcome of an attempt.
+pub(crate) enum AttemptOutcome<C: Clock, W: WireFormat> {
     /// The server answers.
     Answer(Box<ServerAnswer<C, W>>),
-    /// The server surely did not run the request.
+    /// The server did certainly not run the request.
     NotRun {
-        /// Why.
+        /// Reason used in logs and metrics.
         reason: &'static str,
         /// Whether the request arrived at the server.
         arrived: bool,
     },
-    /// It was not sent: the server's own word is against it.
-    Barred(SendRefusal),
+    /// The request was not sent: the server's own statements forbid it.
+    Disallowed(SendRefusal),
     /// The server may have run the request.
     InDoubt(&'static str),
-    /// The time of the request is over; the server may have run it.
+    /// The request's deadline has passed; the server may have run it.
     TimedOut,
 }
 
-/// What is sent to whom, and until when.
+/// Order to send a request to a server.
 pub(crate) struct AttemptOrder<'a> {
-    /// The request.
+    /// Request to send.
     pub(crate) request: &'a RelayRequest,
-    /// The server.
+    /// Server that receives the request.
     pub(crate) server: &'a ServerEntry,
-    /// What made the node send it.
+    /// Why the node sends the request now.
     pub(crate) cause: SendCause,
-    /// Until when the head of the answer is waited for.
-    pub(crate) head_by: Instant,
-    /// The event after which a stream goes on.
+    /// Deadline of the answer's head.
+    pub(crate) head_deadline: Instant,
+    /// Id of the event after which a stream is continued.
     pub(crate) resume_after: Option<u64>,
-    /// Where another server can be reached that keeps parts of the prompt.
+    /// Address of another server that caches parts of the prompt, from which they can be copied.
     pub(crate) copy_from: Option<SocketAddr>,
 }
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! Where a request stands on its way, and what each try of a server means for it.
+//! State of a request that is relayed, and how the outcome of each attempt changes it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,49 +12,49 @@
 use super::attempt::{CONNECT_TIMEOUT, attempt};
 use super::guards::{RequestGuard, WorkGuard};
 use super::ports::WireFormat;
-use super::request::{AttemptEnd, AttemptOrder, RelayRequest};
+use super::request::{AttemptOrder, AttemptOutcome, RelayRequest};
 use super::server_limits::SendCause;
 use super::shared::GatewayShared;
 use crate::clock::{Clock, until};
 use crate::log::LogLine;
 
-/// Servers that one request is offered to, those that refused it or could not be reached
-/// included.
-pub(crate) const TRIES_MOST: u32 = 4;
-/// Shortest time left in which another try is worth it.
-const SHORTEST_TRY: Duration = Duration::from_millis(50);
+/// Maximum number of servers that are tried for one request, including those that refused it or could not be
+/// reached.
+pub(crate) const MAX_SERVERS_TRIED: u32 = 4;
+/// Shortest time left for which another attempt is made.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
-/// One request on its way through the node.
+/// One request that the node relays, with the state of its attempts.
 pub(crate) struct RelayRun<C: Clock, W> {
-    /// What all requests share.
+    /// State shared by all requests.
     pub(crate) shared: Arc<GatewayShared<C, W>>,
     /// The request.
     pub(crate) request: RelayRequest,
-    /// Where it stands.
+    /// Its state in the chart of attempts.
     pub(crate) run: AttemptRun,
-    /// Servers that it was sent to.
+    /// Servers that were tried, the current one last.
     pub(crate) tried: Vec<ServerId>,
-    /// When it was last offered to a server.
-    pub(crate) offered: Option<Instant>,
-    /// Times that it arrived at a server.
+    /// When the current attempt started.
+    pub(crate) attempt_started_at: Option<Instant>,
+    /// Number of attempts that reached a server.
     pub(crate) arrivals: u32,
-    /// Times that it may have run.
+    /// Number of attempts that may have run.
     pub(crate) runs: u32,
-    /// Time from its arrival until the first byte of the answer went to the caller.
+    /// Time from its arrival until the first byte of the answer was sent to the caller.
     pub(crate) first_byte: Option<Duration>,
-    /// The longest pause between two events of its answer.
+    /// Longest pause between two events of its answer.
     pub(crate) longest_pause: Duration,
-    /// Whether it was counted as demand.
-    pub(crate) is_demand_noted: bool,
-    /// Whether a server was seen to begin it.
-    has_begun: bool,
-    /// Whether its end was told.
+    /// Whether it was recorded as demand of its pool.
+    pub(crate) is_demand_recorded: bool,
+    /// Whether the start of a run was recorded.
+    is_run_recorded: bool,
+    /// Whether its outcome was reported.
     pub(crate) is_reported: bool,
     _guard: RequestGuard<C, W>,
 }
 
 impl<C: Clock, W: WireFormat> RelayRun<C, W> {
-    /// A request that was just taken.
+    /// Creates the state of a request that was just accepted, and adds its share to the retry budget.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>, request: RelayRequest) -> Self {
         let guard = RequestGuard::new(shared.clone());
         let now = shared.clock.now();
@@ -64,59 +64,62 @@
             request,
             run: AttemptRun::new(),
             tried: Vec::new(),
-            offered: None,
+            attempt_started_at: None,
             arrivals: 0,
             runs: 0,
             first_byte: None,
             longest_pause: Duration::ZERO,
-            is_demand_noted: false,
-            has_begun: false,
+            is_demand_recorded: false,
+            is_run_recorded: false,
             is_reported: false,
             _guard: guard,
         }
     }
 
-    /// Offers the request to a server, up to the head of its answer.
-    pub(crate) async fn offer(
+    /// Makes one attempt at a server, up to the head of the answer.
+    pub(crate) async fn send_attempt(
         &mut self,
         pick: &ServerPick,
         permit: Option<SendPermit>,
-        head_by: Instant,
+        head_deadline: Instant,
         resume_after: Option<u64>,
-    ) -> AttemptEnd<C, W> {
+    ) -> AttemptOutcome<C, W> {
         let now = self.shared.clock.now();
         let placement = self.request.placement(&self.tried, false);
         let ticket = self.shared.loads().start(pick, &placement, now);
         let work = WorkGuard::new(self.shared.clone(), pick, ticket, permit);
-        self.begin_try(&pick.server.id);
+        self.begin_attempt(&pick.server.id);
         let order = AttemptOrder {
             request: &self.request,
             server: &pick.server,
             cause: self.send_cause(),
-            head_by,
+            head_deadline,
             resume_after,
             copy_from: pick.copy_from.as_ref().map(|server| server.address),
         };
-        let end = attempt(&self.shared, order, work).await;
-        self.note_try(&end);
-        if matches!(end, AttemptEnd::InDoubt(_)) {
-            self.note_doubtful_run(pick);
+        let outcome = attempt(&self.shared, order, work).await;
+        self.record_attempt(&outcome);
+        if matches!(outcome, AttemptOutcome::InDoubt(_)) {
+            self.record_in_doubt_run(pick);
         }
-        end
+        outcome
     }
 
-    /// Asks for leave to send the request to a server, where that is needed; else how long the server is held
-    /// back.
-    pub(crate) async fn claim(&self, pick: &ServerPick) -> Result<Option<SendPermit>, Duration> {
+    /// Obtains the permit to send the request to a server, if its limit requires one. Fails with the time for
+    /// which requests to the server are deferred.
+    pub(crate) async fn request_permit(
+        &self,
+        pick: &ServerPick,
+    ) -> Result<Option<SendPermit>, Duration> {
         let (request, server) = (&self.request, &pick.server);
-        let claimed = self.shared.claim(server, request.urgency).await;
-        if let Err(pause) = claimed {
+        let permit = self.shared.claim(server, request.urgency).await;
+        if let Err(pause) = permit {
             self.shared.note_held(request, server, pause);
         }
-        claimed
+        permit
     }
 
-    /// What makes the node send the request now.
+    /// Returns why the node sends the request now.
     fn send_cause(&self) -> SendCause {
         if self.first_byte.is_some() {
             SendCause::Resume
@@ -127,67 +130,71 @@
         }
     }
 
-    /// Counts a run whose answer was lost, where the server had probably begun it: a plain service begins at once,
-    /// an engine once it has read what was before it and the prompt.
-    fn note_doubtful_run(&mut self, pick: &ServerPick) {
+    /// Records a run whose answer was lost, if the server had probably started it: a service without prompts
+    /// starts at once, an engine after the prefill of earlier requests and of this prompt.
+    fn record_in_doubt_run(&mut self, pick: &ServerPick) {
         let ran_for = self.ran_for().unwrap_or_default();
         if self.request.facts.prompt.is_none() || ran_for >= pick.wait {
-            // What an engine had to read came first; a plain service begins at once.
-            self.note_began(ran_for.saturating_sub(pick.wait));
+            // The predicted prefill comes before the run; a service without prompts starts at once.
+            self.record_run_start(ran_for.saturating_sub(pick.wait));
         }
     }
 
-    /// A server began to run the request, so long ago. It counts once, however often it runs.
-    pub(crate) fn note_began(&mut self, ago: Duration) {
-        if !std::mem::replace(&mut self.has_begun, true) {
+    /// Records that a server started to run the request `ago` before now. A request counts once, however often it
+    /// runs.
+    pub(crate) fn record_run_start(&mut self, ago: Duration) {
+        if !std::mem::replace(&mut self.is_run_recorded, true) {
             let workspace = self.request.workspace.as_ref();
             self.shared.note_began(workspace, ago);
         }
     }
 
-    /// The request is about to be offered to a server.
-    pub(crate) fn begin_try(&mut self, server: &ServerId) {
+    /// Starts an attempt at a server.
+    pub(crate) fn begin_attempt(&mut self, server: &ServerId) {
         let dispatched = self.run.dispatch(server.clone());
         debug_assert!(
             dispatched.is_ok(),
-            "the chart expects a dispatch: {dispatched:?}"
+            "the chart allows a dispatch here: {dispatched:?}"
         );
         self.tried.push(server.clone());
-        self.offered = Some(self.shared.clock.now());
+        self.attempt_started_at = Some(self.shared.clock.now());
     }
 
-    /// How long ago it was last offered to a server.
+    /// Returns the time since the current attempt started.
     pub(crate) fn ran_for(&self) -> Option<Duration> {
         let now = self.shared.clock.now();
-        self.offered
-            .map(|offered| now.saturating_duration_since(offered))
+        self.attempt_started_at
+            .map(|started_at| now.saturating_duration_since(started_at))
     }
 
-    /// Counts what an attempt means for the request.
-    pub(crate) fn note_try(&mut self, end: &AttemptEnd<C, W>) {
-        let is_sent = match end {
-            AttemptEnd::Barred(_) => return,
-            AttemptEnd::NotRun { arrived, .. } => *arrived,
-            AttemptEnd::Answer(_) | AttemptEnd::InDoubt(_) | AttemptEnd::TimedOut => true,
+    /// Updates the state and the counts of the request after an attempt.
+    pub(crate) fn record_attempt(&mut self, outcome: &AttemptOutcome<C, W>) {
+        let is_sent = match outcome {
+            AttemptOutcome::Disallowed(_) => return,
+            AttemptOutcome::NotRun { arrived, .. } => *arrived,
+            AttemptOutcome::Answer(_) | AttemptOutcome::InDoubt(_) | AttemptOutcome::TimedOut => {
+                true
+            }
         };
         if is_sent {
             self.apply(AttemptEvent::FirstByte);
             self.arrivals += 1;
         }
-        if !matches!(end, AttemptEnd::NotRun { .. }) {
+        if !matches!(outcome, AttemptOutcome::NotRun { .. }) {
             self.runs += 1;
         }
     }
 
-    /// The request did not leave for the server that it was offered to: it may be offered there again.
-    pub(crate) fn note_bar(&mut self, server: &ServerEntry, refusal: SendRefusal) {
+    /// Undoes an attempt that was not sent because the server's statements forbid it: the server may be chosen
+    /// again.
+    pub(crate) fn on_disallowed(&mut self, server: &ServerEntry, refusal: SendRefusal) {
         self.apply(AttemptEvent::ConnectFailed);
         self.tried.pop();
         self.shared.note_bar(&self.request, server, refusal);
     }
 
-    /// A server surely did not run the request.
-    pub(crate) fn note_refusal(&mut self, arrived: bool) {
+    /// Records that a server did certainly not run the request; `arrived` if the server received it.
+    pub(crate) fn on_refusal(&mut self, arrived: bool) {
         self.apply(if arrived {
             AttemptEvent::ServerRefused
         } else {
@@ -195,28 +202,29 @@
         });
     }
 
-    /// Whether a request that may have run goes to another server, paid from the budget.
+    /// Decides whether a request that may have run is sent to another server, and takes the retry from the budget.
     pub(crate) fn allow_run_again(&mut self, reason: &'static str) -> bool {
         let tries = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
         may_run_again(RunOutcome::Unknown, self.request.route.kind.is_repeatable())
             && self.runs < self.request.route.max_attempts
-            && tries < TRIES_MOST
-            && self.left() > SHORTEST_TRY
-            && !matches!(self.verdict(), RequestVerdict::Block(_))
-            && self.pay_retry(reason)
+            && tries < MAX_SERVERS_TRIED
+            && self.time_left() > MIN_ATTEMPT_TIME
+            && !matches!(self.quarantine_verdict(), RequestVerdict::Block(_))
+            && self.spend_retry(reason)
     }
 
-    /// Takes a retry from the budget, unless no server has seen the request yet.
-    pub(crate) fn pay_retry(&self, reason: &'static str) -> bool {
+    /// Takes a retry from the budget; free as long as no server has received the request. Returns whether the
+    /// retry is allowed.
+    pub(crate) fn spend_retry(&self, reason: &'static str) -> bool {
         if self.arrivals == 0 {
             return true;
         }
         let now = self.shared.clock.now();
         let mut budget = self.shared.budget();
-        let is_paid = budget.spend(&self.request.pool, now);
+        let is_allowed = budget.spend(&self.request.pool, now);
         let left = budget.left(&self.request.pool, now);
         drop(budget);
-        let counter = if is_paid {
+        let counter = if is_allowed {
             &self.shared.metrics.retries
         } else {
             &self.shared.metrics.retries_refused
@@ -225,49 +233,49 @@
         LogLine::new("retry")
             .with("request", &self.request.id)
             .with("reason", reason)
-            .with("paid", is_paid)
+            .with("paid", is_allowed)
             .with("budget_left", format!("{left:.1}"))
             .info(&self.shared.log);
-        is_paid
+        is_allowed
     }
 
-    /// What may be done with the request, after what is known of servers that ended under it.
-    pub(crate) fn verdict(&self) -> RequestVerdict {
+    /// Returns what may be done with the request, given the crashes of servers that ran it.
+    pub(crate) fn quarantine_verdict(&self) -> RequestVerdict {
         let now = self.shared.clock.now();
         self.shared.quarantine().verdict(self.request.identity, now)
     }
 
-    /// Waits until it shows whether a server just ended under the request, where others did before: sent on at
-    /// once, it would end the next one.
+    /// Waits for the probe that shows whether the server just crashed, if others crashed under the request
+    /// before: a retry at once could crash the next one. Waits no longer than a connection may take to open.
     pub(crate) async fn settle(&self) {
         let clock = &self.shared.clock;
-        let until_then = clock.now() + CONNECT_TIMEOUT;
+        let deadline = clock.now() + CONNECT_TIMEOUT;
         loop {
-            let asked = self.shared.server_asked.listen();
+            let probed = self.shared.server_asked.listen();
             let now = clock.now();
-            let is_asking = self
+            let is_probing = self
                 .shared
                 .quarantine()
                 .is_probing(self.request.identity, now);
-            if !is_asking || now >= until_then {
+            if !is_probing || now >= deadline {
                 return;
             }
-            let _ = until(clock, until_then, asked).await;
+            let _ = until(clock, deadline, probed).await;
         }
     }
 
-    /// Time left until the request is due.
-    pub(crate) fn left(&self) -> Duration {
+    /// Returns the time left until the request's deadline.
+    pub(crate) fn time_left(&self) -> Duration {
         let now = self.shared.clock.now();
         self.request.due.saturating_duration_since(now)
     }
 
-    /// Goes on in the chart of the request.
+    /// Applies an event to the request's chart.
     pub(crate) fn apply(&mut self, event: AttemptEvent) {
         let applied = self.run.apply(event);
         debug_assert!(
             applied.is_ok(),
-            "the chart expects what the relay does: {applied:?}"
+            "the chart allows every event of the relay: {applied:?}"
         );
     }
 }
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! A stream of events on its way to its caller, continued at another server where one breaks.
+//! Relay of an event stream to its caller, continued at another server if the stream breaks.
 
 use std::time::{Duration, Instant};
 
@@ -14,42 +14,42 @@
     EventSplitter, RepeatKind, RequestVerdict, SendPermit, ServerPick, WorkOutcome,
 };
 
-use super::answer::{StreamPiece, drop_length};
+use super::answer::{StreamPiece, remove_content_length};
 use super::guards::WorkGuard;
 use super::ports::WireFormat;
-use super::request::{AttemptEnd, RESTARTED, ServerAnswer};
+use super::request::{AttemptOutcome, RESTARTED, ServerAnswer};
 use super::run::RelayRun;
 use crate::body::AnswerCut;
 use crate::clock::{Clock, until};
 use crate::link::HttpLink;
 use crate::log::LogLine;
 
-/// How long after the end of a request's time a stream may still end by the server's own doing.
-const LAST_WORD: Duration = Duration::from_millis(80);
-/// How long a server may be silent within a stream before another goes on with it: several times
-/// the pause that makes an answer late, and less than callers bear.
-const SILENCE: Duration = Duration::from_millis(1_200);
+/// How long after the request's deadline the server may still end the stream itself.
+const END_GRACE: Duration = Duration::from_millis(80);
+/// How long a server may be silent within a stream before another server continues it: several times the pause
+/// that makes an answer late, and less than callers tolerate.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Part of the time between two events that lies between the first token of an event and the event: four of five
-/// tokens, where an event holds five.
+/// Share of the interval between two events that passes from the first token of an event until the event is sent:
+/// four of five tokens, if an event holds five.
 const FIRST_TOKEN_SHARE: f64 = 0.8;
 
-/// Why a stream ended whose server said nothing for too long.
+/// Reason logged for a stream whose server was silent for too long.
 const SILENT: &str = "silent";
 
-/// A stream that is being relayed.
+/// Stream that is relayed to a caller.
 pub(crate) struct StreamRelay<C: Clock, W: WireFormat> {
     run: RelayRun<C, W>,
-    /// None while another server is looked for.
+    /// Server that sends the stream; none while another one is chosen.
     source: Option<StreamSource<C, W>>,
     splitter: EventSplitter,
     last_piece: Option<Instant>,
-    /// When the first event of a run came that is not counted yet.
+    /// When the first event of a run was received, as long as the run is not recorded.
     first_piece: Option<Instant>,
-    is_over: bool,
+    is_finished: bool,
 }
 
-/// The server that makes the stream.
+/// Connection to the server that sends the stream.
 struct StreamSource<C: Clock, W: WireFormat> {
     link: HttpLink,
     body: Incoming,
@@ -57,7 +57,7 @@
 }
 
 impl<C: Clock, W: WireFormat> StreamSource<C, W> {
-    /// The server of an answer, and the answer's head.
+    /// Splits an answer into its head and the source of its body.
     fn new(answer: ServerAnswer<C, W>) -> (response::Parts, Self) {
         let source = Self {
             link: answer.link,
@@ -68,34 +68,34 @@
     }
 }
 
-/// What came of waiting for the next piece.
-enum Waited {
+/// Next input from the server.
+enum StreamInput {
     Bytes(Bytes),
     End,
     Cut(&'static str),
-    Late,
+    TimedOut,
 }
 
-/// What came of sending a broken stream's request to another server.
-enum Resumed {
-    GoesOn,
+/// Outcome of an attempt to continue a broken stream at another server.
+enum ResumeOutcome {
+    Continued,
     Failed,
     NoServer,
 }
 
 impl<C: Clock, W: WireFormat> StreamRelay<C, W> {
-    /// A stream whose head has come, and the head for the caller.
+    /// Creates the relay of a stream whose head was received. Returns the head for the caller and the relay.
     pub(crate) fn begin(
         mut run: RelayRun<C, W>,
         answer: ServerAnswer<C, W>,
     ) -> (response::Parts, Self) {
         run.apply(AttemptEvent::HeadReceived);
         if run.request.route.kind == RepeatKind::Stream {
-            // It can't be sent again, so its body is needed no more.
+            // The request can't be sent again, so its body is no longer needed.
             run.request.body = Bytes::new();
         }
         let (mut head, source) = StreamSource::new(answer);
-        drop_length(&mut head.headers);
+        remove_content_length(&mut head.headers);
         let splitter = EventSplitter::new(run.request.facts.resume_after);
         let relay = Self {
             run,
@@ -103,12 +103,12 @@
             splitter,
             last_piece: None,
             first_piece: None,
-            is_over: false,
+            is_finished: false,
         };
         (head, relay)
     }
 
-    /// The pieces for the caller.
+    /// Returns the stream of whole events for the caller.
     pub(crate) fn pieces(self) -> impl Stream<Item = StreamPiece> + Send + use<C, W> {
         stream::unfold(self, |mut relay| async move {
             let piece = relay.next().await?;
@@ -117,66 +117,66 @@
     }
 
     async fn next(&mut self) -> Option<StreamPiece> {
-        if self.is_over {
+        if self.is_finished {
             return None;
         }
         loop {
-            match self.wait().await {
-                Waited::Bytes(bytes) => {
+            match self.next_input().await {
+                StreamInput::Bytes(bytes) => {
                     if let Some(whole) = self.splitter.push(&bytes) {
-                        self.note_piece();
+                        self.on_piece();
                         return Some(Ok(Frame::data(whole)));
                     }
                     if self.splitter.is_overlong() {
-                        return self.break_off("overlong_event").await;
+                        return self.abort("overlong_event").await;
                     }
                 }
-                Waited::End => return self.end(),
-                Waited::Cut(reason) => {
-                    self.judge(match reason {
+                StreamInput::End => return self.finish(),
+                StreamInput::Cut(reason) => {
+                    self.set_outcome(match reason {
                         RESTARTED => WorkOutcome::Restarted,
                         SILENT => WorkOutcome::Silent,
                         _ => WorkOutcome::Broken,
                     });
                     if !self.resume(reason).await {
-                        return self.break_off(reason).await;
+                        return self.abort(reason).await;
                     }
                 }
-                Waited::Late => return self.break_off("timeout").await,
+                StreamInput::TimedOut => return self.abort("timeout").await,
             }
         }
     }
 
-    /// What the stream says of its server.
-    fn judge(&mut self, end: WorkOutcome) {
+    /// Sets the outcome of the run at the current server.
+    fn set_outcome(&mut self, outcome: WorkOutcome) {
         if let Some(source) = &mut self.source {
-            source.work.judge(end);
+            source.work.set_outcome(outcome);
         }
     }
 
-    async fn wait(&mut self) -> Waited {
-        let due = self.run.request.due + LAST_WORD;
+    async fn next_input(&mut self) -> StreamInput {
+        let due = self.run.request.due + END_GRACE;
         let silent_at = self.silent_at();
         let clock = self.run.shared.clock.clone();
         let Some(source) = &mut self.source else {
-            return Waited::Cut("lost");
+            return StreamInput::Cut("lost");
         };
-        let life = source.work.life();
-        let frame = life.run(source.link.frame(&mut source.body));
+        let incarnation = source.work.incarnation();
+        let frame = incarnation.run(source.link.frame(&mut source.body));
         match until(&clock, due.min(silent_at), frame).await {
-            Some(None) => Waited::Cut(RESTARTED),
+            Some(None) => StreamInput::Cut(RESTARTED),
             Some(Some(Some(Ok(frame)))) => match frame.into_data() {
-                Ok(bytes) => Waited::Bytes(bytes),
-                Err(_) => Waited::Bytes(Bytes::new()),
+                Ok(bytes) => StreamInput::Bytes(bytes),
+                Err(_) => StreamInput::Bytes(Bytes::new()),
             },
-            Some(Some(Some(Err(_)))) => Waited::Cut("cut"),
-            Some(Some(None)) => Waited::End,
-            None if clock.now() >= due => Waited::Late,
-            None => Waited::Cut(SILENT),
+            Some(Some(Some(Err(_)))) => StreamInput::Cut("cut"),
+            Some(Some(None)) => StreamInput::End,
+            None if clock.now() >= due => StreamInput::TimedOut,
+            None => StreamInput::Cut(SILENT),
         }
     }
 
-    /// When a silent server counts as lost: only where another can go on.
+    /// Returns when a silent server counts as failed: only if another server can continue the stream.
     fn silent_at(&self) -> Instant {
         let far = self.run.request.due + Duration::from_secs(1);
         let Some(last) = self.last_piece else {
@@ -185,10 +185,10 @@
         if self.run.request.route.kind != RepeatKind::ResumableStream {
             return far;
         }
-        last + SILENCE
+        last + SILENCE_TIMEOUT
     }
 
-    fn note_piece(&mut self) {
+    fn on_piece(&mut self) {
         let now = self.run.shared.clock.now();
         match self.last_piece {
             None => {
@@ -200,28 +200,28 @@
             }
             Some(last) => {
                 let pause = now.saturating_duration_since(last);
-                self.count_run(pause);
+                self.record_run(pause);
                 self.run.observe_pause(pause);
             }
         }
         self.last_piece = Some(now);
     }
 
-    /// Counts the run whose first event came. It began with the first token of that event, which was made about
-    /// as long before the event as the tokens of the next one took.
-    fn count_run(&mut self, pause: Duration) {
+    /// Records the run whose first event was received, once. The run started with the first token of that event,
+    /// which preceded the event by about as long as the tokens of the next event took.
+    fn record_run(&mut self, pause: Duration) {
         if let Some(first) = self.first_piece.take() {
             let now = self.run.shared.clock.now();
             let ago = now.saturating_duration_since(first) + pause.mul_f64(FIRST_TOKEN_SHARE);
-            self.run.note_began(ago);
+            self.run.record_run_start(ago);
         }
     }
 
-    /// The server ended its answer as complete.
-    fn end(&mut self) -> Option<StreamPiece> {
-        self.is_over = true;
-        self.count_run(Duration::ZERO);
-        self.judge(WorkOutcome::Answered);
+    /// Ends the stream after the server completed its answer.
+    fn finish(&mut self) -> Option<StreamPiece> {
+        self.is_finished = true;
+        self.record_run(Duration::ZERO);
+        self.set_outcome(WorkOutcome::Answered);
         self.run.apply(AttemptEvent::Finished);
         self.run
             .report(RunOutcome::Answered, "server", StatusCode::OK);
@@ -229,25 +229,25 @@
         (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
     }
 
-    /// Ends the stream so that it does not look complete.
-    async fn break_off(&mut self, reason: &'static str) -> Option<StreamPiece> {
-        self.is_over = true;
-        self.count_run(Duration::ZERO);
+    /// Ends the stream with an error, so that it does not look complete.
+    async fn abort(&mut self, reason: &'static str) -> Option<StreamPiece> {
+        self.is_finished = true;
+        self.record_run(Duration::ZERO);
         self.run.report(RunOutcome::Unknown, reason, StatusCode::OK);
-        // What came before goes out first: the connection is given up with whatever is not
-        // written yet.
+        // Earlier pieces are written first: an error closes the connection and discards
+        // unwritten data.
         future::yield_now().await;
         Some(Err(AnswerCut))
     }
 
-    /// Goes on at another server after the last whole event.
+    /// Continues at another server after the last whole event. Returns whether that worked.
     async fn resume(&mut self, reason: &'static str) -> bool {
-        self.count_run(Duration::ZERO);
+        self.record_run(Duration::ZERO);
         self.run.apply(AttemptEvent::Cut);
         self.run.apply(AttemptEvent::RunAgain);
         self.run.count_failure(reason);
-        // The connection closes before another server begins: one that was only silent gives the run up
-        // then, and no two work on it at once.
+        // The connection closes before another server starts: a server that was only silent then aborts the run,
+        // so that no two servers run the request at once.
         self.source = None;
         self.splitter.drop_partial();
         if self.run.request.route.kind != RepeatKind::ResumableStream {
@@ -255,79 +255,86 @@
         }
         self.run.settle().await;
         while self.run.allow_run_again(reason) {
-            match self.go_on().await {
-                Resumed::GoesOn => return true,
-                Resumed::Failed => {}
-                Resumed::NoServer => return false,
+            match self.continue_stream().await {
+                ResumeOutcome::Continued => return true,
+                ResumeOutcome::Failed => {}
+                ResumeOutcome::NoServer => return false,
             }
         }
         false
     }
 
-    /// Goes on at the best server whose own word is not against it.
-    async fn go_on(&mut self) -> Resumed {
+    /// Continues at the best server whose own statements allow it.
+    async fn continue_stream(&mut self) -> ResumeOutcome {
         loop {
             let Some((pick, permit)) = self.next_server().await else {
-                return Resumed::NoServer;
+                return ResumeOutcome::NoServer;
             };
-            if let Some(resumed) = self.go_on_at(&pick, permit).await {
+            if let Some(resumed) = self.continue_at(&pick, permit).await {
                 return resumed;
             }
         }
     }
 
-    /// The next server that the stream may go on at, and the permit that it takes to send there.
+    /// Chooses the next server that may continue the stream, and obtains the permit that its limit requires.
     async fn next_server(&self) -> Option<(ServerPick, Option<SendPermit>)> {
-        while !self.run.left().is_zero() {
+        while !self.run.time_left().is_zero() {
             let now = self.run.shared.clock.now();
-            let is_isolated = self.run.verdict() == RequestVerdict::SendIsolated;
+            let is_isolated = self.run.quarantine_verdict() == RequestVerdict::SendIsolated;
             let placement = self.run.request.placement(&self.run.tried, is_isolated);
             let pick = self.run.shared.loads().pick(&placement, now)?;
-            if let Ok(permit) = self.run.claim(&pick).await {
+            if let Ok(permit) = self.run.request_permit(&pick).await {
                 return Some((pick, permit));
             }
         }
         None
     }
 
-    /// Goes on at a certain server; none where the request did not leave.
-    async fn go_on_at(&mut self, pick: &ServerPick, permit: Option<SendPermit>) -> Option<Resumed> {
+    /// Continues at the given server; `None` if the request was not sent.
+    async fn continue_at(
+        &mut self,
+        pick: &ServerPick,
+        permit: Option<SendPermit>,
+    ) -> Option<ResumeOutcome> {
         let resume_after = self.splitter.last_id();
         LogLine::new("resume")
             .with("request", &self.run.request.id)
             .with("server", &pick.server.id)
             .with_some("after_event", resume_after)
             .info(&self.run.shared.log);
-        let head_by = self.run.request.due;
-        let end = self.run.offer(pick, permit, head_by, resume_after).await;
-        match end {
-            AttemptEnd::Answer(answer) if answer.head.status == StatusCode::OK => {
+        let head_deadline = self.run.request.due;
+        let outcome = self
+            .run
+            .send_attempt(pick, permit, head_deadline, resume_after)
+            .await;
+        match outcome {
+            AttemptOutcome::Answer(answer) if answer.head.status == StatusCode::OK => {
                 self.run.apply(AttemptEvent::HeadReceived);
-                // Callers keep the head that they have.
+                // The caller has received the head of the first answer already.
                 let (_, source) = StreamSource::new(*answer);
                 self.source = Some(source);
-                Some(Resumed::GoesOn)
+                Some(ResumeOutcome::Continued)
             }
-            AttemptEnd::Barred(refusal) => {
-                self.run.note_bar(&pick.server, refusal);
+            AttemptOutcome::Disallowed(refusal) => {
+                self.run.on_disallowed(&pick.server, refusal);
                 None
             }
-            AttemptEnd::NotRun { arrived, .. } => {
-                self.run.note_refusal(arrived);
-                Some(Resumed::Failed)
+            AttemptOutcome::NotRun { arrived, .. } => {
+                self.run.on_refusal(arrived);
+                Some(ResumeOutcome::Failed)
             }
-            AttemptEnd::Answer(_) | AttemptEnd::InDoubt(_) | AttemptEnd::TimedOut => {
+            AttemptOutcome::Answer(_) | AttemptOutcome::InDoubt(_) | AttemptOutcome::TimedOut => {
                 self.run.apply(AttemptEvent::Cut);
                 self.run.apply(AttemptEvent::RunAgain);
-                Some(Resumed::Failed)
+                Some(ResumeOutcome::Failed)
             }
         }
     }
 }
 
 impl<C: Clock, W: WireFormat> Drop for StreamRelay<C, W> {
-    /// A caller that leaves between the first event and the second has had a run.
+    /// Records the run of a caller that disconnects between the first event and the second.
     fn drop(&mut self) {
-        self.count_run(Duration::ZERO);
+        self.record_run(Duration::ZERO);
     }
 }
