--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -226,7 +226,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadFailure {
     /// The connection broke.
-    Cut,
+    ConnectionLost,
     /// The body exceeds the maximum size.
     TooLarge,
 }
@@ -235,7 +235,7 @@
     /// Returns the name used in logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            Self::Cut => "cut",
+            Self::ConnectionLost => "cut",
             Self::TooLarge => "too_large",
         }
     }
@@ -243,7 +243,7 @@
     /// Returns the outcome of the request as evidence about the server.
     pub(crate) fn work_outcome(self) -> WorkOutcome {
         match self {
-            Self::Cut => WorkOutcome::Broken,
+            Self::ConnectionLost => WorkOutcome::Broken,
             Self::TooLarge => WorkOutcome::Failed,
         }
     }
@@ -257,7 +257,7 @@
 ) -> Result<Bytes, ReadFailure> {
     let mut whole = bytes::BytesMut::new();
     while let Some(frame) = link.frame(body).await {
-        let frame = frame.map_err(|_| ReadFailure::Cut)?;
+        let frame = frame.map_err(|_| ReadFailure::ConnectionLost)?;
         if let Ok(data) = frame.into_data() {
             whole.extend_from_slice(&data);
         }
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -72,7 +72,7 @@
 enum StreamInput {
     Bytes(Bytes),
     End,
-    Cut(&'static str),
+    Failed(&'static str),
     TimedOut,
 }
 
@@ -132,7 +132,7 @@
                     }
                 }
                 StreamInput::End => return self.finish(),
-                StreamInput::Cut(reason) => {
+                StreamInput::Failed(reason) => {
                     self.set_outcome(match reason {
                         RESTARTED => WorkOutcome::Restarted,
                         SILENT => WorkOutcome::Silent,
@@ -159,20 +159,20 @@
         let silent_at = self.silent_at();
         let clock = self.run.shared.clock.clone();
         let Some(source) = &mut self.source else {
-            return StreamInput::Cut("lost");
+            return StreamInput::Failed("lost");
         };
         let incarnation = source.work.incarnation();
         let frame = incarnation.run(source.link.frame(&mut source.body));
         match until(&clock, due.min(silent_at), frame).await {
-            Some(None) => StreamInput::Cut(RESTARTED),
+            Some(None) => StreamInput::Failed(RESTARTED),
             Some(Some(Some(Ok(frame)))) => match frame.into_data() {
                 Ok(bytes) => StreamInput::Bytes(bytes),
                 Err(_) => StreamInput::Bytes(Bytes::new()),
             },
-            Some(Some(Some(Err(_)))) => StreamInput::Cut("cut"),
+            Some(Some(Some(Err(_)))) => StreamInput::Failed("cut"),
             Some(Some(None)) => StreamInput::End,
             None if clock.now() >= due => StreamInput::TimedOut,
-            None => StreamInput::Cut(SILENT),
+            None => StreamInput::Failed(SILENT),
         }
     }
 
