--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -1,4 +1,4 @@
-//! The control thread of a gateway node: follows the source, keeps the life of the node.
+//! Control thread of a gateway node: follows the source and runs the node's lifecycle.
 
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -14,10 +14,10 @@
 use plumgate::ids::DataCentreId;
 
 use super::attempt::CONNECT_TIMEOUT;
-use super::copies::{COPIES_AT_ONCE, serve_copies};
+use super::copies::{CONCURRENT_SNAPSHOTS, serve_snapshots};
 use super::duties::DutyState;
 use super::exchange::PeerExchange;
-use super::life::GatewayLife;
+use super::life::GatewayLifecycle;
 use super::options::GatewayBounds;
 use super::ports::{FleetSource, SourceTopic};
 use super::shared::GatewayShared;
@@ -27,12 +27,12 @@
 use crate::http::open_stream;
 use crate::log::LogLine;
 
-/// Time between two looks at all that may be due.
+/// Time between two checks of periodic work.
 pub(super) const TICK: Duration = Duration::from_millis(100);
-/// How long a node that stops waits for its row to be removed.
+/// Time for which a stopping node waits for its row to be removed.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the control thread is told from outside.
+/// Signal from outside to the control thread.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum GatewaySignal {
     /// The process was asked to stop.
@@ -41,31 +41,31 @@
     Reload(GatewayBounds),
 }
 
-/// The state of the control thread.
+/// State of the control thread.
 pub(crate) struct GatewayControl<C, W> {
     pub(super) shared: Arc<GatewayShared<C, W>>,
     pub(super) view: Rc<FleetView<C, W>>,
-    cut_centres: RefCell<Vec<DataCentreId>>,
-    pub(super) life: RefCell<GatewayLife>,
+    unreachable_data_centres: RefCell<Vec<DataCentreId>>,
+    pub(super) life: RefCell<GatewayLifecycle>,
 }
 
 impl<C: Clock, W: Send + Sync + 'static> GatewayControl<C, W> {
-    /// A control thread that knows nothing yet.
+    /// Creates the state of a node that knows nothing yet.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Self {
         Self {
             view: Rc::new(FleetView::new(shared.clone())),
             shared,
-            cut_centres: RefCell::default(),
-            life: RefCell::new(GatewayLife::new()),
+            unreachable_data_centres: RefCell::default(),
+            life: RefCell::new(GatewayLifecycle::new()),
         }
     }
 
-    /// Runs until the node has stopped; other nodes reach it at a listener.
+    /// Runs until the node has stopped. Other nodes connect to `peer_listener`.
     pub(crate) fn run<S: FleetSource>(
         self,
         source: S,
         signals: Receiver<GatewaySignal>,
-        nodes: Option<Async<TcpListener>>,
+        peer_listener: Option<Async<TcpListener>>,
     ) {
         let control = Rc::new(self);
         let executor = LocalExecutor::new();
@@ -77,13 +77,13 @@
         }
         for topic in [SourceTopic::Config, SourceTopic::Servers] {
             let control = control.clone();
-            let asking = async move { control.follow_nodes(topic).await };
-            executor.spawn(asking).detach();
+            let fetching = async move { control.fetch_snapshots(topic).await };
+            executor.spawn(fetching).detach();
         }
-        if let Some(listener) = nodes.map(Rc::new) {
-            for _ in 0..COPIES_AT_ONCE {
+        if let Some(listener) = peer_listener.map(Rc::new) {
+            for _ in 0..CONCURRENT_SNAPSHOTS {
                 let (shared, view) = (control.shared.clone(), control.view.clone());
-                let serving = serve_copies(shared, view, listener.clone());
+                let serving = serve_snapshots(shared, view, listener.clone());
                 executor.spawn(serving).detach();
             }
         }
@@ -96,30 +96,30 @@
         }
         let own = PeerExchange::new(control.shared.clone(), control.view.clone(), duties)
             .map(|exchange| exchange.spawn(&executor, source.clone()));
-        let living = async {
-            control.live(signals).await;
+        let running = async {
+            control.run_lifecycle(signals).await;
             if let Some(own) = own {
                 control.leave(source, &own).await;
             }
         };
-        async_io::block_on(executor.run(living));
+        async_io::block_on(executor.run(running));
     }
 
-    /// Takes the node out of the register, if that goes quickly: a row that stays behind does no
-    /// harm but to the others' share of the retries.
+    /// Removes the node from the register, if that succeeds quickly: a row that stays only reduces the other
+    /// nodes' share of the retries.
     async fn leave<S: FleetSource>(&self, mut source: S, own: &NodeEntry) {
         let deadline = self.shared.clock.now() + LEAVE_TIMEOUT;
         let leaving = source.unregister(own);
-        let left = until(&self.shared.clock, deadline, leaving).await;
-        let done = matches!(left, Some(Ok(())));
+        let removed = until(&self.shared.clock, deadline, leaving).await;
+        let done = matches!(removed, Some(Ok(())));
         note_source_call(&self.shared, CallTopic::Nodes, CallCause::Leave, done);
         LogLine::new("unregister")
             .with("done", done)
             .info(&self.shared.log);
     }
 
-    /// Keeps the life of the node until it ends.
-    async fn live(&self, signals: Receiver<GatewaySignal>) {
+    /// Runs the lifecycle of the node until it ends.
+    async fn run_lifecycle(&self, signals: Receiver<GatewaySignal>) {
         while !self.life.borrow().is_over() {
             let tick = async {
                 self.shared.clock.sleep(TICK).await;
@@ -147,17 +147,18 @@
             let age = i64::try_from(age).unwrap_or(i64::MAX);
             self.shared.metrics.key_age.set(age);
         }
-        self.probe_centres(now);
+        self.probe_data_centres(now);
         self.life.borrow_mut().tick(&self.shared);
     }
 
-    /// Tries bare connections into the data centres that seem cut off.
-    fn probe_centres(&self, now: Instant) {
-        let (probes, cut) = {
+    /// Opens plain connections to the data centres that seem unreachable, to detect when they can be reached
+    /// again.
+    fn probe_data_centres(&self, now: Instant) {
+        let (probes, unreachable) = {
             let mut loads = self.shared.loads();
             (loads.probes(now), loads.cut_off_data_centres())
         };
-        self.note_cut_centres(cut);
+        self.log_unreachable_data_centres(unreachable);
         for server in probes {
             let shared = self.shared.clone();
             let probing = async move {
@@ -177,16 +178,22 @@
         }
     }
 
-    fn note_cut_centres(&self, cut: Vec<DataCentreId>) {
-        let known = self.cut_centres.replace(cut.clone());
-        for centre in cut.iter().filter(|centre| !known.contains(centre)) {
+    fn log_unreachable_data_centres(&self, unreachable: Vec<DataCentreId>) {
+        let known = self.unreachable_data_centres.replace(unreachable.clone());
+        for data_centre in unreachable
+            .iter()
+            .filter(|data_centre| !known.contains(data_centre))
+        {
             LogLine::new("centre_lost")
-                .with("data_centre", centre)
+                .with("data_centre", data_centre)
                 .warn(&self.shared.log);
         }
-        for centre in known.iter().filter(|centre| !cut.contains(centre)) {
+        for data_centre in known
+            .iter()
+            .filter(|data_centre| !unreachable.contains(data_centre))
+        {
             LogLine::new("centre_regained")
-                .with("data_centre", centre)
+                .with("data_centre", data_centre)
                 .info(&self.shared.log);
         }
     }
@@ -199,7 +206,7 @@
             .with("retry_ratio", bounds.retry_ratio)
             .with("retry_extra", bounds.retry_extra)
             .info(&self.shared.log);
-        self.view.news().set_max_age(bounds.key_age);
+        self.view.sync_state().set_max_age(bounds.key_age);
         self.shared.set_bounds(bounds);
     }
 }
--- a/crates/plumgate-node/src/gateway/copies.rs
+++ b/crates/plumgate-node/src/gateway/copies.rs
@@ -1,9 +1,9 @@
-//! Nodes that give each other whole what is in force: the configuration, and the backend servers.
+//! Snapshots that nodes request from each other: the whole configuration, or all backend servers.
 //!
-//! One node reads the store and the others are told what changed. Whoever can't be told so, as it has
-//! another log or hears of a configuration that it does not hold, asks the node that told it for all.
-//! Calls to the store then grow with the changes and not with the nodes, and a node that the store
-//! turns away serves on.
+//! One node reads the store and sends the others what changed. A node that can't apply the changes, because
+//! its log differs or it lacks a configuration that was announced to it, requests a snapshot from the node that
+//! sent them. Calls to the store then grow with the number of changes, not with the number of nodes, and a
+//! node whose calls the store refuses can keep serving.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpListener};
@@ -30,37 +30,37 @@
 use crate::clock::{Clock, until};
 use crate::http::{fetch_once, text_response};
 
-/// Path of the configuration.
+/// Path of the configuration's snapshot.
 const CONFIG_PATH: &str = "/config";
-/// Path of the servers.
+/// Path of the servers' snapshot.
 const SERVERS_PATH: &str = "/servers";
-/// Longest time for an answer: a slow link carries a large configuration in it.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Copies that are given at once. More would share a small VM's link until none arrives in time; the
-/// others wait for their turn.
-pub(crate) const COPIES_AT_ONCE: usize = 8;
-/// Largest copy that is taken, as encoded.
-const LARGEST_COPY: usize = 16 * 1024 * 1024;
+/// Maximum time for a response, in which a slow link can carry a large configuration.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Number of snapshots that are sent at the same time. More would share a small VM's link until none arrives
+/// in time; other requests wait for their turn.
+pub(crate) const CONCURRENT_SNAPSHOTS: usize = 8;
+/// Maximum size of an encoded snapshot in bytes.
+const MAX_SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why another node gave no copy.
+/// Reason why no snapshot was received from another node.
 #[derive(Debug, Display)]
-pub(crate) enum CopyError {
+pub(crate) enum SnapshotError {
     /// no answer: {0}
     Unanswered(std::io::Error),
-    /// nothing came in time
+    /// no complete answer in time
     TimedOut,
     /// refused with status {0}
     Refused(u16),
     /// {0}
     Malformed(plumgate::Error),
     /// the request could not be made: {0}
-    Unasked(hyper::http::Error),
-    /// it is no newer than what is held here
-    Overtaken,
+    InvalidRequest(hyper::http::Error),
+    /// the snapshot is no newer than the state of this node
+    Outdated,
 }
 
-/// Gives copies to other nodes, one after another. Some such tasks run side by side.
-pub(crate) async fn serve_copies<C: Clock, W: Send + Sync + 'static>(
+/// Serves snapshots to other nodes, one after another. Several such tasks run concurrently.
+pub(crate) async fn serve_snapshots<C: Clock, W: Send + Sync + 'static>(
     shared: Arc<GatewayShared<C, W>>,
     view: Rc<FleetView<C, W>>,
     listener: Rc<Async<TcpListener>>,
@@ -74,39 +74,40 @@
             }
         };
         let service = service_fn(|request: Request<_>| {
-            let response = copy_response(&view, request.uri().path());
+            let response = snapshot_response(&view, request.uri().path());
             async move { Ok::<_, Infallible>(response) }
         });
         let connection = http1::Builder::new()
             .timer(SmolTimer::new())
             .serve_connection(FuturesIo::new(stream), service);
-        // A node that breaks off or reads too slowly asks again or somebody else.
-        let deadline = shared.clock.now() + ANSWER_TIMEOUT;
+        // A node that disconnects or receives too slowly requests the snapshot again, from this node or
+        // another one.
+        let deadline = shared.clock.now() + FETCH_TIMEOUT;
         let _ = until(&shared.clock, deadline, connection).await;
     }
 }
 
-fn copy_response<C: Clock, W: Send + Sync + 'static>(
+fn snapshot_response<C: Clock, W: Send + Sync + 'static>(
     view: &FleetView<C, W>,
     path: &str,
 ) -> Response<AnswerBody> {
     let bytes = match path {
-        CONFIG_PATH => view.config_copy(),
+        CONFIG_PATH => view.config_snapshot(),
         SERVERS_PATH => view.servers_snapshot(),
         _ => None,
     };
     match bytes {
         Some(bytes) => text_response(StatusCode::OK, bytes),
-        None => text_response(StatusCode::NOT_FOUND, "there is none\n"),
+        None => text_response(StatusCode::NOT_FOUND, "no snapshot is available\n"),
     }
 }
 
-/// Asks another node for a topic.
-pub(crate) async fn ask_node<C: Clock, T: Serialize + DeserializeOwned>(
+/// Requests the snapshot of a topic from another node.
+pub(crate) async fn fetch_snapshot<C: Clock, T: Serialize + DeserializeOwned>(
     clock: &C,
     address: SocketAddr,
     topic: SourceTopic,
-) -> Result<StateSnapshot<T>, CopyError> {
+) -> Result<StateSnapshot<T>, SnapshotError> {
     let path = match topic {
         SourceTopic::Config => CONFIG_PATH,
         SourceTopic::Servers => SERVERS_PATH,
@@ -114,15 +115,15 @@
     let request = Request::get(path)
         .header(HOST, address.to_string())
         .body(Full::default())
-        .map_err(CopyError::Unasked)?;
-    let deadline = clock.now() + ANSWER_TIMEOUT;
-    let asking = fetch_once(address, request, LARGEST_COPY);
-    let answer = until(clock, deadline, asking).await;
+        .map_err(SnapshotError::InvalidRequest)?;
+    let deadline = clock.now() + FETCH_TIMEOUT;
+    let fetching = fetch_once(address, request, MAX_SNAPSHOT_BYTES);
+    let answer = until(clock, deadline, fetching).await;
     let (status, _, bytes) = answer
-        .ok_or(CopyError::TimedOut)?
-        .map_err(CopyError::Unanswered)?;
+        .ok_or(SnapshotError::TimedOut)?
+        .map_err(SnapshotError::Unanswered)?;
     if status != StatusCode::OK {
-        return Err(CopyError::Refused(status.as_u16()));
+        return Err(SnapshotError::Refused(status.as_u16()));
     }
-    StateSnapshot::decode(&bytes).map_err(CopyError::Malformed)
+    StateSnapshot::decode(&bytes).map_err(SnapshotError::Malformed)
 }
--- a/crates/plumgate-node/src/gateway/copy_wishes.rs
+++ b/crates/plumgate-node/src/gateway/copy_wishes.rs
@@ -1,4 +1,4 @@
-//! What this node lacks and another one holds.
+//! Pending requests for snapshots of state that this node lacks and another one holds.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -7,84 +7,86 @@
 use event_listener::Event;
 use plumgate::gateway::SourceTopic;
 
-/// How long the store is left alone while another node is asked for a copy: the time that one may take.
-const COPY_FIRST: Duration = Duration::from_millis(1_100);
-/// How long no copy of a topic is asked for after one that did not come: the node that holds it is told
-/// of ten times a second, and the store is asked meanwhile.
-const COPY_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which the store is not called while a snapshot is requested from another node: the longest time
+/// that the request may take.
+const SNAPSHOT_WAIT: Duration = Duration::from_millis(1_100);
+/// Time without new requests for a topic after a snapshot could not be fetched. Messages show ten times a
+/// second which node holds the state, and the store is called meanwhile.
+const SNAPSHOT_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// A node that holds what this one lacks.
+/// Request for a snapshot from a node that holds what this one lacks.
 #[derive(Clone, Copy, Debug)]
-struct CopyWish {
+struct SnapshotRequest {
     from: SocketAddr,
-    /// Until when the store is left alone for it.
+    /// Time until which the store is not called because of the request.
     until: Instant,
-    /// Whether the node is being asked.
-    is_asked: bool,
+    /// Whether the request was sent.
+    is_sent: bool,
 }
 
-/// The state of one topic.
+/// State of one topic.
 #[derive(Clone, Copy, Debug, Default)]
-struct WishState {
-    wish: Option<CopyWish>,
-    /// Until when no copy is wished for.
+struct TopicState {
+    pending: Option<SnapshotRequest>,
+    /// Time until which no snapshot is requested.
     pause_until: Option<Instant>,
 }
 
-/// The copies that are wished for.
+/// Requests for snapshots, at most one for each topic.
 #[derive(Debug, Default)]
-pub(crate) struct CopyWishes {
-    config: RefCell<WishState>,
-    servers: RefCell<WishState>,
-    wished: Event,
+pub(crate) struct SnapshotRequests {
+    config: RefCell<TopicState>,
+    servers: RefCell<TopicState>,
+    requested: Event,
 }
 
-impl CopyWishes {
-    /// Another node holds what this one lacks of a topic.
-    pub(crate) fn wish(&self, topic: SourceTopic, from: SocketAddr, now: Instant) {
+impl SnapshotRequests {
+    /// Adds a request to a node that holds state of a topic that this node lacks. It is ignored during the
+    /// pause after a failure and while another request for the topic is pending.
+    pub(crate) fn add(&self, topic: SourceTopic, from: SocketAddr, now: Instant) {
         let mut state = self.state(topic).borrow_mut();
         let is_paused = state.pause_until.is_some_and(|until| now < until);
-        if is_paused || state.wish.is_some() {
+        if is_paused || state.pending.is_some() {
             return;
         }
-        state.wish = Some(CopyWish {
+        state.pending = Some(SnapshotRequest {
             from,
-            until: now + COPY_FIRST,
-            is_asked: false,
+            until: now + SNAPSHOT_WAIT,
+            is_sent: false,
         });
         drop(state);
-        self.wished.notify(usize::MAX);
+        self.requested.notify(usize::MAX);
     }
 
-    /// How long the store is to be left alone for a copy that is on its way.
-    pub(crate) fn left(&self, topic: SourceTopic, now: Instant) -> Option<Duration> {
-        let wish = self.state(topic).borrow().wish?;
-        let left = wish.until.saturating_duration_since(now);
-        (!left.is_zero()).then_some(left)
+    /// Returns how long the store should not be called because a snapshot is pending.
+    pub(crate) fn remaining(&self, topic: SourceTopic, now: Instant) -> Option<Duration> {
+        let pending = self.state(topic).borrow().pending?;
+        let remaining = pending.until.saturating_duration_since(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// Waits until a copy is wished for, and tells whom to ask for it.
+    /// Waits for the next request, and returns the node to send it to.
     pub(crate) async fn next(&self, topic: SourceTopic) -> SocketAddr {
         loop {
-            let wished = self.wished.listen();
-            if let Some(wish) = &mut self.state(topic).borrow_mut().wish
-                && !wish.is_asked
+            let requested = self.requested.listen();
+            if let Some(pending) = &mut self.state(topic).borrow_mut().pending
+                && !pending.is_sent
             {
-                wish.is_asked = true;
-                return wish.from;
+                pending.is_sent = true;
+                return pending.from;
             }
-            wished.await;
+            requested.await;
         }
     }
 
-    /// A copy came, or none did.
-    pub(crate) fn settle(&self, topic: SourceTopic, came: bool, now: Instant) {
+    /// Ends the request of a topic, whether or not a snapshot was received.
+    pub(crate) fn complete(&self, topic: SourceTopic, is_received: bool, now: Instant) {
         let mut state = self.state(topic).borrow_mut();
-        state.wish = None;
-        state.pause_until = (!came).then(|| now + COPY_PAUSE);
+        state.pending = None;
+        state.pause_until = (!is_received).then(|| now + SNAPSHOT_RETRY_PAUSE);
     }
 
-    fn state(&self, topic: SourceTopic) -> &RefCell<WishState> {
+    fn state(&self, topic: SourceTopic) -> &RefCell<TopicState> {
         match topic {
             SourceTopic::Config => &self.config,
             SourceTopic::Servers => &self.servers,
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! The nodes' talk about their work at the servers: datagrams, and the register of nodes.
+//! Messages between nodes about their load on the servers, as datagrams, and the register of nodes.
 
 use std::cell::{Cell, RefCell};
 use std::net::UdpSocket;
@@ -21,26 +21,26 @@
 use crate::log::LogLine;
 
 /// Time between two rounds of the exchange.
-const ROUND: Duration = Duration::from_millis(100);
-/// Largest datagram that is taken in.
-const DATAGRAM_BYTES: usize = 8 * 1024;
-/// Pause before the register is read the first time: nodes that start together are in it by then.
-const FIRST_READ: Duration = Duration::from_millis(700);
-/// Time between two reads of the register by a collector. All other nodes know it by then, as they talk
-/// to it, and it tells the others how many they are.
-const READ_PAUSE: Duration = Duration::from_secs(30);
-/// Time between two times that placement takes over all that servers said: it follows their words at once, and the
-/// clock that counts suspension by this.
-const STANDING_PAUSE: Duration = Duration::from_secs(1);
-/// Time over which the nodes write their rows again after the store came back old: 76 nodes then make some 40
-/// writes a second, a tenth of what a small store takes.
-const WRITE_AGAIN: Duration = Duration::from_secs(2);
-/// Pause before a call to the register is tried again.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum size of a received datagram in bytes.
+const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
+/// Pause before the register is read for the first time: nodes that start together are in it by then.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(700);
+/// Mean time between two reads of the register by a collector. All other nodes are known by then, as they
+/// send it messages, and it tells the others the number of nodes.
+const READ_INTERVAL: Duration = Duration::from_secs(30);
+/// Time between two full updates of the servers' availability in placement. New statements of servers are
+/// applied at once; this update applies the clock that counts suspension.
+const AVAILABILITY_INTERVAL: Duration = Duration::from_secs(1);
+/// Time over which the nodes spread the writes of their rows after the store was restored from an old copy:
+/// 76 nodes then make some 40 writes a second, a tenth of what a small store can handle.
+const REREGISTER_SPREAD: Duration = Duration::from_secs(2);
+/// Pause before a failed call to the register is retried.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Nodes that may have come since the register was read, as a share of those in it.
-const UNSEEN_SHARE: f64 = 0.15;
+/// Allowance for nodes that started since the register was read, as a share of those in it.
+const UNSEEN_NODE_SHARE: f64 = 0.15;
 
-/// One node's link to the others.
+/// Connection of one node to the other nodes.
 pub(crate) struct PeerExchange<C, W> {
     shared: Arc<GatewayShared<C, W>>,
     view: Rc<FleetView<C, W>>,
@@ -49,16 +49,16 @@
     exchange: RefCell<LoadExchange>,
     verdicts: VerdictKeeper<C, W>,
     duties: Option<Rc<DutyState<C, W>>>,
-    /// The node that collects for this data centre.
+    /// Collector of this data centre.
     collector: RefCell<Option<NodeId>>,
     /// Whether the register has been read.
     has_register: Cell<bool>,
-    /// When placement is next told what follows from servers' words.
-    standings_due: Cell<Instant>,
+    /// Time of the next full update of the servers' availability in placement.
+    availability_due: Cell<Instant>,
 }
 
 impl<C: Clock, W: Send + Sync + 'static> PeerExchange<C, W> {
-    /// The link of a node that has an address for it.
+    /// Creates the exchange of a node; `None` if the node has no address for it or can't bind it.
     pub(crate) fn new(
         shared: Arc<GatewayShared<C, W>>,
         view: Rc<FleetView<C, W>>,
@@ -68,7 +68,7 @@
         let socket = match Async::<UdpSocket>::bind(address) {
             Ok(socket) => socket,
             Err(error) => {
-                // The node serves without it, by its own load alone.
+                // The node serves without the exchange, by its own load alone.
                 LogLine::new("peers_unheard")
                     .with("address", address)
                     .with("error", error)
@@ -88,7 +88,7 @@
             duties,
             collector: RefCell::default(),
             has_register: Cell::new(false),
-            standings_due: Cell::new(shared.clock.now()),
+            availability_due: Cell::new(shared.clock.now()),
             shared,
             view,
             socket,
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Starts the tasks of the exchange, and gives back how the node registers itself.
+    /// Starts the tasks of the exchange, and returns the node's entry in the register.
     pub(crate) fn spawn<'a, S: FleetSource>(
         self,
         executor: &LocalExecutor<'a>,
@@ -111,40 +111,42 @@
         executor
             .spawn(async move { receiving.receive().await })
             .detach();
-        let talking = link.clone();
-        executor.spawn(async move { talking.talk().await }).detach();
-        let asking = link.clone();
+        let rounds = link.clone();
         executor
-            .spawn(async move { asking.ask_permits().await })
+            .spawn(async move { rounds.run_rounds().await })
             .detach();
-        let (keeper, keeping) = (link.clone(), source.clone());
+        let requesting = link.clone();
         executor
-            .spawn(async move { keeper.verdicts.run(keeping).await })
+            .spawn(async move { requesting.request_permits().await })
             .detach();
+        let (verdict_link, verdict_source) = (link.clone(), source.clone());
         executor
-            .spawn(async move { link.keep_register(source).await })
+            .spawn(async move { verdict_link.verdicts.run(verdict_source).await })
+            .detach();
+        executor
+            .spawn(async move { link.maintain_registration(source).await })
             .detach();
         own
     }
 
     async fn receive(&self) {
-        let mut buffer = vec![0; DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer).await else {
                 // An earlier datagram was refused by a machine whose node is down.
                 continue;
             };
-            let taken = self.exchange.borrow_mut().receive(
+            let outcome = self.exchange.borrow_mut().receive(
                 &buffer[..size],
                 from,
-                &mut self.view.news(),
+                &mut self.view.sync_state(),
                 self.moment(),
             );
-            match taken {
-                Ok(taken) => {
-                    self.shared.note_peer();
-                    self.view.take_news(taken, from);
-                    self.take_mail().await;
+            match outcome {
+                Ok(outcome) => {
+                    self.shared.record_peer_message();
+                    self.view.apply_sync(outcome, from);
+                    self.handle_messages().await;
                 }
                 Err(_) => {
                     self.shared.metrics.peer_refused.inc();
@@ -153,15 +155,15 @@
         }
     }
 
-    /// Takes in what other nodes said of servers' own words, and answers it.
-    async fn take_mail(&self) {
+    /// Handles messages about servers' statements, and sends the responses.
+    async fn handle_messages(&self) {
         let packets = {
             let mut exchange = self.exchange.borrow_mut();
-            let moment = self.mail_moment();
+            let moment = self.message_time();
             let mut statements = self.shared.statements();
             let (packets, outcome, leaves) = statements.receive(&mut exchange, moment);
             drop(statements);
-            self.note_refused(outcome.refused);
+            self.record_refused(outcome.refused);
             self.shared.note_told_leaves(&leaves);
             if outcome.is_permit_response {
                 self.shared.limit_answered.notify(usize::MAX);
@@ -173,7 +175,7 @@
     }
 
     /// Counts and logs messages about limits that were forged, too old or malformed.
-    fn note_refused(&self, count: u64) {
+    fn record_refused(&self, count: u64) {
         self.shared.metrics.peer_refused.inc_by(count);
         if count > 0 {
             LogLine::new("peer_refused")
@@ -183,20 +185,20 @@
         }
     }
 
-    /// Asks for the permits that requests wait for.
-    async fn ask_permits(&self) {
+    /// Requests the permits that requests wait for.
+    async fn request_permits(&self) {
         loop {
-            let asked = self.shared.limit_asked.listen();
+            let requested = self.shared.limit_asked.listen();
             let packets = {
                 let exchange = self.exchange.borrow();
-                let moment = self.mail_moment();
+                let moment = self.message_time();
                 self.shared
                     .statements()
                     .limits
                     .take_requests(&exchange, moment)
             };
             if packets.is_empty() {
-                asked.await;
+                requested.await;
             }
             self.send_all(packets).await;
         }
@@ -204,12 +206,12 @@
 
     async fn send_all(&self, packets: Vec<ExchangePacket>) {
         for (address, bytes) in packets {
-            // A datagram that can't be sent is as good as one that got lost.
+            // A datagram that can't be sent counts as lost.
             let _ = self.socket.send_to(&bytes, address).await;
         }
     }
 
-    fn mail_moment(&self) -> MessageTime {
+    fn message_time(&self) -> MessageTime {
         MessageTime {
             boot: self.shared.clock.boot_time(),
             unix_ms: self.shared.clock.unix_ms(),
@@ -223,9 +225,9 @@
         }
     }
 
-    async fn talk(&self) {
+    async fn run_rounds(&self) {
         loop {
-            self.shared.clock.sleep(ROUND).await;
+            self.shared.clock.sleep(ROUND_INTERVAL).await;
             let moment = self.moment();
             let packets = {
                 let mut loads = self.shared.loads();
@@ -241,12 +243,14 @@
                 if let Some(duties) = &self.duties {
                     duties.sync_with(&mut exchange);
                 }
-                let mut packets = exchange.tick(loads.own_work(), &mut self.view.news(), moment);
+                let mut packets =
+                    exchange.tick(loads.own_work(), &mut self.view.sync_state(), moment);
                 let mut statements = self.shared.statements();
                 let knew_limits = !statements.limits.is_empty();
-                packets.extend(statements.run_round(&exchange, self.mail_moment()));
-                if moment.now >= self.standings_due.get() && !statements.notices.is_empty() {
-                    self.standings_due.set(moment.now + STANDING_PAUSE);
+                packets.extend(statements.run_round(&exchange, self.message_time()));
+                if moment.now >= self.availability_due.get() && !statements.notices.is_empty() {
+                    self.availability_due
+                        .set(moment.now + AVAILABILITY_INTERVAL);
                     loads.set_availabilities(&statements.notices, moment.boot, moment.now);
                 }
                 let is_known = |life| loads.entries().any(|entry| entry.incarnation_id() == life);
@@ -259,14 +263,14 @@
             self.shared.log_suspects();
             self.shared.note_limited();
             self.shared.note_noticed();
-            self.note_collector();
-            self.note_nodes();
+            self.update_collector();
+            self.update_node_count();
             self.send_all(packets).await;
         }
     }
 
-    /// Takes over which node collects now.
-    fn note_collector(&self) {
+    /// Updates which node is the collector.
+    fn update_collector(&self) {
         let collector = self.exchange.borrow().collector().cloned();
         self.view.set_collector(collector.is_none());
         let collector = collector.unwrap_or_else(|| self.own.node.clone());
@@ -280,20 +284,20 @@
         }
     }
 
-    async fn keep_register<S: FleetSource>(&self, mut source: S) {
+    async fn maintain_registration<S: FleetSource>(&self, mut source: S) {
         self.register(&mut source).await;
-        self.shared.clock.sleep(FIRST_READ).await;
+        self.shared.clock.sleep(FIRST_READ_DELAY).await;
         while !self.read_register(&mut source).await {
             self.shared.clock.sleep(RETRY_PAUSE).await;
         }
         let mut era = self.view.era();
         loop {
-            let spread = READ_PAUSE.mul_f64(0.5 + self.shared.random_share());
-            let until_then = self.shared.clock.now() + spread;
-            let has_risen = until(&self.shared.clock, until_then, self.view.era_after(era)).await;
-            if let Some(risen) = has_risen {
-                // The row may be gone, of each node at once: they write it one after another.
-                let spread = WRITE_AGAIN.mul_f64(self.shared.random_share());
+            let spread = READ_INTERVAL.mul_f64(0.5 + self.shared.random_share());
+            let deadline = self.shared.clock.now() + spread;
+            let new_era = until(&self.shared.clock, deadline, self.view.era_after(era)).await;
+            if let Some(risen) = new_era {
+                // The rows of all nodes may be missing: the nodes spread their writes over time.
+                let spread = REREGISTER_SPREAD.mul_f64(self.shared.random_share());
                 self.shared.clock.sleep(spread).await;
                 era = risen;
                 self.register(&mut source).await;
@@ -306,11 +310,11 @@
         }
     }
 
-    /// Writes this node's row, again and again until the store takes it.
+    /// Writes this node's row, and retries until the store accepts it.
     async fn register<S: FleetSource>(&self, source: &mut S) {
         loop {
             let registered = source.register(&self.own).await;
-            self.note_call(registered.is_ok());
+            self.record_call(registered.is_ok());
             let Err(error) = registered else {
                 return;
             };
@@ -321,10 +325,10 @@
         }
     }
 
-    /// Reads the register, and tells whether it could.
+    /// Reads the register, and returns whether that succeeded.
     async fn read_register<S: FleetSource>(&self, source: &mut S) -> bool {
         let nodes = source.nodes().await;
-        self.note_call(nodes.is_ok());
+        self.record_call(nodes.is_ok());
         match nodes {
             Ok(register) => {
                 self.exchange.borrow_mut().set_nodes(register.nodes);
@@ -341,19 +345,19 @@
         }
     }
 
-    fn note_call(&self, is_ok: bool) {
+    fn record_call(&self, is_ok: bool) {
         note_source_call(&self.shared, CallTopic::Nodes, CallCause::Register, is_ok);
     }
 
-    /// Divides the fleet's retries anew, with some left for nodes that are not seen yet.
-    fn note_nodes(&self) {
+    /// Divides the fleet's retries among the nodes, with a reserve for nodes that are not known yet.
+    fn update_node_count(&self) {
         let count = self.exchange.borrow().node_count();
         let is_collector = self.exchange.borrow().is_collector();
         if !self.has_register.get() {
-            // Nothing of the extra is spent until the fleet's size is known.
+            // The extra retries are not used until the size of the fleet is known.
             return;
         }
-        let assumed = (count as f64 * (1.0 + UNSEEN_SHARE)).ceil() as u32;
+        let assumed = (count as f64 * (1.0 + UNSEEN_NODE_SHARE)).ceil() as u32;
         let gauge = i64::try_from(count).unwrap_or(i64::MAX);
         if self.shared.metrics.nodes.set(gauge) != gauge {
             self.shared.budget().set_nodes(assumed);
--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -1,4 +1,4 @@
-//! Follows the source: by calls of the node's own, or by what others tell and give.
+//! Follows the source by the node's own calls, or by updates and snapshots of other nodes.
 
 use std::time::Duration;
 
@@ -11,64 +11,62 @@
 use crate::clock::Clock;
 use crate::log::LogLine;
 
-/// How long a watch of the configuration waits for changes where it serves this node alone, as a share
-/// of the longest age of keys: 1.3 s of 5 s.
+/// Time for which a watch of the configuration waits for changes if it serves this node alone, as a share of
+/// the maximum age of keys: 1.3 s of 5 s.
 ///
-/// Its answer renews the trust in keys, but only as of the moment when it was asked for: what is
-/// known is between one and two waits old. A longer wait saves calls, and ends the trust sooner
-/// after the store was lost: at 1.5 s keys were refused from 1.4 s on, at 1.3 s from 1.8 s, at 1 s
-/// from 2.4 s.
-const CONFIG_SHARE: f64 = 0.26;
-/// How long one watch of the servers waits for changes. A connection that lost its way is found at
-/// the end of the wait at the latest, as what lies between may answer the system's probes: until
-/// then the node sends requests to servers that have left. At 8 s it did so for 13 s.
-const SERVERS_PAUSE: Duration = Duration::from_millis(3_000);
-/// How long a watch waits where its answers serve other nodes, as a share of the longest age of
-/// keys. What is passed on is up to two waits old. All nodes together ask less often by it than if
-/// each waited ten times as long.
-const READER_SHARE: f64 = 0.12;
-/// Pause after news of servers before the next watch. Servers come and go in numbers; without a
-/// pause each of them costs a call of its own.
-const SERVERS_BATCH: Duration = Duration::from_millis(250);
-/// Pause after all was read before the store is asked again: one that answers with an old state must
-/// not be asked ten times a second by nodes that were told of a newer one.
+/// Its answer renews the trust in keys only as of the moment at which the watch was sent, so the state is
+/// between one and two waits old. A longer wait saves calls, but ends the trust sooner after the store was
+/// lost: with 1.5 s keys were refused from 1.4 s on, with 1.3 s from 1.8 s, with 1 s from 2.4 s.
+const CONFIG_WATCH_SHARE: f64 = 0.26;
+/// Time for which one watch of the servers waits for changes. A connection whose peer is no longer reachable
+/// is detected at the end of the wait at the latest, as a middlebox may answer the system's keep-alive
+/// probes; until then the node sends requests to servers that have left. With 8 s it did so for 13 s.
+const SERVERS_WATCH_TIME: Duration = Duration::from_millis(3_000);
+/// Time for which a watch waits if its answers serve other nodes, as a share of the maximum age of keys.
+/// State that is passed on is up to two waits old. All nodes together call the store less often this way than
+/// if each node waited ten times as long.
+const WATCHER_SHARE: f64 = 0.12;
+/// Pause after changes of servers before the next watch. Servers often change in groups; without a pause each
+/// change costs a call.
+const SERVERS_BATCH_PAUSE: Duration = Duration::from_millis(250);
+/// Pause after a full read before the store is called again. Nodes that received a newer state must not call
+/// a store that answers with an old one ten times a second.
 const REREAD_PAUSE: Duration = Duration::from_millis(200);
-/// First pause after a call without an answer.
-const FIRST_RETRY: Duration = Duration::from_millis(40);
-/// Longest pause after calls without an answer: a fraction of the time within which a change
-/// must be in force.
-const LONGEST_RETRY: Duration = Duration::from_millis(800);
-/// Pause after a call without an answer of a node whose collector is another one: long against the
-/// collector's own retries, and short enough that a node that is told nothing, as its collector alone
-/// is turned away, reads the store before callers with keys are refused.
-const FOLLOWER_RETRY: Duration = Duration::from_millis(1_600);
-/// How long a node that has read all at its start leaves the store alone. Nodes that start together know
-/// each other after 0.7 s, and one of them tells all others from then on. Without it each of 195 nodes
-/// followed servers that started one after another by calls of its own.
+/// First pause after a failed call.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// Longest pause after failed calls: a fraction of the time within which a change must be in force.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(800);
+/// Pause after a failed call on a node whose collector is another node. It is long compared with the
+/// collector's own retries, and short enough for a node that receives nothing, as the store refuses its
+/// collector only, to read the store before callers with keys are refused.
+const FOLLOWER_RETRY_PAUSE: Duration = Duration::from_millis(1_600);
+/// Pause after the first full read. Nodes that start together know each other after 0.7 s, and one of them
+/// sends its state to all others from then on. Without the pause, each of 195 nodes followed servers that
+/// started one after another by calls of its own.
 const START_PAUSE: Duration = Duration::from_millis(1_500);
 
 impl<C: Clock, W: Send + Sync + 'static> GatewayControl<C, W> {
-    /// Reads a topic and follows its changes for as long as the node runs. While others tell of
-    /// it, the store is left alone.
+    /// Reads a topic and follows its changes for as long as the node runs. While other nodes send its state,
+    /// the store is not called.
     pub(super) async fn follow<S: FleetSource>(&self, mut source: S, topic: SourceTopic) {
         let mut rng = fastrand::Rng::with_seed(self.shared.options.seed);
-        let mut backoff = BackoffPause::new(FIRST_RETRY, LONGEST_RETRY);
+        let mut backoff = BackoffPause::new(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE);
         let mut since = None;
         let mut is_lost = false;
         let mut cause = CallCause::Start;
         loop {
-            (since, cause) = self.rest(topic, since, cause).await;
-            let asked_at = self.shared.clock.boot_time();
-            let answer = self.ask(&mut source, topic, since, cause).await;
+            (since, cause) = self.wait_until_query_due(topic, since, cause).await;
+            let requested_at = self.shared.clock.boot_time();
+            let answer = self.query(&mut source, topic, since, cause).await;
             let call_topic = CallTopic::Followed(topic);
             note_source_call(&self.shared, call_topic, cause, answer.is_ok());
             match answer {
                 Ok(change)
                     if since.is_some_and(|since: StoreVersion| since.era < change.version.era) =>
                 {
-                    // The store came back from an old copy. What it tells after a version of another era says
-                    // nothing of what lies between: all is read anew.
-                    self.note_era(topic, change.version);
+                    // The store was restored from an old copy. Its changes after a version of another era
+                    // don't include what differs between the two, so all is read again.
+                    self.on_new_era(topic, change.version);
                     since = None;
                     cause = CallCause::Change;
                 }
@@ -79,13 +77,13 @@
                     }
                     backoff.reset();
                     let is_whole = since.is_none();
-                    let has_news = !change.events.is_empty();
-                    let pause = self.pause_after(topic, cause, is_whole, has_news);
+                    let has_changes = !change.events.is_empty();
+                    let pause = self.pause_after(topic, cause, is_whole, has_changes);
                     since = Some(change.version);
                     if !(is_whole && cause == CallCause::Start) {
                         cause = CallCause::Watch;
                     }
-                    if self.view.apply(topic, change, is_whole, asked_at) {
+                    if self.view.apply(topic, change, is_whole, requested_at) {
                         self.life.borrow_mut().configured(&self.shared);
                     }
                     self.shared.clock.sleep(pause).await;
@@ -93,32 +91,35 @@
                 Err(error) => {
                     since = since.filter(|_| error.keeps_place());
                     cause = CallCause::Outage;
-                    self.view.news().record_failure(topic, asked_at);
-                    self.note_failure(topic, &error, &mut is_lost);
+                    self.view.sync_state().record_failure(topic, requested_at);
+                    self.on_failure(topic, &error, &mut is_lost);
                     if error != SourceError::HistoryLost {
-                        let next = backoff.next(&mut rng);
-                        self.shared.clock.sleep(self.retry_pause(topic, next)).await;
+                        let own_pause = backoff.next(&mut rng);
+                        self.shared
+                            .clock
+                            .sleep(self.retry_pause(topic, own_pause))
+                            .await;
                     }
                 }
             }
         }
     }
 
-    /// Takes from other nodes what this one lacks of a topic.
+    /// Fetches state of a topic that this node lacks from other nodes.
     ///
-    /// It does not wait for a call to the store to end: one that gets no answer at all takes seconds, and
-    /// callers with new keys would be refused for as long.
-    pub(super) async fn follow_nodes(&self, topic: SourceTopic) {
+    /// It does not wait for a call to the store to end: a call without an answer takes seconds, and callers
+    /// with new keys would be refused for that time.
+    pub(super) async fn fetch_snapshots(&self, topic: SourceTopic) {
         loop {
-            if self.view.take_next_copy(topic).await {
+            if self.view.fetch_next_snapshot(topic).await {
                 self.life.borrow_mut().configured(&self.shared);
             }
         }
     }
 
-    /// Waits while others tell of a topic. Gives back from where on the store is to be asked, none
-    /// where all has to be read, and what makes that necessary.
-    async fn rest(
+    /// Waits while other nodes send the state of a topic. Returns the version after which the store's changes
+    /// are needed, or `None` if all has to be read, and the cause of the call.
+    async fn wait_until_query_due(
         &self,
         topic: SourceTopic,
         since: Option<StoreVersion>,
@@ -127,18 +128,18 @@
         if since.is_none() {
             return (None, cause);
         }
-        let mut rested = false;
-        while let Some(most) = self.pause_before(topic) {
-            if !rested {
+        let mut has_waited = false;
+        while let Some(max_wait) = self.pause_before_query(topic) {
+            if !has_waited {
                 LogLine::new("source_told")
                     .with("topic", topic.as_str())
                     .info(&self.shared.log);
             }
-            rested = true;
-            self.view.wait_for_news(most).await;
+            has_waited = true;
+            self.view.wait_for_sync_change(max_wait).await;
         }
-        let must_read = self.view.news().must_read(topic);
-        if rested {
+        let must_read = self.view.sync_state().must_read(topic);
+        if has_waited {
             LogLine::new("source_asked")
                 .with("topic", topic.as_str())
                 .with("reason", if must_read { "missing" } else { "untold" })
@@ -147,27 +148,27 @@
         if must_read {
             return (None, CallCause::Change);
         }
-        let cause = if rested { CallCause::Outage } else { cause };
-        let place = match topic {
-            // Its place in the store's history is not passed on.
-            SourceTopic::Config => since.filter(|_| !rested),
-            SourceTopic::Servers => self.view.news().servers_version(),
+        let cause = if has_waited { CallCause::Outage } else { cause };
+        let position = match topic {
+            // The store's version of the configuration is not part of what nodes send each other.
+            SourceTopic::Config => since.filter(|_| !has_waited),
+            SourceTopic::Servers => self.view.sync_state().servers_version(),
         };
-        (place, cause)
+        (position, cause)
     }
 
-    /// How long the store is left alone for a topic.
+    /// Returns how long the store is not called for a topic.
     ///
-    /// While it answers nobody, each node of a large fleet would try both topics again and again. One is
-    /// enough to find out that it is back.
-    fn pause_before(&self, topic: SourceTopic) -> Option<Duration> {
-        let waits = topic == SourceTopic::Servers
-            && self.view.news().is_failing(SourceTopic::Config)
-            && self.view.leaves_retries();
-        self.view.rest(topic).or(waits.then_some(TICK))
+    /// While the store is away, each node of a large fleet would retry both topics. One is enough to detect
+    /// that it is back.
+    fn pause_before_query(&self, topic: SourceTopic) -> Option<Duration> {
+        let defers = topic == SourceTopic::Servers
+            && self.view.sync_state().is_failing(SourceTopic::Config)
+            && self.view.defers_to_collector();
+        self.view.fresh_for(topic).or(defers.then_some(TICK))
     }
 
-    async fn ask<S: FleetSource>(
+    async fn query<S: FleetSource>(
         &self,
         source: &mut S,
         topic: SourceTopic,
@@ -175,45 +176,45 @@
         cause: CallCause,
     ) -> Result<SourceChange, SourceError> {
         let is_servers = topic == SourceTopic::Servers;
-        // Whoever was left without news needs an answer at once, and so do those who follow it: one that
-        // waits for a change comes after they have given up and asked by themselves.
+        // A node without recent state, and the nodes that follow it, need an answer at once. The answer to a
+        // watch that waits for a change would come after these have given up and called the store themselves.
         let pause = match cause {
             CallCause::Start | CallCause::Outage => Duration::ZERO,
             _ => self.watch_pause(topic),
         };
         if is_servers {
-            self.view.news().set_watching(true);
+            self.view.sync_state().set_watching(true);
         }
         let answer = match since {
             None => source.read(topic).await,
             Some(version) => source.watch(topic, version, pause).await,
         };
         if is_servers {
-            self.view.news().set_watching(false);
+            self.view.sync_state().set_watching(false);
         }
         answer
     }
 
-    /// How long a watch waits for changes: shorter where its answers serve other nodes too.
+    /// Returns how long a watch waits for changes: less if its answers also serve other nodes.
     fn watch_pause(&self, topic: SourceTopic) -> Duration {
         let now = self.shared.clock.boot_time();
         let key_age = self.shared.bounds.load().key_age;
-        if self.view.news().has_followers(now) {
-            return key_age.mul_f64(READER_SHARE);
+        if self.view.sync_state().has_followers(now) {
+            return key_age.mul_f64(WATCHER_SHARE);
         }
         match topic {
-            SourceTopic::Config => key_age.mul_f64(CONFIG_SHARE),
-            SourceTopic::Servers => SERVERS_PAUSE,
+            SourceTopic::Config => key_age.mul_f64(CONFIG_WATCH_SHARE),
+            SourceTopic::Servers => SERVERS_WATCH_TIME,
         }
     }
 
-    /// Pause after an answer of the source before it is asked again.
+    /// Returns the pause after an answer of the source before the next call.
     fn pause_after(
         &self,
         topic: SourceTopic,
         cause: CallCause,
         is_whole: bool,
-        has_news: bool,
+        has_changes: bool,
     ) -> Duration {
         let is_first = is_whole && cause == CallCause::Start;
         if is_first && self.shared.options.peer_listen.is_some() {
@@ -222,30 +223,30 @@
         if is_whole {
             return REREAD_PAUSE;
         }
-        if topic == SourceTopic::Servers && has_news {
-            return SERVERS_BATCH;
+        if topic == SourceTopic::Servers && has_changes {
+            return SERVERS_BATCH_PAUSE;
         }
         Duration::ZERO
     }
 
-    /// Pause after a call that failed, given the next one of a node by itself.
+    /// Returns the pause after a failed call, given the node's own backoff pause.
     ///
-    /// The collector goes on trying, and tells within two rounds that the store is back. Eight nodes made
-    /// 184 calls in 6 s of an outage without this, less than 75 with it (`platform/tests/told.rs`).
-    fn retry_pause(&self, topic: SourceTopic, own: Duration) -> Duration {
-        let is_known = self.view.news().known_at(topic).is_some();
-        if !is_known || !self.view.leaves_retries() {
-            return own;
+    /// The collector keeps retrying, and reports within two rounds that the store is back. Eight nodes made
+    /// 184 calls in 6 s of an outage without this, and less than 75 with it (`platform/tests/told.rs`).
+    fn retry_pause(&self, topic: SourceTopic, own_pause: Duration) -> Duration {
+        let is_known = self.view.sync_state().known_at(topic).is_some();
+        if !is_known || !self.view.defers_to_collector() {
+            return own_pause;
         }
-        FOLLOWER_RETRY.mul_f64(0.5 + self.shared.random_share())
+        FOLLOWER_RETRY_PAUSE.mul_f64(0.5 + self.shared.random_share())
     }
 
-    fn note_era(&self, topic: SourceTopic, version: StoreVersion) {
+    fn on_new_era(&self, topic: SourceTopic, version: StoreVersion) {
         LogLine::new("source_era")
             .with("topic", topic.as_str())
             .with("source_version", version)
             .warn(&self.shared.log);
-        self.view.note_era(version.era);
+        self.view.set_era(version.era);
     }
 
     fn log_regained(&self, topic: SourceTopic, version: StoreVersion) {
@@ -255,14 +256,14 @@
             .info(&self.shared.log);
     }
 
-    fn note_failure(&self, topic: SourceTopic, error: &SourceError, is_lost: &mut bool) {
+    fn on_failure(&self, topic: SourceTopic, error: &SourceError, is_lost: &mut bool) {
         if *error == SourceError::HistoryLost {
             LogLine::new("source_history_lost")
                 .with("topic", topic.as_str())
                 .warn(&self.shared.log);
             return;
         }
-        self.view.note_trouble();
+        self.view.record_source_failure();
         if !*is_lost {
             LogLine::new("source_lost")
                 .with("topic", topic.as_str())
--- a/crates/plumgate-node/src/gateway/node.rs
+++ b/crates/plumgate-node/src/gateway/node.rs
@@ -1,4 +1,4 @@
-//! Starts the threads of a gateway node and stops them again.
+//! Starts and stops the threads of a gateway node.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use crate::log::{EventLog, LogLine};
 use crate::node::{bind, local_address, spawn_thread};
 
-/// Signals that wait for the control thread.
-const SIGNALS_WAITING: usize = 16;
+/// Maximum number of signals that wait for the control thread.
+const MAX_PENDING_SIGNALS: usize = 16;
 
-/// Steers a running gateway node from elsewhere.
+/// Handle that controls a running gateway node from other threads.
 #[derive(Clone, Debug)]
 pub struct GatewayHandle {
     signals: Sender<GatewaySignal>,
@@ -30,26 +30,26 @@
 impl GatewayHandle {
     /// Asks the node to stop.
     pub fn stop(&self) {
-        // A control thread that is gone has stopped already.
+        // A control thread that has ended needs no signal.
         let _ = self.signals.try_send(GatewaySignal::Stop);
     }
 
-    /// Gives the node the operators' bounds as they were read again.
+    /// Passes on the operators' bounds after they were read again.
     pub fn reload(&self, bounds: GatewayBounds) {
         let _ = self.signals.try_send(GatewaySignal::Reload(bounds));
     }
 }
 
-/// The addresses that a gateway node listens on.
+/// Addresses that a gateway node listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayAddresses {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For readiness checks.
+    /// Address for readiness checks.
     pub ready: SocketAddr,
 }
 
-/// A running gateway node.
+/// Running gateway node.
 pub struct GatewayNode {
     addresses: GatewayAddresses,
     handle: GatewayHandle,
@@ -65,9 +65,9 @@
         wire: W,
         source: S,
     ) -> Result<Self> {
-        let (signals, received) = async_channel::bounded(SIGNALS_WAITING);
-        // Addresses that are given come before those that the system may choose.
-        let nodes = bind_for_nodes(&options, &log);
+        let (signals, received) = async_channel::bounded(MAX_PENDING_SIGNALS);
+        // Fixed addresses are bound before those whose port the system may choose.
+        let peer_listener = bind_peer_listener(&options, &log);
         let callers = bind(options.listen)?;
         let probes = bind(options.ready_listen)?;
         let metrics = options.metrics_listen.map(bind).transpose()?;
@@ -88,12 +88,12 @@
         }
         let (running, stopped) = async_channel::bounded::<()>(1);
         let traffic = move || {
-            // Ends when the control thread does.
+            // Ends when the control thread ends.
             let _ = async_io::block_on(executor.run(stopped.recv()));
         };
         let control = move || {
             let control = GatewayControl::new(shared.clone());
-            control.run(source, received, nodes);
+            control.run(source, received, peer_listener);
             LogLine::new("stop")
                 .with("node", &shared.options.node)
                 .with("open_requests", shared.open_requests())
@@ -111,12 +111,12 @@
         })
     }
 
-    /// The addresses that were bound.
+    /// Returns the addresses that were bound.
     pub fn addresses(&self) -> GatewayAddresses {
         self.addresses
     }
 
-    /// Steers the node from elsewhere.
+    /// Returns a handle that controls the node from other threads.
     pub fn handle(&self) -> GatewayHandle {
         self.handle.clone()
     }
@@ -124,7 +124,7 @@
     /// Waits until the node has stopped.
     pub fn join(self) {
         for thread in self.threads {
-            // A thread that panicked has said so on standard error.
+            // A thread that panicked has written a message to standard error.
             let _ = thread.join();
         }
     }
@@ -145,15 +145,15 @@
         .info(&shared.log);
 }
 
-/// The mechanisms of the policy that are off, for the log.
+/// Returns the names of the policy's mechanisms that are off, for the log.
 fn switched_off(switches: PolicySwitches) -> Option<String> {
     let names: Vec<&str> = switches.off().map(PolicyPart::as_str).collect();
     (!names.is_empty()).then(|| names.join(","))
 }
 
-/// The listener for other nodes that lack something. Without it this node serves on, and they
-/// ask others.
-fn bind_for_nodes(options: &GatewayOptions, log: &EventLog) -> Option<Async<TcpListener>> {
+/// Binds the listener for other nodes' requests for snapshots. If that fails, this node serves without it,
+/// and other nodes send their requests elsewhere.
+fn bind_peer_listener(options: &GatewayOptions, log: &EventLog) -> Option<Async<TcpListener>> {
     let address = options.peer_listen?;
     match bind(address) {
         Ok(listener) => Some(listener),
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a gateway node share.
+//! State that the threads of a gateway node share.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,46 +23,46 @@
 use crate::log::EventLog;
 use crate::shared::LifeView;
 
-/// Nodes among which the retries of the fleet are divided where nodes don't talk to each other: more than
-/// a small fleet has with its spare VMs.
-const NODES_ASSUMED: u32 = 16;
+/// Number of nodes among which the fleet's retries are divided if nodes don't exchange messages: more than a
+/// small fleet has, spare VMs included.
+const ASSUMED_NODES: u32 = 16;
 
-/// How long no other node must be heard before this one counts as cut off: several of their rounds.
-const PEER_SILENCE: Duration = Duration::from_millis(1_000);
+/// Time without a message of any other node after which this one counts as cut off: several of their rounds.
+const MAX_PEER_SILENCE: Duration = Duration::from_millis(1_000);
 
-/// All that is shared.
+/// State shared by the threads.
 pub(crate) struct GatewayShared<C, W> {
-    /// The options.
+    /// Options of the node.
     pub(crate) options: GatewayOptions,
-    /// The clock.
+    /// Clock of the node.
     pub(crate) clock: C,
-    /// The log.
+    /// Event log.
     pub(crate) log: EventLog,
-    /// What callers and servers speak.
+    /// Wire format of callers and servers.
     pub(crate) wire: W,
-    /// The metrics.
+    /// Metrics of the node.
     pub(crate) metrics: GatewayMetrics,
-    /// The configuration in force.
+    /// Configuration in force.
     pub(crate) config: ArcSwapOption<GatewayConfig>,
-    /// How far the node has come in its life.
+    /// State of the node's lifecycle.
     pub(crate) life: ArcSwap<LifeView>,
-    /// How the duties stand, for operators.
+    /// Page on the state of the duties, for operators.
     pub(crate) duties_page: ArcSwap<String>,
-    /// The operators' bounds, as last read.
+    /// Operators' bounds, as last read.
     pub(crate) bounds: ArcSwap<GatewayBounds>,
-    /// Tells that a server was asked whether it lives.
+    /// Notifies that a probe of a server ended.
     pub(crate) server_asked: Event,
-    /// Tells that permits for limited servers are to be asked for.
+    /// Notifies that permits for limited servers are needed.
     pub(crate) limit_asked: Event,
-    /// Tells that asks for permits were answered.
+    /// Notifies that requests for permits were answered.
     pub(crate) limit_answered: Event,
-    /// Tells connections that the life went on.
+    /// Notifies connections that the state of the lifecycle changed.
     pub(crate) life_changed: Event,
     /// Idle connections to servers.
     pub(crate) links: LinkPool,
-    /// The servers' incarnations, whose ends end what runs there.
+    /// Incarnations of servers; the end of one ends the requests that run there.
     pub(crate) lives: ServerLives,
-    /// Runs the tasks of the traffic thread.
+    /// Executor of the traffic thread's tasks.
     pub(crate) executor: Arc<Executor<'static>>,
     lease: Mutex<FreshnessLease>,
     loads: Mutex<LoadTable>,
@@ -70,26 +70,28 @@
     quarantine: Mutex<QuarantineTable>,
     statements: Mutex<ServerStatements>,
     usage: Mutex<UsageTally>,
-    /// The time of day that the nodes agree on, less the time since the VM started, in milliseconds.
+    /// Difference between the Unix time that the nodes agree on and the time since the VM started, in
+    /// milliseconds.
     pub(crate) day_offset_ms: AtomicI64,
     rng: Mutex<fastrand::Rng>,
     pub(super) open_requests: AtomicU64,
     pub(super) open_connections: AtomicU64,
-    /// When another node was last heard, in milliseconds since the VM started; 0 before.
-    peer_heard_ms: AtomicU64,
+    /// Time of the last message of another node, in milliseconds since the VM started; 0 before the first
+    /// one.
+    last_peer_message_ms: AtomicU64,
 }
 
 impl<C: Clock, W> GatewayShared<C, W> {
-    /// The shared part of a node that knows nothing yet.
+    /// Creates the state of a node that knows nothing yet.
     pub(crate) fn new(options: GatewayOptions, clock: C, log: EventLog, wire: W) -> Self {
         let bounds = options.bounds;
         let budget = WindowBudget::new(bounds.retry_window, bounds.retry_ratio, bounds.retry_extra);
         let budget = match options.peer_listen {
-            // The register tells how many nodes there are.
+            // The register contains the number of nodes.
             Some(_) => budget,
-            None => budget.with_nodes(NODES_ASSUMED),
+            None => budget.with_nodes(ASSUMED_NODES),
         };
-        // What nodes draw to name their rounds must differ from node to node.
+        // The random ids of rounds must differ between nodes.
         let limits_seed = options.seed ^ xxh3_64(options.node.as_bytes()) ^ clock.unix_ms();
         let placement = PlacementOptions::new(options.data_centre.clone())
             .with_policy(options.policy)
@@ -128,12 +130,12 @@
             rng: Mutex::new(fastrand::Rng::with_seed(options.seed)),
             open_requests: AtomicU64::new(0),
             open_connections: AtomicU64::new(0),
-            peer_heard_ms: AtomicU64::new(0),
+            last_peer_message_ms: AtomicU64::new(0),
             options,
         }
     }
 
-    /// Takes over other bounds. Requests in flight go on under those that they came under.
+    /// Replaces the operators' bounds. Requests in flight keep the bounds under which they started.
     pub(crate) fn set_bounds(&self, bounds: GatewayBounds) {
         self.budget()
             .set_bounds(bounds.retry_window, bounds.retry_ratio, bounds.retry_extra);
@@ -142,37 +144,37 @@
         self.bounds.store(Arc::new(bounds));
     }
 
-    /// How old the knowledge of keys is.
+    /// Returns the limit on the age of the known configuration and keys.
     pub(crate) fn lease(&self) -> MutexGuard<'_, FreshnessLease> {
         lock(&self.lease)
     }
 
-    /// What this node knows of the servers.
+    /// Returns the servers with their load and state.
     pub(crate) fn loads(&self) -> MutexGuard<'_, LoadTable> {
         lock(&self.loads)
     }
 
-    /// This node's share of the retries.
+    /// Returns this node's share of the retry budget.
     pub(crate) fn budget(&self) -> MutexGuard<'_, WindowBudget> {
         lock(&self.budget)
     }
 
-    /// What is known of requests that end servers.
+    /// Returns the table of requests that crash servers.
     pub(crate) fn quarantine(&self) -> MutexGuard<'_, QuarantineTable> {
         lock(&self.quarantine)
     }
 
-    /// What servers said of themselves.
+    /// Returns the statements of servers about themselves.
     pub(crate) fn statements(&self) -> MutexGuard<'_, ServerStatements> {
         lock(&self.statements)
     }
 
-    /// What this node counts of usage.
+    /// Returns this node's count of usage.
     pub(crate) fn usage(&self) -> MutexGuard<'_, UsageTally> {
         lock(&self.usage)
     }
 
-    /// A request of a workspace began to run at a server, so long ago.
+    /// Counts a request of a workspace that started to run at a server `ago` before now.
     pub(crate) fn note_began(&self, workspace: Option<&WorkspaceId>, ago: Duration) {
         let (Some(workspace), Some(duties)) = (workspace, self.options.duties) else {
             return;
@@ -191,74 +193,75 @@
         self.usage().note(workspace, times.window_at(unix));
     }
 
-    /// Whether what is known of the store is recent enough to take callers.
+    /// Returns whether the known state of the store is recent enough to accept callers.
     pub(crate) fn allows_ready(&self) -> bool {
         self.lease().allows_ready(self.clock.boot_time())
     }
 
-    /// A random share from 0 to 1.
+    /// Returns a random share from 0 to 1.
     pub(crate) fn random_share(&self) -> f64 {
         lock(&self.rng).f64()
     }
 
-    /// Whether keys that are known may be trusted now.
+    /// Returns whether known keys may be trusted now.
     pub(crate) fn allows_keys(&self) -> bool {
         self.lease().allows_keys(self.clock.boot_time())
     }
 
-    /// Whether what is not known here may be called unknown.
+    /// Returns whether a key or route that is not known here may be rejected as unknown.
     pub(crate) fn allows_denials(&self) -> bool {
         self.lease().allows_denials(self.clock.boot_time())
     }
 
-    /// Age of the knowledge of keys in milliseconds, for the log.
+    /// Returns the age of the known keys in milliseconds, for the log.
     pub(crate) fn key_age_ms(&self) -> Option<u128> {
         let age = self.lease().age(self.clock.boot_time());
         age.as_ref().map(Duration::as_millis)
     }
 
-    /// Another node was heard.
-    pub(crate) fn note_peer(&self) {
+    /// Records that a message of another node was received.
+    pub(crate) fn record_peer_message(&self) {
         let now = u64::try_from(self.clock.boot_time().as_millis()).unwrap_or(u64::MAX);
-        self.peer_heard_ms.store(now, Ordering::Relaxed);
+        self.last_peer_message_ms.store(now, Ordering::Relaxed);
     }
 
-    /// Whether this node has heard others before and hears none now.
+    /// Returns whether messages of other nodes arrived before, but none arrive now.
     pub(crate) fn is_cut_off(&self) -> bool {
         self.peer_silence()
-            .is_some_and(|silence| silence > PEER_SILENCE)
+            .is_some_and(|silence| silence > MAX_PEER_SILENCE)
     }
 
-    /// Whether other nodes were heard lately.
-    pub(crate) fn hears_others(&self) -> bool {
+    /// Returns whether messages of other nodes arrived lately.
+    pub(crate) fn has_recent_peers(&self) -> bool {
         self.peer_silence()
-            .is_some_and(|silence| silence <= PEER_SILENCE)
+            .is_some_and(|silence| silence <= MAX_PEER_SILENCE)
     }
 
-    /// How long no other node was heard; none where none ever was.
+    /// Returns the time since the last message of another node; `None` if there never was one.
     fn peer_silence(&self) -> Option<Duration> {
-        let heard = self.peer_heard_ms.load(Ordering::Relaxed);
-        let heard = (heard != 0).then(|| Duration::from_millis(heard))?;
-        Some(self.clock.boot_time().saturating_sub(heard))
+        let last_message = self.last_peer_message_ms.load(Ordering::Relaxed);
+        let last_message = (last_message != 0).then(|| Duration::from_millis(last_message))?;
+        Some(self.clock.boot_time().saturating_sub(last_message))
     }
 
-    /// Whether the balancer should send callers here.
+    /// Returns whether the balancer should send callers to this node.
     pub(crate) fn is_ready(&self) -> bool {
         self.life.load().ready && self.allows_ready()
     }
 
-    /// Whether neither requests nor connections are open.
+    /// Returns whether neither requests nor connections are open.
     pub(crate) fn is_idle(&self) -> bool {
         self.open_requests() == 0 && self.open_connections.load(Ordering::SeqCst) == 0
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub(crate) fn open_requests(&self) -> u64 {
         self.open_requests.load(Ordering::SeqCst)
     }
 }
 
-/// A lock whose holder panicked still guards usable state: the panic was one request's fault.
+/// Locks a mutex. The state is still usable if a thread that held the lock panicked: the panic concerned a
+/// single request.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/plumgate-node/src/gateway/source_calls.rs
+++ b/crates/plumgate-node/src/gateway/source_calls.rs
@@ -1,4 +1,4 @@
-//! Counts and logs a node's calls to the source, by what made them.
+//! Counts and logs a node's calls to the source by their cause.
 
 use super::metrics::CallLabels;
 use super::ports::SourceTopic;
@@ -6,25 +6,25 @@
 use crate::clock::Clock;
 use crate::log::LogLine;
 
-/// What made a node call the source.
+/// Cause of a call to the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallCause {
-    /// It started and knew nothing yet.
+    /// The node started and has no state yet.
     Start,
-    /// It follows a topic for itself or for other nodes.
+    /// The node follows a topic for itself or for other nodes.
     Watch,
-    /// Something changed that no other node could tell.
+    /// Something changed that no other node could send.
     Change,
-    /// An earlier call failed, or nothing recent was told.
+    /// An earlier call failed, or no recent state was received.
     Outage,
-    /// It keeps the register of nodes.
+    /// The node reads or writes the register of nodes.
     Register,
-    /// It leaves.
+    /// The node leaves.
     Leave,
 }
 
 impl CallCause {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Start => "start",
@@ -37,21 +37,21 @@
     }
 }
 
-/// What a call is about.
+/// Subject of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallTopic {
-    /// What the fleet follows.
+    /// A topic that the fleet follows.
     Followed(SourceTopic),
     /// The register of nodes.
     Nodes,
-    /// Requests that are held back.
+    /// Blocked requests.
     Verdicts,
     /// The lease of the duties.
     Duties,
 }
 
 impl CallTopic {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     fn as_str(self) -> &'static str {
         match self {
             Self::Followed(topic) => topic.as_str(),
@@ -62,8 +62,8 @@
     }
 }
 
-/// A call was answered or failed. The store's rates are for all nodes together: the sum of these lines
-/// over the fleet tells what uses them.
+/// Records whether a call was answered or failed. The store's rate limits apply to all nodes together: the
+/// sum of these lines over the fleet shows what uses them.
 pub(crate) fn note_source_call<C: Clock, W>(
     shared: &GatewayShared<C, W>,
     topic: CallTopic,
--- a/crates/plumgate-node/src/gateway/view_copies.rs
+++ b/crates/plumgate-node/src/gateway/view_copies.rs
@@ -1,4 +1,4 @@
-//! Copies of what is in force, taken from other nodes and given to them.
+//! Snapshots of the state in force: fetched from other nodes and encoded for them.
 
 use std::net::SocketAddr;
 
@@ -7,90 +7,105 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::copies::{CopyError, ask_node};
-use super::view::{DOUBT, FleetView};
+use super::copies::{SnapshotError, fetch_snapshot};
+use super::view::{FleetView, UNCONFIRMED_GRACE_PERIOD};
 use crate::clock::Clock;
 use crate::log::LogLine;
 
 impl<C: Clock, W: Send + Sync + 'static> FleetView<C, W> {
-    /// Waits until another node holds what this one lacks of a topic, and takes it from there. Tells
-    /// whether another configuration is in force.
-    pub(crate) async fn take_next_copy(&self, topic: SourceTopic) -> bool {
-        let from = self.wishes.next(topic).await;
-        let taken = match topic {
-            SourceTopic::Config => self.take_config(from).await,
-            SourceTopic::Servers => self.take_servers(from).await.map(|()| false),
+    /// Waits until another node holds state of a topic that this one lacks, and fetches it from there.
+    /// Returns whether another configuration is in force.
+    pub(crate) async fn fetch_next_snapshot(&self, topic: SourceTopic) -> bool {
+        let from = self.snapshot_requests.next(topic).await;
+        let fetched = match topic {
+            SourceTopic::Config => self.fetch_config(from).await,
+            SourceTopic::Servers => self.fetch_servers(from).await.map(|()| false),
         };
         let line = LogLine::new("copy_asked")
             .with("topic", topic.as_str())
             .with("node", from);
-        match &taken {
+        match &fetched {
             Ok(_) => line.info(&self.shared.log),
             Err(error) => line.with("error", error).warn(&self.shared.log),
         }
-        self.wishes
-            .settle(topic, taken.is_ok(), self.shared.clock.now());
-        // Whoever waits for the copy goes on, by it or by the store.
-        self.news_missing.notify(usize::MAX);
-        taken.unwrap_or_default()
+        self.snapshot_requests
+            .complete(topic, fetched.is_ok(), self.shared.clock.now());
+        // Tasks that wait for the snapshot continue, with the snapshot or by calling the store.
+        self.sync_changed.notify(usize::MAX);
+        fetched.unwrap_or_default()
     }
 
-    async fn take_config(&self, from: SocketAddr) -> Result<bool, CopyError> {
-        let asked_at = self.shared.clock.boot_time();
-        let copy: ConfigSnapshot = ask_node(&self.shared.clock, from, SourceTopic::Config).await?;
-        let known_at = copy.known_at(asked_at).ok_or(CopyError::Overtaken)?;
-        let config = copy.into_state();
-        let held = self.shared.config.load();
-        if held
+    async fn fetch_config(&self, from: SocketAddr) -> Result<bool, SnapshotError> {
+        let requested_at = self.shared.clock.boot_time();
+        let snapshot: ConfigSnapshot =
+            fetch_snapshot(&self.shared.clock, from, SourceTopic::Config).await?;
+        let known_at = snapshot
+            .known_at(requested_at)
+            .ok_or(SnapshotError::Outdated)?;
+        let config = snapshot.into_state();
+        let current = self.shared.config.load();
+        if current
             .as_ref()
-            .is_some_and(|held| held.version > config.version)
+            .is_some_and(|current| current.version > config.version)
         {
-            return Err(CopyError::Overtaken);
+            return Err(SnapshotError::Outdated);
         }
-        let has_config = self.apply_config(config, "told", StoreVersion::default());
-        self.news().record_read(SourceTopic::Config, known_at);
+        let has_new_config = self.apply_config(config, "told", StoreVersion::default());
+        self.sync_state().record_read(SourceTopic::Config, known_at);
         self.shared.lease().renew(known_at);
-        Ok(has_config)
+        Ok(has_new_config)
     }
 
-    async fn take_servers(&self, from: SocketAddr) -> Result<(), CopyError> {
-        let asked_at = self.shared.clock.boot_time();
-        let copy: ServersSnapshot =
-            ask_node(&self.shared.clock, from, SourceTopic::Servers).await?;
-        if !self.news().apply_servers_snapshot(&copy, asked_at) {
-            return Err(CopyError::Overtaken);
+    async fn fetch_servers(&self, from: SocketAddr) -> Result<(), SnapshotError> {
+        let requested_at = self.shared.clock.boot_time();
+        let snapshot: ServersSnapshot =
+            fetch_snapshot(&self.shared.clock, from, SourceTopic::Servers).await?;
+        if !self
+            .sync_state()
+            .apply_servers_snapshot(&snapshot, requested_at)
+        {
+            return Err(SnapshotError::Outdated);
         }
-        self.note_era(copy.state().era());
+        self.set_era(snapshot.state().era());
         let now = self.shared.clock.now();
-        let (entries, unconfirmed) = copy.into_state().into_servers();
-        let doubt = self.doubt(now);
-        let changes = self.servers.borrow_mut().replace(entries, &[], doubt, now);
+        let (entries, unconfirmed) = snapshot.into_state().into_servers();
+        let grace_period = self.grace_period(now);
+        let changes = self
+            .servers
+            .borrow_mut()
+            .replace(entries, &[], grace_period, now);
         self.publish(&changes, "told");
         for id in &unconfirmed {
-            self.remove_server(id, Some(DOUBT), "told");
+            self.remove_server(id, Some(UNCONFIRMED_GRACE_PERIOD), "told");
         }
         Ok(())
     }
 
-    /// The configuration in force, as other nodes take it.
-    pub(crate) fn config_copy(&self) -> Option<Vec<u8>> {
-        // The age is read first: what comes into force in between is newer than it says, never older.
+    /// Returns the configuration in force, encoded for other nodes; `None` if there is none.
+    pub(crate) fn config_snapshot(&self) -> Option<Vec<u8>> {
+        // The age is read first: a configuration that comes into force in between is newer than the age says,
+        // never older.
         let age = self.shared.lease().age(self.shared.clock.boot_time())?;
         let config = self.shared.config.load_full()?;
         self.encode(&ConfigSnapshot::new(config, age))
     }
 
-    /// The servers, as other nodes take them.
+    /// Returns the servers, encoded for other nodes; `None` if they were not read yet.
     pub(crate) fn servers_snapshot(&self) -> Option<Vec<u8>> {
         let now = self.shared.clock.boot_time();
-        // Rows don't say what servers said to nodes.
+        // Entries don't contain what servers report to nodes.
         self.shared.statements().notices.restart_reports(now);
-        let copy = self.news().servers_snapshot(&self.servers.borrow(), now)?;
-        self.encode(&copy)
+        let snapshot = self
+            .sync_state()
+            .servers_snapshot(&self.servers.borrow(), now)?;
+        self.encode(&snapshot)
     }
 
-    fn encode<T: Serialize + DeserializeOwned>(&self, copy: &StateSnapshot<T>) -> Option<Vec<u8>> {
-        let encoded = copy.encode();
+    fn encode<T: Serialize + DeserializeOwned>(
+        &self,
+        snapshot: &StateSnapshot<T>,
+    ) -> Option<Vec<u8>> {
+        let encoded = snapshot.encode();
         if let Err(error) = &encoded {
             LogLine::new("copy_not_encoded")
                 .with("error", error)
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -1,4 +1,4 @@
-//! The servers as the source and other nodes tell of them, made known to the traffic thread.
+//! Applies changes of servers from the source and from other nodes, and publishes them to the traffic thread.
 
 use std::time::{Duration, Instant};
 
@@ -12,36 +12,39 @@
 use crate::log::LogLine;
 
 impl<C: Clock, W: Send + Sync + 'static> FleetView<C, W> {
-    /// Takes over what the source told of servers.
+    /// Applies the source's changes of servers.
     pub(super) fn apply_servers(&self, change: SourceChange, is_whole: bool) {
-        let doubt = self.doubt(self.shared.clock.now());
+        let grace_period = self.grace_period(self.shared.clock.now());
         let events = change.events.into_iter();
-        let news: Vec<ServerUpdate> = events
-            .filter_map(|event| self.server_news(event, doubt.is_some()))
+        let updates: Vec<ServerUpdate> = events
+            .filter_map(|event| self.server_update(event, grace_period.is_some()))
             .collect();
         if is_whole {
-            self.replace_servers(news, doubt);
-            self.news().restart_log(change.version);
+            self.replace_servers(updates, grace_period);
+            self.sync_state().restart_log(change.version);
             return;
         }
-        for news in &news {
-            match news {
+        for update in &updates {
+            match update {
                 ServerUpdate::Entry(entry) => self.put_servers(vec![entry.clone()], "watched"),
-                ServerUpdate::Gone { id, .. } => self.remove_server(id, doubt, "watched"),
+                ServerUpdate::Gone { id, .. } => self.remove_server(id, grace_period, "watched"),
                 ServerUpdate::Unusable(id) => self.remove_server(id, None, "watched"),
             }
         }
-        self.news().extend_log(change.version, news);
+        self.sync_state().extend_log(change.version, updates);
     }
 
-    /// What an event of the source says of a server.
-    fn server_news(&self, event: SourceEvent, unconfirmed: bool) -> Option<ServerUpdate> {
+    /// Converts an event of the source to an update of a server.
+    fn server_update(&self, event: SourceEvent, unconfirmed: bool) -> Option<ServerUpdate> {
         match event {
             SourceEvent::Server(entry) if self.servers.borrow().is_foreign(&entry) => {
                 LogLine::new("finding")
                     .with("topic", SourceTopic::Servers.as_str())
                     .with("server", &entry.id)
-                    .with("finding", "the entry lacks the time of birth that it had")
+                    .with(
+                        "finding",
+                        "the entry lacks the start time that it had before",
+                    )
                     .warn(&self.shared.log);
                 Some(ServerUpdate::Unusable(entry.id))
             }
@@ -55,12 +58,12 @@
         }
     }
 
-    /// All servers were read at one moment.
-    fn replace_servers(&self, news: Vec<ServerUpdate>, doubt: Option<Duration>) {
-        let mut entries = Vec::with_capacity(news.len());
+    /// Replaces all servers by entries that were read at one moment.
+    fn replace_servers(&self, updates: Vec<ServerUpdate>, grace_period: Option<Duration>) {
+        let mut entries = Vec::with_capacity(updates.len());
         let mut unusable = Vec::new();
-        for news in news {
-            match news {
+        for update in updates {
+            match update {
                 ServerUpdate::Entry(entry) => entries.push(entry),
                 ServerUpdate::Unusable(id) => unusable.push(id),
                 ServerUpdate::Gone { .. } => {}
@@ -68,7 +71,7 @@
         }
         let now = self.shared.clock.now();
         let mut servers = self.servers.borrow_mut();
-        let changes = servers.replace(entries, &unusable, doubt, now);
+        let changes = servers.replace(entries, &unusable, grace_period, now);
         drop(servers);
         self.publish(&changes, "read");
     }
@@ -81,21 +84,26 @@
         self.publish(&changes, source);
     }
 
-    pub(super) fn remove_server(&self, id: &ServerId, doubt: Option<Duration>, source: &str) {
+    pub(super) fn remove_server(
+        &self,
+        id: &ServerId,
+        grace_period: Option<Duration>,
+        source: &str,
+    ) {
         let now = self.shared.clock.now();
-        let change = self.servers.borrow_mut().remove(id, doubt, now);
+        let change = self.servers.borrow_mut().remove(id, grace_period, now);
         self.publish(change.as_slice(), source);
     }
 
-    /// Drops the doubted servers whose time is over.
+    /// Removes the unconfirmed servers whose grace period is over.
     pub(crate) fn tick(&self, now: Instant) {
-        let over = self.servers.borrow_mut().tick(now);
-        self.publish(&over, "lapsed");
+        let expired = self.servers.borrow_mut().tick(now);
+        self.publish(&expired, "lapsed");
     }
 
-    /// Takes note of a server that went without having drained, or that started again: it may have
-    /// ended under a request.
-    fn note_server_end(&self, loads: &LoadTable, change: &ServerChange, now: Instant) {
+    /// Reports a server to the quarantine that went without draining or that restarted: it may have crashed
+    /// under a request.
+    fn check_for_crash(&self, loads: &LoadTable, change: &ServerChange, now: Instant) {
         let (id, sign) = match change {
             ServerChange::Gone(id) => (id, CrashSign::Lapsed),
             ServerChange::Restarted(entry) => (&entry.id, CrashSign::Restarted),
@@ -107,18 +115,18 @@
             }
             ServerChange::Unconfirmed(_) => return,
         };
-        let before = loads.entry(id);
-        let stayed = |entry: &&ServerEntry| {
+        let previous = loads.entry(id);
+        let was_ready = |entry: &&ServerEntry| {
             let leaves = self.shared.statements().notices.leaving_since(entry);
             entry.state == ServerState::Ready && leaves.is_none()
         };
-        if let Some(before) = before.filter(stayed) {
-            let ended = self.shared.quarantine().on_server_gone(before, sign, now);
-            self.shared.note_server_end(&ended, before, sign);
+        if let Some(previous) = previous.filter(was_ready) {
+            let identities = self.shared.quarantine().on_server_gone(previous, sign, now);
+            self.shared.note_server_end(&identities, previous, sign);
         }
     }
 
-    /// Makes changes of servers known to the traffic thread.
+    /// Publishes changes of servers to the traffic thread.
     pub(super) fn publish(&self, changes: &[ServerChange], source: &str) {
         if changes.is_empty() {
             return;
@@ -126,14 +134,14 @@
         let now = self.shared.clock.now();
         let mut loads = self.shared.loads();
         for change in changes {
-            self.note_server_end(&loads, change, now);
+            self.check_for_crash(&loads, change, now);
             loads.apply(change, now);
             if let ServerChange::Changed(entry) | ServerChange::Restarted(entry) = change {
-                let boot = self.shared.clock.boot_time();
+                let boot_time = self.shared.clock.boot_time();
                 let statements = self.shared.statements();
                 let availability = statements
                     .notices
-                    .availability(entry.incarnation_id(), boot);
+                    .availability(entry.incarnation_id(), boot_time);
                 loads.set_availability(entry, availability, now);
             }
             let line = LogLine::new("server").with("source", source);
