--- a/crates/plumgate-node/src/gateway/checks.rs
+++ b/crates/plumgate-node/src/gateway/checks.rs
@@ -1,4 +1,4 @@
-//! What is checked of a caller's request before the relay: its route, its key, its body.
+//! Checks of a caller's request before it is relayed: route, API key and body.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,16 +22,21 @@
 use crate::caller_error::CallerError;
 use crate::clock::{Clock, until};
 
-/// Pause that is asked of a caller while this node's knowledge is old or missing, as it is at the
-/// others that this node hears: the store answers nobody.
+/// Retry delay given to a caller while this node's configuration or keys are stale or missing, but this node still
+/// receives from others. Theirs are then as old: the store answers no node.
 const STALE_PAUSE: Duration = Duration::from_millis(500);
-/// The same where this node is cut off from the others too. They most likely serve, and the caller's
-/// next connection leads to one of them.
+/// Retry delay while this node is cut off from the other nodes too. They most likely serve, and the caller's next
+/// connection leads to one of them.
 const CUT_OFF_PAUSE: Duration = Duration::from_millis(20);
-/// Time for which a request without a word on it is waited for.
+/// Time limit of a request that names none.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
 
-/// Checks a request and finds its route and workspace.
+/// Checks a request, finds its route and workspace, and reads its body.
+///
+/// # Errors
+///
+/// The answer to the caller, if this node has no current configuration or keys, if the request has no id, no route
+/// or no valid key, or if its body is too large or does not arrive in time.
 pub(crate) async fn accept<C: Clock, W: WireFormat>(
     shared: &GatewayShared<C, W>,
     head: Parts,
@@ -63,7 +68,7 @@
     });
     let body = read_body(shared, body, config.limits, due, &mut hasher).await?;
     let Some(pool) = route.pool_for(xxh3_64(id.as_bytes())).cloned() else {
-        return Err(stale(shared, "no_pool", "the route leads nowhere now"));
+        return Err(stale(shared, "no_pool", "the route has no pool now"));
     };
     let urgency = config.urgency(&route, workspace);
     let class = config.stream_class(&route, &pool);
@@ -86,7 +91,7 @@
     })
 }
 
-/// The host that a request names, without a port.
+/// Returns the host that a request names, without the port.
 fn host(head: &Parts) -> &str {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or(head.uri.host()).unwrap_or_default();
@@ -104,12 +109,12 @@
     if let Some(route) = route {
         return Ok(route.clone());
     }
-    // A route may have come since this node last heard of the configuration.
+    // The route may be newer than this node's configuration.
     if !shared.allows_denials() {
         return Err(stale(
             shared,
             "config_stale",
-            "this node's configuration is old",
+            "this node's configuration is out of date",
         ));
     }
     let message = format!("there is no route for {host}{path}");
@@ -129,22 +134,22 @@
     if !config.needs_keys || route.public {
         return Ok(None);
     }
-    // A key may have been taken away since this node last heard of the configuration.
+    // The key may have been revoked since this node last received the configuration.
     if !shared.allows_keys() {
         return Err(stale(
             shared,
             "keys_stale",
-            "this node's knowledge of keys is old",
+            "this node's API keys are out of date",
         ));
     }
     let key = facts.key.as_deref().unwrap_or_default();
     match config.workspace(key) {
         Some(keys) => Ok(Some(keys)),
-        // A key may be new. Its caller would give up on a 401; another node knows the key.
+        // The key may be new. A caller gives up after a 401, though another node may know the key.
         None if !shared.allows_denials() => Err(stale(
             shared,
             "keys_stale",
-            "this node may not have heard of the key",
+            "this node may not know the API key yet",
         )),
         None => Err(CallerError::invalid(
             StatusCode::UNAUTHORIZED,
@@ -174,7 +179,7 @@
     due: Instant,
     hasher: &mut IdentityHasher,
 ) -> Result<Bytes, CallerError> {
-    let reading = Limited::new(body, limits.body_bytes)
+    let read = Limited::new(body, limits.body_bytes)
         .map_frame(|frame| {
             if let Some(bytes) = frame.data_ref() {
                 hasher.update(bytes);
@@ -182,8 +187,8 @@
             frame
         })
         .collect();
-    match until(&shared.clock, due, reading).await {
-        Some(Ok(whole)) => Ok(whole.to_bytes()),
+    match until(&shared.clock, due, read).await {
+        Some(Ok(collected)) => Ok(collected.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => {
             let message = format!("the body is larger than {} bytes", limits.body_bytes);
             Err(CallerError::invalid(
--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -1,4 +1,5 @@
-//! The duties of a gateway node: what it knows for them, and how it comes to do them.
+//! Duties (usage reports, orders of servers) that one node of the fleet performs: the state that a node keeps for
+//! them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,31 +19,33 @@
 use crate::clock::Clock;
 use crate::log::LogLine;
 
-/// Longest call to the party: a new holder waits for as long before its first one.
+/// Timeout of a call to the duty API. A new holder waits for as long before its first call: by then the last call
+/// of the previous holder has ended.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The path under which operators see how the duties stand.
+/// Path of the operators' page on the state of the duties.
 pub const DUTIES_PATH: &str = "/duties";
 
-/// What a node knows for the duties, kept on the control thread.
+/// State that a node keeps for the duties; it stays on the control thread.
 pub(crate) struct DutyState<C, W> {
     pub(super) shared: Arc<GatewayShared<C, W>>,
     pub(super) options: DutyOptions,
     pub(super) seat: RefCell<DutySeat>,
     pub(super) orders: RefCell<OrderBook>,
-    /// How many servers each pool should have.
+    /// Scaling policy of each pool, which says how many servers the pool should have.
     pub(super) policies: RefCell<BTreeMap<PoolId, FollowLoad>>,
     clock: RefCell<AgreedClock>,
-    book: RefCell<UsageBook>,
-    centres: RefCell<Vec<DataCentreId>>,
+    usage_table: RefCell<UsageBook>,
+    /// Data centres whose usage a report has to contain.
+    data_centres: RefCell<Vec<DataCentreId>>,
     /// Whether this node should hold the duties.
-    wanted: Cell<bool>,
-    /// Prompt tokens a second by pool that the fleet's requests bring.
+    should_hold: Cell<bool>,
+    /// Prompt tokens per second that arrive in requests of the whole fleet, by pool.
     pub(super) demand: RefCell<Vec<(PoolId, u64)>>,
 }
 
 impl<C: Clock, W> DutyState<C, W> {
-    /// A node that holds no duty; none where no party is set.
+    /// Creates the state of a node that does not hold the duties; `None` where no duty API is configured.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Option<Self> {
         let options = shared.options.duties?;
         let reports = ReportTimes {
@@ -59,36 +62,36 @@
             lease: DutyTimes::new(options.lease, CALL_TIMEOUT),
             reports,
         });
-        let centre = shared.options.data_centre.clone();
+        let data_centre = shared.options.data_centre.clone();
         Some(Self {
             seat: RefCell::new(seat),
             orders: RefCell::new(OrderBook::new()),
             policies: RefCell::default(),
             clock: RefCell::new(AgreedClock::new()),
-            book: RefCell::new(UsageBook::new(centre.clone(), incarnation, reports)),
-            centres: RefCell::new(vec![centre]),
-            // A node that knows no other is the only one.
-            wanted: Cell::new(shared.options.peer_listen.is_none()),
+            usage_table: RefCell::new(UsageBook::new(data_centre.clone(), incarnation, reports)),
+            data_centres: RefCell::new(vec![data_centre]),
+            // Without peers no other node can hold the duties.
+            should_hold: Cell::new(shared.options.peer_listen.is_none()),
             demand: RefCell::default(),
             shared,
             options,
         })
     }
 
-    /// The moment on the clocks that duties go by; none before the time of day is known.
+    /// Returns the current time on the clocks that duties use; `None` before the time of day is known.
     pub(crate) fn moment(&self) -> Option<SeatMoment> {
         let boot = self.shared.clock.boot_time();
         let unix = self.clock.borrow().now(boot)?;
         Some(SeatMoment { boot, unix })
     }
 
-    /// Whether this node should hold the duties now.
-    pub(crate) fn is_wanted(&self) -> bool {
-        self.wanted.get()
+    /// Returns whether this node should hold the duties now.
+    pub(crate) fn should_hold(&self) -> bool {
+        self.should_hold.get()
     }
 
-    /// Looks at the time of day; for each round.
-    pub(crate) fn note_time(&self) {
+    /// Records this node's time of day and updates the shared offset; called once a round.
+    pub(crate) fn update_clock(&self) {
         let boot = self.shared.clock.boot_time();
         let mut clock = self.clock.borrow_mut();
         clock.note_own(self.shared.clock.unix_ms(), boot);
@@ -97,38 +100,41 @@
         }
     }
 
-    /// Takes over what others told, and tells what they should know; for each round of the nodes' talk.
+    /// Applies the clock and usage reports received from other nodes and sets those to send; called once for each
+    /// round of the exchange between nodes.
     pub(crate) fn sync_with(&self, exchange: &mut LoadExchange) {
         let now = self.shared.clock.now();
         let boot = self.shared.clock.boot_time();
         let is_collector = exchange.is_collector();
-        self.hear_clocks(exchange, is_collector, boot);
-        self.note_time();
+        self.apply_clocks(exchange, is_collector, boot);
+        self.update_clock();
         exchange
             .duty_messages()
             .set_clock(self.clock.borrow().news(boot));
-        for heard in exchange.duty_messages().take_usage() {
-            let mut book = self.book.borrow_mut();
-            book.hear(&heard.node, heard.report, heard.received_at);
+        for message in exchange.duty_messages().take_usage() {
+            let mut usage_table = self.usage_table.borrow_mut();
+            usage_table.hear(&message.node, message.report, message.received_at);
         }
-        self.tell_usage(exchange, is_collector);
-        self.wanted.set(exchange.should_hold_duties(now));
-        if self.wanted.get() {
-            *self.centres.borrow_mut() = exchange.data_centres();
-            self.note_demand(exchange);
+        self.update_usage(exchange, is_collector);
+        self.should_hold.set(exchange.should_hold_duties(now));
+        if self.should_hold.get() {
+            *self.data_centres.borrow_mut() = exchange.data_centres();
+            self.update_demand(exchange);
         }
     }
 
-    fn hear_clocks(&self, exchange: &mut LoadExchange, is_collector: bool, boot: Duration) {
+    fn apply_clocks(&self, exchange: &mut LoadExchange, is_collector: bool, boot: Duration) {
         let mut clock = self.clock.borrow_mut();
-        for heard in exchange.duty_messages().take_clocks() {
-            match heard.scope {
-                ClockScope::Member => clock.hear(&heard.node, &heard.report, heard.received_at),
+        for message in exchange.duty_messages().take_clocks() {
+            match message.scope {
+                ClockScope::Member => {
+                    clock.hear(&message.node, &message.report, message.received_at)
+                }
                 ClockScope::DataCentre(nodes) => {
-                    clock.hear_centre(&heard.node, &heard.report, nodes, heard.received_at);
+                    clock.hear_centre(&message.node, &message.report, nodes, message.received_at);
                 }
                 ClockScope::Collector if !is_collector => {
-                    clock.follow(&heard.report, heard.received_at);
+                    clock.follow(&message.report, message.received_at);
                 }
                 ClockScope::Collector => {}
             }
@@ -138,26 +144,26 @@
         }
     }
 
-    fn tell_usage(&self, exchange: &mut LoadExchange, is_collector: bool) {
+    fn update_usage(&self, exchange: &mut LoadExchange, is_collector: bool) {
         let Some(moment) = self.moment() else {
             return;
         };
         let mut tally = self.shared.usage();
-        let mut book = self.book.borrow_mut();
-        book.tick(&mut tally, moment.unix);
+        let mut usage_table = self.usage_table.borrow_mut();
+        usage_table.tick(&mut tally, moment.unix);
         if exchange.duty_messages().take_has_new_receiver() {
-            book.tell_all();
+            usage_table.tell_all();
         }
-        let news = if is_collector {
-            book.add_up(&tally, moment.unix, moment.boot);
-            book.centre_news(moment.boot)
+        let updates = if is_collector {
+            usage_table.add_up(&tally, moment.unix, moment.boot);
+            usage_table.centre_news(moment.boot)
         } else {
-            book.own_news(&tally, moment.unix, moment.boot)
+            usage_table.own_news(&tally, moment.unix, moment.boot)
         };
-        exchange.duty_messages().set_usage(news);
+        exchange.duty_messages().set_usage(updates);
     }
 
-    fn note_demand(&self, exchange: &mut LoadExchange) {
+    fn update_demand(&self, exchange: &mut LoadExchange) {
         let now = self.shared.clock.now();
         let config = self.shared.config.load();
         let Some(config) = config.as_ref() else {
@@ -171,27 +177,29 @@
         *self.demand.borrow_mut() = demand.collect();
     }
 
-    /// Adds up what this node counted itself; where it knows no other.
-    pub(crate) fn tick_alone(&self) {
-        self.note_time();
+    /// Updates the clock and the usage sums of a node without peers from its own counts.
+    pub(crate) fn update_without_peers(&self) {
+        self.update_clock();
         if let Some(moment) = self.moment() {
             let mut tally = self.shared.usage();
-            let mut book = self.book.borrow_mut();
-            book.tick(&mut tally, moment.unix);
-            book.add_up(&tally, moment.unix, moment.boot);
+            let mut usage_table = self.usage_table.borrow_mut();
+            usage_table.tick(&mut tally, moment.unix);
+            usage_table.add_up(&tally, moment.unix, moment.boot);
         }
     }
 
-    /// The counts of a window, and whether they are whole.
+    /// Returns the counts of a window, and whether they are complete.
     pub(super) fn counts(&self, window: WindowId) -> (UsageCounts, bool) {
         let config = self.shared.config.load();
         let names = config.as_ref().map(|config| config.workspaces());
         let names = names.iter().flatten().map(|name| name.as_ref());
-        let centres = self.centres.borrow();
-        self.book.borrow().counts(window, names, &centres)
+        let data_centres = self.data_centres.borrow();
+        self.usage_table
+            .borrow()
+            .counts(window, names, &data_centres)
     }
 
-    /// Tells operators how the duties stand, as far as this node sees.
+    /// Renders the operators' page on the duties from this node's view and publishes it.
     pub(super) fn publish_page(&self) {
         let page = self.page();
         self.shared.duties_page.store(Arc::new(page));
@@ -204,9 +212,12 @@
         let row = holder.seen_row();
         let mut page = LogLine::new("duties")
             .with("here", holder.is_holder())
-            .with("wanted", self.is_wanted())
+            .with("wanted", self.should_hold())
             .with_some("holder", row.map(|row| &row.holder.node))
-            .with_some("number", seat.credential(now).map(|held| held.number))
+            .with_some(
+                "number",
+                seat.credential(now).map(|credential| credential.number),
+            )
             .with("era", holder.era())
             .text();
         for end in seat.desk().ends() {
@@ -228,7 +239,7 @@
         page
     }
 
-    /// Logs what became of the lease.
+    /// Logs changes of the lease and updates its metrics.
     pub(super) fn log_events(&self, events: &[HolderEvent]) {
         for event in events {
             match event {
@@ -239,7 +250,7 @@
                     is_continued,
                 } => {
                     if !is_continued {
-                        // What was ordered meanwhile is not known here.
+                        // Orders that other holders sent in the meantime are unknown here.
                         *self.orders.borrow_mut() = OrderBook::new();
                     }
                     let before = before.as_ref().map(|before| before.node.clone());
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -1,4 +1,5 @@
-//! The calls that duties take: to the store for the lease, to the party for reports and orders.
+//! Outgoing calls of the duties: to the store for the lease, and to the duty API for usage reports and orders of
+//! servers.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,24 +18,24 @@
 use crate::clock::Clock;
 use crate::log::LogLine;
 
-/// Time between two looks at what is due.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two looks at how many servers are wanted.
-const SCALE_PAUSE: Duration = Duration::from_millis(400);
-/// Time between two looks that operators get.
-const PAGE_PAUSE: Duration = Duration::from_secs(1);
-/// Pause after a call that the party did not take.
-const PARTY_RETRY: Duration = Duration::from_millis(300);
+/// Interval between two checks for calls that are due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two evaluations of the scaling policies.
+const SCALE_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval between two updates of the operators' page.
+const PAGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Pause after a failed call to the duty API.
+const API_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 impl<C: Clock, W> DutyState<C, W> {
-    /// Keeps the lease for as long as the node runs.
+    /// Acquires and renews the lease of the duties while this node should hold them; runs as long as the node.
     pub(crate) async fn keep_lease<S: FleetSource>(self: Rc<Self>, mut source: S) {
         loop {
-            self.shared.clock.sleep(LOOK_PAUSE).await;
+            self.shared.clock.sleep(CHECK_INTERVAL).await;
             if self.shared.options.peer_listen.is_none() {
-                self.tick_alone();
+                self.update_without_peers();
             }
-            let Some(moment) = self.moment().filter(|_| self.is_wanted()) else {
+            let Some(moment) = self.moment().filter(|_| self.should_hold()) else {
                 continue;
             };
             let counts = |window| self.counts(window);
@@ -49,14 +50,14 @@
                 DutyCall::Write(_) => CallCause::Change,
             };
             note_source_call(&self.shared, CallTopic::Duties, cause, answer.is_ok());
-            let answer = self.answer_of(answer);
+            let answer = self.resolve_answer(answer);
             let now = self.shared.clock.boot_time();
             let events = self.seat.borrow_mut().apply(answer, now);
             self.log_events(&events);
         }
     }
 
-    fn answer_of(&self, answer: Result<DutyAnswer, SourceError>) -> DutyAnswer {
+    fn resolve_answer(&self, answer: Result<DutyAnswer, SourceError>) -> DutyAnswer {
         match answer {
             Ok(answer) => answer,
             Err(error) => {
@@ -80,32 +81,32 @@
         }
     }
 
-    /// Sends what is due to the party for as long as the node runs.
+    /// Sends due reports and orders to the duty API; runs as long as the node.
     pub(crate) async fn serve_party<P: DutyParty>(self: Rc<Self>, mut party: P) {
         let mut scale_at = self.shared.clock.now();
         let mut page_at = scale_at;
         loop {
-            self.shared.clock.sleep(LOOK_PAUSE).await;
+            self.shared.clock.sleep(CHECK_INTERVAL).await;
             if self.shared.clock.now() >= page_at {
-                page_at = self.shared.clock.now() + PAGE_PAUSE;
+                page_at = self.shared.clock.now() + PAGE_INTERVAL;
                 self.publish_page();
             }
-            if !self.is_wanted() {
+            if !self.should_hold() {
                 self.observe_pools();
                 continue;
             }
             if self.options.reports_usage && !self.send_report(&mut party).await {
-                self.shared.clock.sleep(PARTY_RETRY).await;
+                self.shared.clock.sleep(API_RETRY_PAUSE).await;
             }
             let now = self.shared.clock.now();
             if self.orders_servers() && now >= scale_at {
-                scale_at = now + SCALE_PAUSE;
+                scale_at = now + SCALE_INTERVAL;
                 self.send_orders(&mut party).await;
             }
         }
     }
 
-    /// Sends the next report, if one is due. Tells whether nothing went wrong.
+    /// Sends the next usage report, if one is due. Returns `false` if the call failed.
     async fn send_report<P: DutyParty>(&self, party: &mut P) -> bool {
         let next = || {
             let moment = self.moment()?;
@@ -115,10 +116,10 @@
             return true;
         }
         if let Err(error) = party.connect(CALL_TIMEOUT).await {
-            self.note_call("report", &error);
+            self.log_failed_call("report", &error);
             return false;
         }
-        // The lease is looked at right before the call: the connection may have taken longer than it lasts.
+        // Checks the lease again right before the call: connecting may have taken longer than the lease lasts.
         let Some((credential, report)) = next() else {
             return true;
         };
@@ -129,7 +130,7 @@
             .with("number", credential.number)
             .with("workspaces", report.counts.len())
             .with("requests", total)
-            .with("result", result_word(&sent))
+            .with("result", result_text(&sent))
             .info(&self.shared.log);
         self.count_call("report", &sent);
         match sent {
@@ -144,16 +145,17 @@
         }
     }
 
-    /// Orders servers where what is wanted differs from what was ordered.
+    /// Sends an order for each pool, data centre and kind of server whose wanted number differs from the last
+    /// order.
     async fn send_orders<P: DutyParty>(&self, party: &mut P) {
         for order in self.due_orders() {
             if let Err(error) = party.connect(CALL_TIMEOUT).await {
-                self.note_call("order", &error);
+                self.log_failed_call("order", &error);
                 return;
             }
             let now = self.shared.clock.boot_time();
             let credential = self.seat.borrow().credential(now);
-            let Some(credential) = credential.filter(|_| self.is_wanted()) else {
+            let Some(credential) = credential.filter(|_| self.should_hold()) else {
                 return;
             };
             let sent = party.order(&credential, &order, CALL_TIMEOUT).await;
@@ -163,7 +165,7 @@
                 .with("kind", order.subject.kind.as_str())
                 .with("count", order.count)
                 .with("number", credential.number)
-                .with("result", result_word(&sent))
+                .with("result", result_text(&sent))
                 .info(&self.shared.log);
             self.count_call("order", &sent);
             let now = self.shared.clock.now();
@@ -177,7 +179,8 @@
         }
     }
 
-    /// The orders that are due, the raising ones first: what is given back must not go before what replaces it.
+    /// Returns the orders that are due. Increases come first, so that no server is released before its replacement
+    /// is ordered.
     fn due_orders(&self) -> Vec<ScaleOrder> {
         let now = self.shared.clock.now();
         let boot = self.shared.clock.boot_time();
@@ -185,7 +188,8 @@
         let Some(config) = config.as_ref() else {
             return Vec::new();
         };
-        // Who doesn't see the load orders nothing: its servers may have left, or be full, without its knowing.
+        // A node without a current view of the load must not order servers: some may have left or filled up
+        // unnoticed.
         if self.seat.borrow().credential(boot).is_none() || !self.shared.allows_ready() {
             return Vec::new();
         }
@@ -193,7 +197,7 @@
         for (pool, scaling) in config.scaling() {
             orders.extend(self.pool_orders(pool, scaling, now));
         }
-        orders.sort_by_key(|(is_lower, _)| *is_lower);
+        orders.sort_by_key(|(is_decrease, _)| *is_decrease);
         orders.into_iter().map(|(_, order)| order).collect()
     }
 
@@ -202,7 +206,7 @@
         self.options.orders_servers && switches.has(PolicyPart::Scaling)
     }
 
-    /// What a pool's size follows.
+    /// Creates a pool's scaling policy; without `ScaleByLoad` it has no headroom.
     fn new_policy(&self) -> FollowLoad {
         if self.shared.options.switches.has(PolicyPart::ScaleByLoad) {
             return FollowLoad::default();
@@ -215,7 +219,8 @@
         FollowLoad::new(options)
     }
 
-    /// Looks at the pools while another node orders their servers.
+    /// Feeds the load to the scaling policies while another node holds the duties, so that they are up to date
+    /// when this node takes over.
     fn observe_pools(&self) {
         let config = self.shared.config.load();
         let Some(config) = config.as_ref().filter(|_| self.orders_servers()) else {
@@ -251,26 +256,26 @@
         };
         let mut book = self.orders.borrow_mut();
         let dry = book.clone();
-        let is_dry = |centre: &DataCentreId, kind| dry.is_dry(&subject(centre, kind));
+        let is_dry = |data_centre: &DataCentreId, kind| dry.is_dry(&subject(data_centre, kind));
         let mut policies = self.policies.borrow_mut();
         let policy = policies
             .entry(pool.clone())
             .or_insert_with(|| self.new_policy());
         let wanted = policy.wanted(scaling, &load, &is_dry, now);
         let mut orders = Vec::new();
-        for ((centre, kind), count) in wanted {
-            let site = load.sites.get(&centre).copied().unwrap_or_default();
+        for ((data_centre, kind), count) in wanted {
+            let site = load.sites.get(&data_centre).copied().unwrap_or_default();
             let present = match kind {
                 ServerKind::Lasting => site.lasting,
                 ServerKind::Reclaimable => site.reclaimable,
             };
-            let subject = subject(&centre, kind);
+            let subject = subject(&data_centre, kind);
             if let Some(order) = book.next(&subject, count, present, scaling.boot, now) {
                 orders.push((count < present, order));
             }
         }
         if !orders.is_empty() {
-            // What the orders below follow from.
+            // Logs the input from which these orders were computed.
             LogLine::new("pool_load")
                 .with("pool", pool)
                 .with("tokens_per_second", load.tokens_per_second as u64)
@@ -285,7 +290,7 @@
         orders
     }
 
-    fn note_call(&self, call: &'static str, error: &PartyError) {
+    fn log_failed_call(&self, call: &'static str, error: &PartyError) {
         LogLine::new("party_unreached")
             .with("call", call)
             .with("error", error)
@@ -302,7 +307,7 @@
     }
 }
 
-fn result_word(result: &Result<(), PartyError>) -> String {
+fn result_text(result: &Result<(), PartyError>) -> String {
     match result {
         Ok(()) => "ok".to_owned(),
         Err(error) => error.to_string(),
--- a/crates/plumgate-node/src/gateway/metrics.rs
+++ b/crates/plumgate-node/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway node counts, for operators.
+//! Metrics of a gateway node.
 
 use std::time::Duration;
 
@@ -9,57 +9,58 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of the buckets for times, in seconds.
+/// Upper bounds of the buckets of time histograms, in seconds.
 const TIME_BUCKETS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 1.5, 3.0, 10.0];
 
-/// How a request ended.
+/// Labels of a finished request.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct EndLabels {
-    /// What may be repeated of it.
+    /// Kind of the request, which says what of it may be repeated.
     pub(crate) kind: &'static str,
-    /// Its priority.
+    /// Priority of the request.
     pub(crate) priority: u32,
     /// `answered`, `not_run` or `unknown`.
     pub(crate) outcome: &'static str,
-    /// Why.
+    /// Reason of the outcome.
     pub(crate) reason: &'static str,
 }
 
-/// The priority of requests.
+/// Label of requests by priority.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct PriorityLabels {
-    /// The priority.
+    /// Priority of the requests.
     pub(crate) priority: u32,
 }
 
-/// Why an attempt failed.
+/// Label of events by reason.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct ReasonLabels {
-    /// The reason.
+    /// Reason of the event.
     pub(crate) reason: &'static str,
 }
 
-/// A notice of a server.
+/// Labels of a server's notice.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct NoticeLabels {
     /// `leaving` or `resting`.
     pub(crate) notice: &'static str,
-    /// Where it was learnt, or what made the node send a request all the same.
+    /// `answer`, `peer` or `malformed`, by where the notice comes from; for a request that was sent in spite of a
+    /// notice, the reason to send it.
     pub(crate) source: &'static str,
 }
 
-/// A call to the source.
+/// Labels of a call to the source.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct CallLabels {
-    /// What was asked for.
+    /// Topic of the call.
     pub(crate) topic: &'static str,
-    /// What made the node call.
+    /// Reason of the call.
     pub(crate) cause: &'static str,
     /// `ok` or `failed`.
     pub(crate) result: &'static str,
 }
 
-/// A call to the party of the duties.
+/// Labels of a call to the duty API.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct DutyLabels {
     /// `report` or `order`.
@@ -68,73 +69,73 @@
     pub(crate) result: &'static str,
 }
 
-/// All metrics of a gateway node.
+/// Registry and metrics of a gateway node.
 pub(crate) struct GatewayMetrics {
     registry: Registry,
-    /// The generation number of the duties that this node holds; 0 where it holds none.
+    /// Generation number of the duties while this node holds them; 0 otherwise.
     pub(crate) duty_number: Gauge,
-    /// Renewals of their lease.
+    /// Renewals of the duty lease.
     pub(crate) duty_renewals: Counter,
-    /// Calls to the party of the duties.
+    /// Calls to the duty API.
     pub(crate) duty_calls: Family<DutyLabels, Counter>,
-    /// Requests that ended.
+    /// Finished requests.
     pub(crate) requests: Family<EndLabels, Counter>,
-    /// Attempts that were followed by another or by a failure.
+    /// Failed attempts, whether another followed or the request failed.
     pub(crate) failed_attempts: Family<ReasonLabels, Counter>,
-    /// Time from arrival to the first byte of the answer.
+    /// Time from a request's arrival to the first byte of the answer.
     pub(crate) first_byte: Family<PriorityLabels, Histogram>,
-    /// Pauses between two pieces of a stream.
+    /// Pauses between two chunks of a stream.
     pub(crate) pauses: Family<PriorityLabels, Histogram>,
     /// Requests in flight.
     pub(crate) in_flight: Gauge,
-    /// Retries that were sent.
+    /// Retries sent.
     pub(crate) retries: Counter,
-    /// Retries that were not sent as the budget was spent.
+    /// Retries not sent because the retry budget was spent.
     pub(crate) retries_refused: Counter,
-    /// The version of the configuration in force.
+    /// Version of the configuration in force.
     pub(crate) config_version: Gauge,
-    /// Age of the knowledge of keys, in milliseconds.
+    /// Age of this node's API keys, in milliseconds.
     pub(crate) key_age: Gauge,
-    /// Servers that are known.
+    /// Known servers.
     pub(crate) servers: Gauge,
-    /// Nodes that are known, this one included.
+    /// Known nodes, this one included.
     pub(crate) nodes: Gauge,
-    /// Messages of other nodes that made no sense.
+    /// Messages of other nodes that were refused as invalid.
     pub(crate) peer_refused: Counter,
     /// Calls to the source.
     pub(crate) source_calls: Family<CallLabels, Counter>,
-    /// Servers that are believed to have ended under a request, by the sign of it.
-    pub(crate) server_ends: Family<ReasonLabels, Counter>,
-    /// Verdicts on requests under which servers ended: what is done with them, or why they are released.
+    /// Servers believed to have crashed while running a request, by crash sign.
+    pub(crate) server_crashes: Family<ReasonLabels, Counter>,
+    /// Verdicts on poison requests, by new state or by reason of the release.
     pub(crate) verdicts: Family<ReasonLabels, Counter>,
-    /// Requests that were not sent for it.
+    /// Requests that were not sent because they may crash another server.
     pub(crate) held_back: Family<ReasonLabels, Counter>,
-    /// Different requests that are in quarantine.
+    /// Different requests in quarantine.
     pub(crate) quarantined: Gauge,
-    /// Servers that have named a limit.
+    /// Servers with a rate limit.
     pub(crate) limited_servers: Gauge,
-    /// Requests sent to servers that had named a limit, by what made the node send them.
+    /// Requests sent to servers with a rate limit, by reason to send.
     pub(crate) limited_sends: Family<ReasonLabels, Counter>,
-    /// Whether this node issues permits for limited servers.
+    /// 1 while this node issues permits for servers with a rate limit, otherwise 0.
     pub(crate) limit_issuer: Gauge,
-    /// Times that a server was passed over for its limit.
-    pub(crate) limit_holds: Counter,
-    /// Limits that servers named and that make no sense.
+    /// Requests deferred at a server because of its rate limit.
+    pub(crate) limit_deferrals: Counter,
+    /// Invalid rate limits in answers of servers.
     pub(crate) limits_malformed: Counter,
     /// Notices of servers that leave or rest.
     pub(crate) notices: Family<NoticeLabels, Counter>,
-    /// Requests sent to servers that had given such a notice.
+    /// Requests sent to servers with such a notice.
     pub(crate) noticed_sends: Family<NoticeLabels, Counter>,
-    /// Requests that did not leave for a server, as its own word was against it.
+    /// Requests that were not sent because of a statement of their server.
     pub(crate) barred_sends: Family<ReasonLabels, Counter>,
-    /// Servers that are known to leave.
+    /// Servers with a leave notice.
     pub(crate) leaving_servers: Gauge,
-    /// Servers that rest.
+    /// Servers with a rest notice.
     pub(crate) resting_servers: Gauge,
 }
 
 impl GatewayMetrics {
-    /// Metrics that count from nothing.
+    /// Creates and registers all metrics, with zero values.
     pub(crate) fn new() -> Self {
         let times = || Histogram::new(TIME_BUCKETS);
         let mut metrics = Self {
@@ -155,14 +156,14 @@
             nodes: Gauge::default(),
             peer_refused: Counter::default(),
             source_calls: Family::default(),
-            server_ends: Family::default(),
+            server_crashes: Family::default(),
             verdicts: Family::default(),
             held_back: Family::default(),
             quarantined: Gauge::default(),
             limited_servers: Gauge::default(),
             limited_sends: Family::default(),
             limit_issuer: Gauge::default(),
-            limit_holds: Counter::default(),
+            limit_deferrals: Counter::default(),
             limits_malformed: Counter::default(),
             notices: Family::default(),
             noticed_sends: Family::default(),
@@ -175,7 +176,7 @@
     }
 
     fn register(&self, mut registry: Registry) -> Registry {
-        registry.register("requests", "Requests that ended", self.requests.clone());
+        registry.register("requests", "Finished requests", self.requests.clone());
         registry.register(
             "failed_attempts",
             "Attempts that failed",
@@ -183,40 +184,44 @@
         );
         registry.register(
             "first_byte_seconds",
-            "Arrival to first byte",
+            "Time from arrival to the first byte of the answer",
             self.first_byte.clone(),
         );
-        registry.register("pause_seconds", "Pauses in streams", self.pauses.clone());
+        registry.register(
+            "pause_seconds",
+            "Pauses between chunks of streams",
+            self.pauses.clone(),
+        );
         registry.register("in_flight", "Requests in flight", self.in_flight.clone());
         registry.register("retries", "Retries sent", self.retries.clone());
         registry.register(
             "retries_refused",
-            "Retries without budget",
+            "Retries not sent because the retry budget was spent",
             self.retries_refused.clone(),
         );
         registry.register(
             "config_version",
-            "Configuration in force",
+            "Version of the configuration in force",
             self.config_version.clone(),
         );
         registry.register(
             "key_age_milliseconds",
-            "Age of what is known of keys",
+            "Age of this node's API keys",
             self.key_age.clone(),
         );
         registry.register(
             "server_ends",
-            "Servers believed to have ended under a request",
-            self.server_ends.clone(),
+            "Servers believed to have crashed while running a request",
+            self.server_crashes.clone(),
         );
         registry.register(
             "suspect_verdicts",
-            "Verdicts on requests under which servers ended",
+            "Verdicts on poison requests",
             self.verdicts.clone(),
         );
         registry.register(
             "held_back",
-            "Requests not sent as servers ended under them",
+            "Requests not sent because they may crash another server",
             self.held_back.clone(),
         );
         registry.register(
@@ -226,27 +231,27 @@
         );
         registry.register(
             "limited_servers",
-            "Servers that named a limit",
+            "Servers with a rate limit",
             self.limited_servers.clone(),
         );
         registry.register(
             "limited_sends",
-            "Requests sent to servers that had named a limit",
+            "Requests sent to servers with a rate limit",
             self.limited_sends.clone(),
         );
         registry.register(
             "limit_issuer",
-            "Whether this node issues permits for limited servers",
+            "Whether this node issues permits for servers with a rate limit",
             self.limit_issuer.clone(),
         );
         registry.register(
             "limit_holds",
-            "Times that a server was passed over for its limit",
-            self.limit_holds.clone(),
+            "Requests deferred at a server because of its rate limit",
+            self.limit_deferrals.clone(),
         );
         registry.register(
             "limits_malformed",
-            "Limits of servers that make no sense",
+            "Invalid rate limits in answers of servers",
             self.limits_malformed.clone(),
         );
         registry.register(
@@ -261,17 +266,17 @@
         );
         registry.register(
             "barred_sends",
-            "Requests not sent as their server's own word was against it",
+            "Requests not sent because of a statement of their server",
             self.barred_sends.clone(),
         );
         registry.register(
             "leaving_servers",
-            "Servers that said that they leave",
+            "Servers with a leave notice",
             self.leaving_servers.clone(),
         );
         registry.register(
             "resting_servers",
-            "Servers that asked for a rest",
+            "Servers with a rest notice",
             self.resting_servers.clone(),
         );
         registry.register(
@@ -281,19 +286,19 @@
         );
         registry.register(
             "duty_renewals",
-            "Renewals of the duties' lease",
+            "Renewals of the duty lease",
             self.duty_renewals.clone(),
         );
         registry.register(
             "duty_calls",
-            "Reports and orders sent",
+            "Calls to the duty API",
             self.duty_calls.clone(),
         );
-        registry.register("servers", "Servers known", self.servers.clone());
-        registry.register("nodes", "Nodes known", self.nodes.clone());
+        registry.register("servers", "Known servers", self.servers.clone());
+        registry.register("nodes", "Known nodes", self.nodes.clone());
         registry.register(
             "peer_refused",
-            "Messages of nodes refused",
+            "Messages of other nodes refused as invalid",
             self.peer_refused.clone(),
         );
         registry.register(
@@ -304,7 +309,7 @@
         registry
     }
 
-    /// The first byte of an answer goes to its caller.
+    /// Records the time from a request's arrival to the first byte of its answer.
     pub(crate) fn observe_first_byte(&self, priority: u8, after: Duration) {
         let labels = PriorityLabels {
             priority: priority.into(),
@@ -314,7 +319,7 @@
             .observe(after.as_secs_f64());
     }
 
-    /// A stream paused between two pieces.
+    /// Records a pause between two chunks of a stream.
     pub(crate) fn observe_pause(&self, priority: u8, pause: Duration) {
         let labels = PriorityLabels {
             priority: priority.into(),
@@ -324,10 +329,10 @@
             .observe(pause.as_secs_f64());
     }
 
-    /// The text of the metrics page.
+    /// Renders the metrics page.
     pub(crate) fn page(&self) -> String {
         let mut page = String::new();
-        // Writing to a string does not fail; an empty page would show that it did.
+        // Writing to a string does not fail; if it did, the page would be empty.
         let _ = text::encode(&mut page, &self.registry);
         page
     }
--- a/crates/plumgate-node/src/gateway/mod.rs
+++ b/crates/plumgate-node/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! The gateway: a node that relays whole requests byte for byte.
+//! Gateway node, which relays whole requests byte for byte.
 //!
-//! It decides by `plumgate::gateway` and knows no wire format of its own: what the store, the
-//! callers and the backend servers speak comes through the traits in [`ports`].
+//! Decisions come from `plumgate::gateway`. The protocols of the store, the callers and the backend servers are
+//! implemented outside, by the traits in [`ports`].
 
 pub mod ports;
 
--- a/crates/plumgate-node/src/gateway/options.rs
+++ b/crates/plumgate-node/src/gateway/options.rs
@@ -1,4 +1,4 @@
-//! The options of a gateway node.
+//! Options of a gateway node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use plumgate::gateway::{NodeCapacity, PlacementPolicy, PolicySwitches};
 use plumgate::ids::{DataCentreId, NodeId};
 
-/// The bounds that the fleet's operators set.
+/// Limits and time spans that the fleet's operators set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GatewayBounds {
-    /// Longest time after which a key that was taken away must not work.
+    /// Longest time for which a revoked key may still work.
     pub key_age: Duration,
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
-    /// Retries to a pool as a share of its requests, over all nodes.
+    /// Retries to a pool as a share of its requests, summed over all nodes.
     pub retry_ratio: f64,
-    /// Retries to a pool beyond that share, over all nodes.
+    /// Retries to a pool allowed beyond that share, summed over all nodes.
     pub retry_extra: f64,
-    /// The window over which retries are counted.
+    /// Window over which retries are counted.
     pub retry_window: Duration,
-    /// How long a server serves on once it has said that it leaves.
+    /// Time for which a server still serves after it has announced that it leaves.
     pub drain: Duration,
 }
 
@@ -36,27 +36,27 @@
     }
 }
 
-/// The party that takes usage reports and orders of servers, and what it expects.
+/// Address and rules of the duty API, the external service that receives usage reports and orders of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DutyOptions {
-    /// Where it listens.
+    /// Address of the duty API.
     pub party: SocketAddr,
-    /// Whether it takes reports of usage.
+    /// Whether usage is reported.
     pub reports_usage: bool,
-    /// Whether it takes orders of servers.
+    /// Whether servers are ordered.
     pub orders_servers: bool,
-    /// The span in which two holders must not take turns, and the length of the lease.
+    /// Duration of the lease, and the span within which two holders must not call in turns.
     pub lease: Duration,
-    /// The length of a window of usage.
+    /// Length of a usage window.
     pub window: Duration,
-    /// How long after a window's end its report may come.
+    /// Time after a window's end until which its report is accepted.
     pub late: Duration,
-    /// Calls a second that it takes of all nodes.
+    /// Calls per second that the duty API accepts from all nodes together.
     pub calls_per_second: f64,
 }
 
 impl DutyOptions {
-    /// A party at an address that takes nothing yet.
+    /// Creates options for a duty API at an address, with reports and orders off.
     pub fn new(party: SocketAddr) -> Self {
         Self {
             party,
@@ -70,12 +70,12 @@
     }
 }
 
-/// How a gateway node is set up.
+/// Options of a gateway node.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
-    /// The name of the VM.
+    /// Name of the VM.
     pub node: NodeId,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: DataCentreId,
     /// Address for callers.
     pub listen: SocketAddr,
@@ -83,24 +83,24 @@
     pub ready_listen: SocketAddr,
     /// Address for metrics.
     pub metrics_listen: Option<SocketAddr>,
-    /// Address for the other nodes; without one this node knows its own load only.
+    /// Address for the other nodes; without one this node has no peers and knows only its own load.
     pub peer_listen: Option<SocketAddr>,
-    /// Its share of processors, in thousandths of one; 0 where it is not known.
+    /// Processor share of this node, in thousandths of a processor; 0 where it is unknown.
     pub capacity: NodeCapacity,
-    /// The operators' bounds.
+    /// Limits and time spans that the operators set.
     pub bounds: GatewayBounds,
-    /// How servers are chosen.
+    /// Policy that chooses servers.
     pub policy: PlacementPolicy,
-    /// Seed of random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Mechanisms of the policy that are on.
+    /// Parts of the policy that are switched on.
     pub switches: PolicySwitches,
-    /// The party that one node at a time calls; none where there is none.
+    /// Duty API, which one node at a time calls; `None` where there is none.
     pub duties: Option<DutyOptions>,
 }
 
 impl GatewayOptions {
-    /// Options of a node with its addresses.
+    /// Creates options with the given names and addresses, and defaults for the rest.
     pub fn new(
         node: impl Into<NodeId>,
         data_centre: impl Into<DataCentreId>,
@@ -123,49 +123,49 @@
         }
     }
 
-    /// The same with other mechanisms of the policy on.
+    /// Sets which parts of the policy are on.
     pub fn with_switches(mut self, switches: PolicySwitches) -> Self {
         self.switches = switches;
         self
     }
 
-    /// The same with a party that one node at a time calls.
+    /// Sets the duty API.
     pub fn with_duties(mut self, duties: DutyOptions) -> Self {
         self.duties = Some(duties);
         self
     }
 
-    /// The same with an address for metrics.
+    /// Sets the address for metrics.
     pub fn with_metrics(mut self, listen: SocketAddr) -> Self {
         self.metrics_listen = Some(listen);
         self
     }
 
-    /// The same with an address for the other nodes.
+    /// Sets the address for the other nodes.
     pub fn with_peers(mut self, listen: SocketAddr) -> Self {
         self.peer_listen = Some(listen);
         self
     }
 
-    /// The same with a share of processors.
+    /// Sets the processor share, in thousandths of a processor.
     pub fn with_capacity(mut self, capacity: NodeCapacity) -> Self {
         self.capacity = capacity;
         self
     }
 
-    /// The same with other bounds.
+    /// Sets the operators' limits and time spans.
     pub fn with_bounds(mut self, bounds: GatewayBounds) -> Self {
         self.bounds = bounds;
         self
     }
 
-    /// The same with another way to choose servers.
+    /// Sets the policy that chooses servers.
     pub fn with_policy(mut self, policy: PlacementPolicy) -> Self {
         self.policy = policy;
         self
     }
 
-    /// The same with a seed.
+    /// Sets the seed of the random number generator.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
--- a/crates/plumgate-node/src/gateway/ports.rs
+++ b/crates/plumgate-node/src/gateway/ports.rs
@@ -1,4 +1,5 @@
-//! What the gateway needs from the platform that it runs on.
+//! Traits by which the gateway reaches the platform: the store, the duty API, and the headers of callers and
+//! servers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,89 +17,89 @@
 use plumgate::ids::{ServerId, WorkspaceId};
 use plumgate::{FindingList, StoreEra, StoreVersion};
 
-/// One change that the source tells of.
+/// Change of the configuration or of a server, as read from the source.
 #[derive(Clone, Debug)]
 pub enum SourceEvent {
-    /// A version of the configuration.
+    /// A new version of the configuration.
     Config(Arc<GatewayConfig>),
-    /// A configuration that makes no sense; the one in force stays.
+    /// An invalid configuration; the one in force stays.
     BadConfig(FindingList),
-    /// A server's entry.
+    /// A new or changed entry of a server.
     Server(ServerEntry),
-    /// An entry under a server's id that makes no sense: it names no server to use, and the entry
-    /// before it holds no longer.
+    /// An invalid entry under a server's id: it names no usable server, and the previous entry is no longer valid
+    /// either.
     BadServer(ServerId, FindingList),
-    /// A server's entry is gone.
+    /// A server's entry was removed.
     ServerGone(ServerId),
 }
 
-/// An answer of the source.
+/// Changes that one answer of the source contains.
 #[derive(Clone, Debug)]
 pub struct SourceChange {
-    /// The source's version up to which the events tell all; a watch goes on from here.
+    /// Version of the source up to which the events are complete; a watch continues from here.
     pub version: StoreVersion,
-    /// The events in their order.
+    /// Events in the order of their versions.
     pub events: Vec<SourceEvent>,
 }
 
-/// Why the source gave no answer.
+/// Error of a call to the source.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum SourceError {
-    /// the history from the asked version on is gone
+    /// the change history since the requested version is no longer available
     HistoryLost,
     /// no answer: {0}
     Unanswered(String),
-    /// nothing came in time
+    /// timed out
     TimedOut,
     /// refused with status {0}
     Refused(u16),
-    /// the write's condition does not hold in era {0}
+    /// the condition of the write does not hold in era {0}
     ConditionFailed(StoreEra),
-    /// the answer makes no sense: {0}
+    /// invalid answer: {0}
     Malformed(String),
 }
 
 impl std::error::Error for SourceError {}
 
 impl SourceError {
-    /// Whether a watch may go on from the version that it had.
+    /// Returns whether a watch may continue from its last version after this error.
     ///
-    /// A watch that was cut may have been deaf before, and have given back a version beyond
-    /// changes that it did not tell: only reading all anew finds those. A refusal or a missing
-    /// answer says nothing of the kind, and reading all costs the store's bytes at each node.
+    /// A watch whose connection broke may have missed changes before, and may have returned a version beyond them;
+    /// only a complete read finds those. A refusal or a timeout is no sign of that, and a complete read transfers
+    /// the whole store to each node.
     pub fn keeps_place(&self) -> bool {
         matches!(self, Self::Refused(_) | Self::TimedOut)
     }
 }
 
-/// What the fleet's nodes have written for each other.
+/// Nodes and verdicts that the fleet's nodes have written to the store for each other.
 #[derive(Clone, Debug, Default)]
 pub struct FleetRegister {
-    /// The nodes.
+    /// Registered nodes.
     pub nodes: Vec<NodeEntry>,
-    /// Requests that are held back as they end servers.
+    /// Stored verdicts on poison requests.
     pub verdicts: Vec<StoredVerdict>,
 }
 
-/// Where a fleet's configuration and servers are read from.
+/// Client of the store that holds the fleet's configuration, servers, nodes, verdicts and duty lease.
 pub trait FleetSource: Clone + 'static {
-    /// Speaks to the party that takes usage reports and orders of servers.
+    /// Client of the duty API, which receives usage reports and orders of servers.
     type Party: DutyParty;
 
-    /// A client of the party at an address.
+    /// Creates a client of the duty API at an address.
     fn party(&self, address: SocketAddr) -> Self::Party;
 
-    /// Reads or writes the row of the duties.
+    /// Reads or writes the store's row of the duties.
     fn duty(&mut self, call: &DutyCall) -> impl Future<Output = Result<DutyAnswer, SourceError>>;
 
-    /// Reads all of a topic as of one moment.
+    /// Reads a consistent snapshot of a whole topic.
     fn read(
         &mut self,
         topic: SourceTopic,
     ) -> impl Future<Output = Result<SourceChange, SourceError>>;
 
-    /// Waits for changes of a topic after a version, and gives back an empty answer after a
-    /// pause without any.
+    /// Waits for changes of a topic after a version. Returns an answer without events if none comes within the
+    /// pause.
     fn watch(
         &mut self,
         topic: SourceTopic,
@@ -106,34 +107,34 @@
         pause: Duration,
     ) -> impl Future<Output = Result<SourceChange, SourceError>>;
 
-    /// Registers this node, so that the others find it.
+    /// Registers this node, so that the other nodes find it.
     fn register(&mut self, node: &NodeEntry) -> impl Future<Output = Result<(), SourceError>>;
 
-    /// Takes this node out of the register.
+    /// Removes this node from the register.
     fn unregister(&mut self, node: &NodeEntry) -> impl Future<Output = Result<(), SourceError>>;
 
-    /// Reads the nodes that have registered, and the verdicts that are kept with them: one call for both.
+    /// Reads the registered nodes and the stored verdicts in one call.
     fn nodes(&mut self) -> impl Future<Output = Result<FleetRegister, SourceError>>;
 
-    /// Keeps a verdict for nodes that start.
+    /// Stores a verdict for nodes that start later.
     fn keep(&mut self, verdict: &StoredVerdict) -> impl Future<Output = Result<(), SourceError>>;
 
-    /// Drops a verdict by its name.
+    /// Removes a stored verdict by its name.
     fn forget(&mut self, name: &str) -> impl Future<Output = Result<(), SourceError>>;
 }
 
-/// Why the party did not take a call.
+/// Error of a call to the duty API.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum PartyError {
     /// no connection is open
     NotConnected,
     /// no answer: {0}
     Unanswered(String),
-    /// nothing came in time
+    /// timed out
     TimedOut,
     /// too many calls
     Limited,
-    /// there are none to be had now
+    /// no servers are available now
     NoneLeft,
     /// refused with status {0}
     Refused(u16),
@@ -141,12 +142,14 @@
 
 impl std::error::Error for PartyError {}
 
-/// The party that takes usage reports and orders of servers. It remembers nothing for us.
+/// Client of the duty API, which receives usage reports and orders of servers.
+///
+/// The API stores nothing for the fleet.
 pub trait DutyParty: 'static {
-    /// Opens a connection, unless one is open. What may be sent is looked at after this, right before a call.
+    /// Opens a connection, unless one is open. The caller checks its lease after this, right before the call.
     fn connect(&mut self, timeout: Duration) -> impl Future<Output = Result<(), PartyError>>;
 
-    /// Sends a report of usage over the open connection.
+    /// Sends a usage report over the open connection.
     fn report(
         &mut self,
         credential: &DutyCredential,
@@ -163,77 +166,77 @@
     ) -> impl Future<Output = Result<(), PartyError>>;
 }
 
-/// What a caller's request says of itself.
+/// Values that a caller's request headers give.
 #[derive(Clone, Debug, Default)]
 pub struct RequestFacts {
-    /// The id of this attempt of the caller.
+    /// Id of this attempt of the caller.
     pub id: Option<String>,
-    /// The key that names the workspace.
+    /// API key, which identifies the workspace.
     pub key: Option<String>,
-    /// How long the caller will wait from now on.
+    /// Time for which the caller waits from now on.
     pub patience: Option<Duration>,
-    /// The prompt, where the request has one.
+    /// Shape of the prompt, where the request has one.
     pub prompt: Option<PromptShape>,
-    /// Output tokens that the caller expects: right in the middle, often far off.
+    /// Output tokens that the caller expects: right on average, often wrong by far for a single request.
     pub output_hint: Option<u32>,
-    /// The event after which the caller wants a stream to go on.
+    /// Number of the event after which the caller wants to resume a stream.
     pub resume_after: Option<u64>,
 }
 
-/// What an attempt tells the server beside the caller's own request.
+/// Values that an attempt sends to the server in addition to the caller's own request.
 #[derive(Clone, Debug)]
 pub struct AttemptFacts<'a> {
-    /// The server that must take it, and no other at the same address.
+    /// Server that must run the attempt; another server at the same address must refuse it.
     pub server: &'a ServerId,
-    /// The workspace whose key the caller has.
+    /// Workspace of the caller's API key.
     pub workspace: Option<&'a WorkspaceId>,
-    /// Time left for the answer.
+    /// Time left until the answer is due.
     pub left: Duration,
-    /// Urgency, 0 first, where the server has a queue that honours it.
+    /// Urgency, 0 the most urgent, where the server's queue uses it.
     pub urgency: Option<u8>,
-    /// The event after which the stream goes on.
+    /// Number of the event after which the stream resumes.
     pub resume_after: Option<u64>,
-    /// Where another server can be reached that keeps parts of the prompt, to be copied from there.
+    /// Address of another server that has parts of the prompt in its cache, from which they can be copied.
     pub copy_from: Option<SocketAddr>,
 }
 
-/// What the head of a server's answer means.
+/// Meaning of the head of a server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerMeaning {
-    /// The server's own answer to this request; success or failure, it goes on unchanged.
+    /// The server's own answer to this request; it is passed on unchanged, success or failure.
     Own,
     /// The server did not run the request and will not.
     NotRun {
-        /// Whether another server has the address now.
+        /// Whether another server uses the address now.
         misdirected: bool,
     },
     /// An answer to another request.
     Foreign,
-    /// Bytes that are not the server's own, or an answer that promises what nobody can know.
+    /// Bytes that do not come from the server itself, or an answer that states what it cannot know.
     Untrue,
 }
 
-/// What the head of a server's answer says.
+/// Values read from the head of a server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerFacts {
-    /// What it means.
+    /// Meaning of the answer.
     pub meaning: AnswerMeaning,
-    /// How long the server keeps the connection without a request; `None` where it doesn't say.
+    /// Time for which the server keeps an idle connection open; `None` where the answer doesn't say.
     pub keeps_for: Option<Duration>,
-    /// What the server says of itself; `None` where the answer is not surely its own to this request.
+    /// Statement of the server on itself; `None` unless the answer is certainly the server's own to this request.
     pub statement: Option<ServerStatement>,
 }
 
-/// The headers that callers and servers speak.
+/// Encoding of headers in requests and answers of callers and servers.
 pub trait WireFormat: Clone + Send + Sync + 'static {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     fn read_request(&self, head: &Parts) -> RequestFacts;
 
-    /// Turns a caller's headers into those for a server: what only the system may set is
-    /// dropped, and the attempt's own are set.
+    /// Turns a caller's headers into those for a server: drops the headers that only the system may set, and sets
+    /// those of the attempt.
     fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
 
-    /// Reads the head of an answer to the request with this id, which was sent to a server.
+    /// Parses the head of a server's answer to the request with this id.
     fn read_answer(
         &self,
         id: &str,
@@ -242,6 +245,6 @@
         headers: &HeaderMap,
     ) -> AnswerFacts;
 
-    /// Names the caller's attempt in an answer of the node's own, and when to come back.
+    /// Sets the id of the caller's attempt, and the time after which to retry, in an answer of the node itself.
     fn write_own_answer(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
 }
--- a/crates/plumgate-node/src/gateway/server_limits.rs
+++ b/crates/plumgate-node/src/gateway/server_limits.rs
@@ -1,4 +1,4 @@
-//! The limits that backend servers name: how they are learnt and kept, and what operators see of them.
+//! Rate limits that backend servers state: recording, permits to send, logs and the operators' page.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -14,22 +14,22 @@
 use crate::clock::{Clock, until};
 use crate::log::LogLine;
 
-/// The path under which operators find the servers that are limited.
+/// Path of the operators' page on servers with a rate limit.
 pub const LIMITS_PATH: &str = "/limits";
 
-/// What made this node send a request to a server.
+/// Reason for which this node sends a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendCause {
-    /// No server had it before.
+    /// The first server that gets the request.
     FirstTry,
-    /// Another server failed or refused it.
+    /// Another server failed or refused the request.
     Retry,
-    /// Its stream broke and goes on.
+    /// The stream of the request broke and is resumed.
     Resume,
 }
 
 impl SendCause {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::FirstTry => "first_try",
@@ -40,7 +40,7 @@
 }
 
 impl<C: Clock, W> GatewayShared<C, W> {
-    /// Takes in the limit that a server named in an answer.
+    /// Records the rate limit that a server stated in an answer, and logs a change.
     pub(super) fn note_limit(
         &self,
         server: &ServerEntry,
@@ -75,48 +75,52 @@
         }
     }
 
-    /// Asks for leave to send a request to a server, where its limit makes that necessary. Where it gets none, the
-    /// server is held back for the time that is given.
+    /// Requests a permit to send a request to a server, if the server's rate limit requires one (`Ok(None)`: not
+    /// required).
+    ///
+    /// # Errors
+    ///
+    /// The time for which requests to the server are deferred, if no permit was granted.
     pub(crate) async fn claim(
         &self,
         server: &ServerEntry,
         urgency: u8,
     ) -> Result<Option<SendPermit>, Duration> {
         let now = self.clock.boot_time();
-        let claimed = self
+        let status = self
             .statements()
             .limits
             .request_permit(server, urgency, now);
-        let claimed = match claimed {
-            PermitStatus::Requested(id) => self.await_answer(id).await,
+        let status = match status {
+            PermitStatus::Requested(id) => self.await_permit_response(id).await,
             known => Some(known),
         };
-        match claimed {
+        match status {
             Some(PermitStatus::NotRequired) => Ok(None),
             Some(PermitStatus::Granted(permit)) => Ok(Some(permit)),
             Some(PermitStatus::Deferred(pause)) => Err(pause),
             Some(PermitStatus::Requested(_)) | None => {
                 let now = self.clock.boot_time();
-                let held = self.statements().limits.deferred_for(server, urgency, now);
-                Err(held.unwrap_or(PERMIT_TIMEOUT))
+                let deferred = self.statements().limits.deferred_for(server, urgency, now);
+                Err(deferred.unwrap_or(PERMIT_TIMEOUT))
             }
         }
     }
 
-    /// Waits for the answer to an ask.
-    async fn await_answer(&self, id: PermitRequestId) -> Option<PermitStatus> {
-        let waiting = AskGuard { shared: self, id };
+    /// Waits for the response to a permit request and sends it again while none comes; `None` after the timeout.
+    async fn await_permit_response(&self, id: PermitRequestId) -> Option<PermitStatus> {
+        let pending = PermitRequestGuard { shared: self, id };
         self.limit_asked.notify(1);
         let deadline = self.clock.now() + PERMIT_TIMEOUT;
-        let mut ask_again = self.clock.now() + PERMIT_RESEND_INTERVAL;
+        let mut resend_at = self.clock.now() + PERMIT_RESEND_INTERVAL;
         loop {
-            let answered = self.limit_answered.listen();
+            let response = self.limit_answered.listen();
             let now = self.clock.boot_time();
-            let claim = self.statements().limits.take_response(waiting.id, now);
-            if claim.is_some() {
-                return claim;
+            let status = self.statements().limits.take_response(pending.id, now);
+            if status.is_some() {
+                return status;
             }
-            if until(&self.clock, ask_again.min(deadline), answered)
+            if until(&self.clock, resend_at.min(deadline), response)
                 .await
                 .is_some()
             {
@@ -125,18 +129,18 @@
             if self.clock.now() >= deadline {
                 return None;
             }
-            ask_again += PERMIT_RESEND_INTERVAL;
-            self.statements().limits.resend_request(waiting.id);
+            resend_at += PERMIT_RESEND_INTERVAL;
+            self.statements().limits.resend_request(pending.id);
             self.limit_asked.notify(1);
         }
     }
 
-    /// A request is not sent to a server for its limit.
+    /// Records and logs that requests to a server are deferred because of its rate limit.
     pub(crate) fn note_held(&self, request: &RelayRequest, server: &ServerEntry, pause: Duration) {
         let until = self.clock.now() + pause;
         self.loads()
             .defer_requests(&server.id, request.urgency, until);
-        self.metrics.limit_holds.inc();
+        self.metrics.limit_deferrals.inc();
         LogLine::new("server_limit_hold")
             .with("request", &request.id)
             .with("server", &server.id)
@@ -145,15 +149,15 @@
             .info(&self.log);
     }
 
-    /// Logs what other nodes told of limits.
+    /// Logs changes of rate limits received from other nodes.
     pub(crate) fn log_told_limits(&self) {
         let events = self.statements().limits.take_events();
         for event in events {
-            self.log_told_limit(&event);
+            self.log_peer_limit(&event);
         }
     }
 
-    fn log_told_limit(&self, event: &LimitEvent) {
+    fn log_peer_limit(&self, event: &LimitEvent) {
         LogLine::new("server_limit")
             .with("key", format!("{:08x}", event.server))
             .with("change", event.change.as_str())
@@ -163,7 +167,7 @@
             .info(&self.log);
     }
 
-    /// Counts the servers that are limited, and logs whether this node issues their permits.
+    /// Updates the metrics of rate limits, and logs when this node starts or stops issuing permits.
     pub(crate) fn note_limited(&self) {
         let now = self.clock.boot_time();
         let statements = self.statements();
@@ -171,17 +175,17 @@
         let count = limits.limited().count();
         let issues = limits.issues(now);
         drop(statements);
-        let gauge = i64::try_from(count).unwrap_or(i64::MAX);
-        self.metrics.limited_servers.set(gauge);
-        let issuing = i64::from(issues);
-        if self.metrics.limit_issuer.set(issuing) != issuing {
+        let count = i64::try_from(count).unwrap_or(i64::MAX);
+        self.metrics.limited_servers.set(count);
+        let gauge_value = i64::from(issues);
+        if self.metrics.limit_issuer.set(gauge_value) != gauge_value {
             LogLine::new("limit_issuer")
                 .with("here", issues)
                 .info(&self.log);
         }
     }
 
-    /// The servers that are limited, a line each, and whether this node issues permits.
+    /// Renders the operators' page: whether this node issues permits, and one line per server with a rate limit.
     pub(crate) fn limits_page(&self) -> String {
         let now = self.clock.boot_time();
         let loads = self.loads();
@@ -193,7 +197,7 @@
                 continue;
             };
             let key = server.incarnation_key();
-            let held = limits
+            let deferred = limits
                 .deferred_for(server, u8::MAX, now)
                 .unwrap_or_default();
             // Writing to a string does not fail.
@@ -203,13 +207,13 @@
                 server.id,
                 server.pool,
                 server.data_centre,
-                held.as_millis()
+                deferred.as_millis()
             );
         }
         page
     }
 
-    /// Logs and counts a request that leaves for a server which has named a limit.
+    /// Logs and counts a request that is sent to a server with a rate limit.
     pub(crate) fn note_limited_send(&self, request: &str, server: &ServerEntry, cause: SendCause) {
         let Some(rate) = self.statements().limits.rate(server) else {
             return;
@@ -227,13 +231,13 @@
     }
 }
 
-/// An ask that is waited for; whoever stops waiting leaves its permit to others.
-struct AskGuard<'a, C: Clock, W> {
+/// Guard of a pending permit request; dropping it abandons the request and leaves its permit to others.
+struct PermitRequestGuard<'a, C: Clock, W> {
     shared: &'a GatewayShared<C, W>,
     id: PermitRequestId,
 }
 
-impl<C: Clock, W> Drop for AskGuard<'_, C, W> {
+impl<C: Clock, W> Drop for PermitRequestGuard<'_, C, W> {
     fn drop(&mut self) {
         let now = self.shared.clock.boot_time();
         self.shared.statements().limits.abandon(self.id, now);
--- a/crates/plumgate-node/src/gateway/server_notices.rs
+++ b/crates/plumgate-node/src/gateway/server_notices.rs
@@ -1,4 +1,4 @@
-//! Servers that said that they leave or asked for a rest: what operators see of it.
+//! Notices of servers that leave or ask for a rest: recording, logs, metrics and the operators' page.
 
 use std::fmt::Write;
 
@@ -14,15 +14,15 @@
 use crate::clock::Clock;
 use crate::log::LogLine;
 
-/// The path under which operators find what servers said of themselves.
+/// Path of the operators' page on the statements of servers.
 pub const STATEMENTS_PATH: &str = "/statements";
-/// The notice of a server that leaves.
+/// Name of a leave notice in logs and metrics.
 const LEAVING: &str = "leaving";
-/// The notice of a server that asked for a rest.
+/// Name of a rest notice in logs and metrics.
 const RESTING: &str = "resting";
 
 impl<C: Clock, W> GatewayShared<C, W> {
-    /// Takes in what a server said of its leaving and resting in an answer.
+    /// Records the leave and rest notices that a server stated in an answer, and updates placement.
     pub(super) fn note_notices(
         &self,
         server: &ServerEntry,
@@ -30,10 +30,10 @@
         times: AnswerTimes,
     ) {
         if statement.leaving == LeaveStatement::Malformed {
-            self.note_malformed(LEAVING, server);
+            self.record_malformed(LEAVING, server);
         }
         if statement.rest == RestStatement::Malformed {
-            self.note_malformed(RESTING, server);
+            self.record_malformed(RESTING, server);
         }
         let changes = self.statements().record_notices(server, statement, times);
         if !changes.is_empty() {
@@ -42,10 +42,10 @@
         for change in changes {
             self.log_notice(server, change, times);
         }
-        self.note_dropped_notices();
+        self.log_dropped_notices();
     }
 
-    /// Has placement keep to what a server said of itself.
+    /// Passes a server's availability, as its notices give it, to placement.
     fn set_availability(&self, server: &ServerEntry) {
         let now = self.clock.now();
         let boot = self.clock.boot_time();
@@ -57,14 +57,14 @@
         loads.set_availability(server, availability, now);
     }
 
-    /// Logs and counts a request that did not leave for its server.
+    /// Logs and counts a request that was not sent because of a statement of its server.
     pub(crate) fn note_bar(
         &self,
         request: &RelayRequest,
         server: &ServerEntry,
         refusal: SendRefusal,
     ) {
-        // Placement knows it now, or the request would be offered there again and again.
+        // Without this, placement would choose the same server for the request again and again.
         self.set_availability(server);
         let labels = ReasonLabels {
             reason: refusal.as_str(),
@@ -77,7 +77,7 @@
             .info(&self.log);
     }
 
-    /// Other nodes told of servers that leave.
+    /// Handles leave notices received from other nodes.
     pub(crate) fn note_told_leaves(&self, leaves: &[LeaveEvent]) {
         if leaves.is_empty() {
             return;
@@ -102,7 +102,7 @@
         }
     }
 
-    fn note_malformed(&self, notice: &'static str, server: &ServerEntry) {
+    fn record_malformed(&self, notice: &'static str, server: &ServerEntry) {
         let labels = NoticeLabels {
             notice,
             source: "malformed",
@@ -138,8 +138,8 @@
         line.info(&self.log);
     }
 
-    /// Logs that there was no room for what servers said.
-    fn note_dropped_notices(&self) {
+    /// Logs the number of notices that were dropped for lack of room.
+    fn log_dropped_notices(&self) {
         let dropped = self.statements().notices.take_dropped();
         if dropped > 0 {
             LogLine::new("server_notice_dropped")
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Logs and counts a request that leaves for a server which has said that it leaves, or asked for a rest.
+    /// Logs and counts a request that is sent to a server with a leave or rest notice.
     pub(crate) fn note_noticed_send(&self, request: &str, server: &ServerEntry, cause: SendCause) {
         let now = self.clock.boot_time();
         let statements = self.statements();
@@ -176,7 +176,7 @@
         self.metrics.noticed_sends.get_or_create(&labels).inc();
     }
 
-    /// What servers said of themselves, a line each; those that said nothing are left out.
+    /// Renders the operators' page: one line per server that has a rate limit or a notice.
     pub(crate) fn statements_page(&self) -> String {
         let now = self.clock.boot_time();
         let loads = self.loads();
@@ -213,7 +213,7 @@
         page
     }
 
-    /// Counts the servers that leave and those that rest.
+    /// Updates the metrics of leaving and resting servers.
     pub(crate) fn note_noticed(&self) {
         let now = self.clock.boot_time();
         let statements = self.statements();
--- a/crates/plumgate-node/src/gateway/suspects.rs
+++ b/crates/plumgate-node/src/gateway/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests that end servers: what operators see of them, and how they lift what is held against one.
+//! Poison requests: crash evidence, the probe of a server, and the operators' page that shows and lifts
+//! quarantines.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -14,37 +15,38 @@
 use crate::http::{open_stream, text_response};
 use crate::log::LogLine;
 
-/// The path under which operators find what is held back.
+/// Path of the operators' page on quarantined requests.
 pub(crate) const QUARANTINE_PATH: &str = "/quarantine";
 
-/// Asks a server whether it lives, by a bare connection, as one to it broke in the middle of an answer.
+/// Probes a server with a bare connection after a connection to it broke in the middle of an answer.
 ///
-/// Its entry would show an end only seconds later; until then the next one would get the request.
+/// The server's store entry shows a crash only seconds later; until then the request would be sent to the next
+/// server.
 pub(crate) fn ask_server<C: Clock, W: Send + Sync + 'static>(
     shared: &Arc<GatewayShared<C, W>>,
     server: &ServerEntry,
 ) {
-    let (asking, server) = (shared.clone(), server.clone());
+    let (prober, server) = (shared.clone(), server.clone());
     let task = async move {
-        let opened = asking.clock.now();
-        let opening = open_stream(server.address);
-        let answer = until(&asking.clock, opened + CONNECT_TIMEOUT, opening).await;
-        match &answer {
+        let opened = prober.clock.now();
+        let connecting = open_stream(server.address);
+        let connected = until(&prober.clock, opened + CONNECT_TIMEOUT, connecting).await;
+        match &connected {
             Some(Ok(_)) => {
-                let now = asking.clock.now();
-                asking.quarantine().on_server_reached(&server, opened, now);
+                let now = prober.clock.now();
+                prober.quarantine().on_server_reached(&server, opened, now);
             }
-            Some(Err(_)) => asking.note_refused(&server),
-            None => asking.quarantine().on_probe_unanswered(&server),
+            Some(Err(_)) => prober.note_refused(&server),
+            None => prober.quarantine().on_probe_unanswered(&server),
         }
-        asking.server_asked.notify(usize::MAX);
-        asking.log_suspects();
+        prober.server_asked.notify(usize::MAX);
+        prober.log_suspects();
     };
     shared.executor.spawn(task).detach();
 }
 
 impl<C: Clock, W> GatewayShared<C, W> {
-    /// A server is believed to have ended under requests of this node.
+    /// Counts and logs a server that is believed to have crashed while it ran requests of this node.
     pub(crate) fn note_server_end(
         &self,
         identities: &[RequestIdentity],
@@ -55,7 +57,7 @@
             reason: sign.as_str(),
         };
         for identity in identities {
-            self.metrics.server_ends.get_or_create(&labels).inc();
+            self.metrics.server_crashes.get_or_create(&labels).inc();
             LogLine::new("server_end")
                 .with("digest", identity)
                 .with("server", &server.id)
@@ -65,25 +67,25 @@
         }
     }
 
-    /// A server's machine refused a connection.
+    /// Handles a connection that a server's machine refused, which is a sign of a crash.
     pub(crate) fn note_refused(&self, server: &ServerEntry) {
         let now = self.clock.now();
-        let ended = self
+        let crashed = self
             .quarantine()
             .on_server_gone(server, CrashSign::Refused, now);
-        self.note_server_end(&ended, server, CrashSign::Refused);
+        self.note_server_end(&crashed, server, CrashSign::Refused);
     }
 
-    /// Logs and counts what has changed of requests that end servers.
+    /// Logs and counts changed verdicts on poison requests.
     pub(crate) fn log_suspects(&self) {
         let mut quarantine = self.quarantine();
         let events = quarantine.take_events();
         if events.is_empty() {
             return;
         }
-        let held = i64::try_from(quarantine.blocked_count()).unwrap_or(i64::MAX);
+        let blocked = i64::try_from(quarantine.blocked_count()).unwrap_or(i64::MAX);
         drop(quarantine);
-        self.metrics.quarantined.set(held);
+        self.metrics.quarantined.set(blocked);
         for event in events {
             self.log_suspect(&event);
         }
@@ -115,7 +117,8 @@
         }
     }
 
-    /// Answers an operator: what is held back, or that one is let go.
+    /// Serves the operators' page: `GET` lists suspected and blocked requests, `DELETE` of a digest lifts its
+    /// quarantine.
     pub(crate) fn serve_quarantine(&self, method: &Method, path: &str) -> Response<AnswerBody> {
         let digest = path.strip_prefix(QUARANTINE_PATH).unwrap_or_default();
         let digest = digest.trim_start_matches('/');
@@ -141,7 +144,10 @@
         let lifted = self.quarantine().lift(digest, now);
         self.log_suspects();
         if lifted == 0 {
-            return text_response(StatusCode::NOT_FOUND, "nothing is held against it\n");
+            return text_response(
+                StatusCode::NOT_FOUND,
+                "nothing is recorded for this digest\n",
+            );
         }
         text_response(StatusCode::OK, "lifted\n")
     }
--- a/crates/plumgate-node/src/gateway/verdicts.rs
+++ b/crates/plumgate-node/src/gateway/verdicts.rs
@@ -1,4 +1,4 @@
-//! The verdicts that the store keeps, so that nodes which start know which requests end servers.
+//! Verdicts on poison requests in the store, where nodes read them at start.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,77 +12,78 @@
 use crate::clock::Clock;
 use crate::log::LogLine;
 
-/// Changes that wait to be written.
-const CHANGES_WAITING: usize = 256;
-/// How often a change is written that the store does not take. Nodes that run know of it anyway.
-const TRIES: u32 = 10;
-/// Pause before it is written again.
+/// Capacity of the queue of changes to write.
+const QUEUE_CAPACITY: usize = 256;
+/// Attempts to write a change before it is dropped. Running nodes learn of it from each other in any case.
+const MAX_WRITE_ATTEMPTS: u32 = 10;
+/// Pause between two attempts to write a change.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Writes verdicts to the store and takes over those that it keeps.
+/// Writes verdicts to the store and applies those read from it.
 pub(crate) struct VerdictKeeper<C, W> {
     shared: Arc<GatewayShared<C, W>>,
     changes: Sender<VerdictChange>,
-    waiting: Receiver<VerdictChange>,
+    queue: Receiver<VerdictChange>,
 }
 
 impl<C: Clock, W> VerdictKeeper<C, W> {
-    /// A keeper that has nothing to write.
+    /// Creates a writer with an empty queue.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Self {
-        let (changes, waiting) = async_channel::bounded(CHANGES_WAITING);
+        let (changes, queue) = async_channel::bounded(QUEUE_CAPACITY);
         Self {
             shared,
             changes,
-            waiting,
+            queue,
         }
     }
 
-    /// Takes note of changes.
+    /// Queues changes to write. A change that finds the queue full is logged and dropped.
     pub(crate) fn note(&self, changes: Vec<VerdictChange>) {
         for change in changes {
             if self.changes.try_send(change).is_err() {
                 LogLine::new("verdict_unkept")
-                    .with("error", "too many wait")
+                    .with("error", "the queue of changes is full")
                     .warn(&self.shared.log);
             }
         }
     }
 
-    /// Writes all that is held back again, as the store came back from an old copy.
+    /// Queues the verdicts on all blocked requests again, after the store was restored from an old backup.
     pub(crate) fn keep_all(&self) {
-        let held: Vec<VerdictChange> = {
+        let blocked: Vec<VerdictChange> = {
             let quarantine = self.shared.quarantine();
-            let held = quarantine.suspects();
-            let held = held.filter(|(_, state, _)| *state == SuspectState::Blocked);
-            held.map(|(identity, ..)| VerdictChange::Store(identity))
+            let blocked = quarantine.suspects();
+            let blocked = blocked.filter(|(_, state, _)| *state == SuspectState::Blocked);
+            blocked
+                .map(|(identity, ..)| VerdictChange::Store(identity))
                 .collect()
         };
-        self.note(held);
+        self.note(blocked);
     }
 
-    /// Takes over the verdicts of the store, and has those removed whose time is over.
+    /// Applies verdicts read from the store, and queues the removal of those that have expired.
     pub(crate) fn take(&self, verdicts: &[StoredVerdict]) {
         let (now, unix_ms) = (self.shared.clock.now(), self.shared.clock.unix_ms());
-        let mut old = Vec::new();
+        let mut expired = Vec::new();
         for verdict in verdicts {
-            let taken = self.shared.quarantine().apply_stored(verdict, now, unix_ms);
-            match taken {
+            let applied = self.shared.quarantine().apply_stored(verdict, now, unix_ms);
+            match applied {
                 Ok(true) => {}
-                Ok(false) => old.push(VerdictChange::Remove(verdict.name.clone())),
+                Ok(false) => expired.push(VerdictChange::Remove(verdict.name.clone())),
                 Err(error) => LogLine::new("verdict_unread")
                     .with("name", &verdict.name)
                     .with("error", error)
                     .warn(&self.shared.log),
             }
         }
-        self.note(old);
+        self.note(expired);
         self.shared.log_suspects();
     }
 
-    /// Writes what changes, for as long as the node runs.
+    /// Writes queued changes to the store; runs as long as the node.
     pub(crate) async fn run<S: FleetSource>(&self, mut source: S) {
-        while let Ok(change) = self.waiting.recv().await {
-            for _ in 0..TRIES {
+        while let Ok(change) = self.queue.recv().await {
+            for _ in 0..MAX_WRITE_ATTEMPTS {
                 let written = self.write(&mut source, &change).await;
                 let topic = CallTopic::Verdicts;
                 note_source_call(&self.shared, topic, CallCause::Change, written.is_ok());
@@ -105,11 +106,11 @@
         match change {
             VerdictChange::Store(identity) => {
                 let (now, unix_ms) = (self.shared.clock.now(), self.shared.clock.unix_ms());
-                let kept = self
+                let stored = self
                     .shared
                     .quarantine()
                     .stored_verdict(*identity, now, unix_ms);
-                match kept {
+                match stored {
                     Some(verdict) => source.keep(&verdict).await,
                     None => Ok(()),
                 }
