--- a/crates/plumgate-node/src/answer.rs
+++ b/crates/plumgate-node/src/answer.rs
@@ -1,4 +1,4 @@
-//! The parts of an answer, and whoever takes them in.
+//! Parts of an answer, and the sinks that receive them.
 
 use std::future::Future;
 
@@ -6,39 +6,39 @@
 use hyper::StatusCode;
 use hyper::header::HeaderValue;
 
-/// What an attempt gives to the caller as it goes on.
+/// Part of an answer that an attempt sends to its caller.
 #[derive(Debug)]
 pub(crate) enum AnswerPart {
-    /// The head of a streamed answer.
+    /// Head of a streamed answer.
     StreamHead,
-    /// One event of a streamed answer, without its end mark.
+    /// Data of one event of a streamed answer, without framing.
     Event(String),
-    /// A whole answer.
+    /// Answer that is not streamed.
     Whole(WholeAnswer),
 }
 
-/// A whole answer.
+/// Answer that was received as a whole.
 #[derive(Clone, Debug)]
 pub(crate) struct WholeAnswer {
-    /// The status.
+    /// HTTP status.
     pub(crate) status: StatusCode,
-    /// The type of the body.
+    /// Value of the `Content-Type` header.
     pub(crate) content_type: Option<HeaderValue>,
-    /// The body.
+    /// Body.
     pub(crate) body: Bytes,
 }
 
-/// Whoever takes in the parts of an answer; `false` says that the caller went away.
+/// Receiver of the parts of an answer.
 pub(crate) trait AnswerSink {
-    /// Takes in one part.
-    fn take(&mut self, part: AnswerPart) -> impl Future<Output = bool> + Send;
+    /// Sends one part to the caller; returns `false` if the caller has disconnected.
+    fn send(&mut self, part: AnswerPart) -> impl Future<Output = bool> + Send;
 
-    /// Completes when the caller goes away.
-    fn gone(&self) -> impl Future<Output = ()> + Send;
+    /// Completes when the caller disconnects.
+    fn caller_gone(&self) -> impl Future<Output = ()> + Send;
 }
 
-/// A sink that knows whether its caller has got anything.
+/// Sink that knows whether its caller has received any bytes.
 pub(crate) trait RelaySink: AnswerSink {
-    /// Whether the caller has got bytes of the answer.
+    /// Returns whether the caller has received bytes of the answer.
     fn has_delivered(&self) -> bool;
 }
--- a/crates/plumgate-node/src/backend.rs
+++ b/crates/plumgate-node/src/backend.rs
@@ -1,4 +1,4 @@
-//! Idle connections to backend servers, kept for the next request.
+//! Pool of idle connections to backend servers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,17 +6,17 @@
 
 use crate::http::OpenConnection;
 
-/// Idle connections that are kept for one server.
-const IDLE_MOST: usize = 16;
+/// Maximum number of idle connections per server.
+const MAX_IDLE_PER_SERVER: usize = 16;
 
-/// Idle connections by server.
+/// Pool of idle connections by server address.
 #[derive(Debug, Default)]
 pub(crate) struct BackendPool {
     idle: Mutex<HashMap<SocketAddr, Vec<OpenConnection>>>,
 }
 
 impl BackendPool {
-    /// An idle connection that has not been closed, as far as is known here.
+    /// Takes an idle connection that is not known to be closed.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<OpenConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
@@ -28,20 +28,20 @@
         None
     }
 
-    /// Keeps a connection whose last answer was read to its end.
+    /// Returns a connection to the pool after its last answer was read completely.
     pub(crate) fn put(&self, address: SocketAddr, connection: OpenConnection) {
         if connection.is_closed() {
             return;
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(address).or_default();
-        if connections.len() < IDLE_MOST {
+        if connections.len() < MAX_IDLE_PER_SERVER {
             connections.push(connection);
         }
     }
 
-    /// Closes all idle connections to a server, after one of them went silent: whatever lost
-    /// track of that one may have lost the others too.
+    /// Closes all idle connections to a server after one connection fell silent: a device on the
+    /// network path that lost the state of that connection may have lost it for the others too.
     pub(crate) fn clear(&self, address: SocketAddr) {
         self.idle
             .lock()
--- a/crates/plumgate-node/src/body.rs
+++ b/crates/plumgate-node/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! Body of an answer to a caller.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,38 +9,38 @@
 use futures_core::Stream;
 use hyper::body::{Body, Frame, SizeHint};
 
-/// the answer was cut before its end
+/// the answer was truncated
 #[derive(Clone, Copy, Debug, Display)]
 pub(crate) struct AnswerCut;
 
 impl std::error::Error for AnswerCut {}
 
-/// One piece of a streamed answer.
+/// Chunk of a streamed answer.
 pub(crate) type AnswerChunk = Result<Bytes, AnswerCut>;
 
-/// A whole body, or one that is fed piece by piece.
+/// Body that is either complete or streamed in chunks.
 ///
-/// A fed body that ends with [`AnswerCut`] makes the connection break off, so that a cut
+/// A streamed body that ends with [`AnswerCut`] aborts the connection, so that a truncated
 /// answer never looks complete to the caller.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
-    /// All bytes at once, taken by the first poll.
+    /// All bytes; the first poll takes them.
     Whole(Option<Bytes>),
-    /// Pieces as they come.
-    Fed(Pin<Box<Receiver<AnswerChunk>>>),
-    /// All pieces came, and the answer is cut after them.
+    /// Chunks received through a channel.
+    Streamed(Pin<Box<Receiver<AnswerChunk>>>),
+    /// All chunks were sent, and the answer is truncated after them.
     Cut,
 }
 
 impl AnswerBody {
-    /// A body of these bytes.
+    /// Creates a body of these bytes.
     pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
 
-    /// A body that is fed through a channel.
-    pub(crate) fn fed(chunks: Receiver<AnswerChunk>) -> Self {
-        Self::Fed(Box::pin(chunks))
+    /// Creates a body whose chunks come through a channel.
+    pub(crate) fn streamed(chunks: Receiver<AnswerChunk>) -> Self {
+        Self::Streamed(Box::pin(chunks))
     }
 }
 
@@ -54,10 +54,10 @@
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
         match &mut *self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Fed(chunks) => match chunks.as_mut().poll_next(context) {
+            Self::Streamed(chunks) => match chunks.as_mut().poll_next(context) {
                 Poll::Ready(Some(Err(AnswerCut))) => {
-                    // The connection is given up with whatever is not written yet, and with it
-                    // the event that says why. One more turn lets that out first.
+                    // An error drops the connection together with its unwritten bytes, among them the
+                    // event that gives the reason. Yielding once lets hyper write them first.
                     *self = Self::Cut;
                     context.waker().wake_by_ref();
                     Poll::Pending
@@ -75,7 +75,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Self::Fed(_) | Self::Cut => SizeHint::default(),
+            Self::Streamed(_) | Self::Cut => SizeHint::default(),
         }
     }
 }
--- a/crates/plumgate-node/src/call.rs
+++ b/crates/plumgate-node/src/call.rs
@@ -1,4 +1,4 @@
-//! A request as it was checked: what is known of it, and what goes to a server.
+//! A validated request: its properties, and the call that is sent to a backend server.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 use hyper::header::HeaderValue;
 use plumgate::dispatch::RequestTicket;
 
-/// What is sent to a server.
+/// HTTP call that is sent to a backend server.
 #[derive(Clone, Debug)]
 pub(crate) struct BackendCall {
-    /// The method.
+    /// HTTP method.
     pub(crate) method: Method,
-    /// The path with its query.
+    /// Path including the query.
     pub(crate) path: String,
-    /// The body.
+    /// Body.
     pub(crate) body: Bytes,
-    /// The type of the body.
+    /// Value of the `Content-Type` header.
     pub(crate) content_type: Option<HeaderValue>,
-    /// The caller's key, which services may check too.
+    /// Idempotency key of the caller, passed on because services may check it too.
     pub(crate) idempotency_key: Option<HeaderValue>,
-    /// Whether the answer comes as a stream of events.
+    /// Whether the answer is a stream of server-sent events.
     pub(crate) stream: bool,
 }
 
-/// A caller's request, checked.
+/// A validated request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
-    /// What the dispatcher knows of it.
+    /// Properties by which the dispatcher schedules the request.
     pub(crate) ticket: RequestTicket,
-    /// What is sent to a server.
+    /// Call that is sent to a backend server.
     pub(crate) call: BackendCall,
-    /// The name that the caller gave it across its own retries.
+    /// Idempotency key, which is the same across the caller's own retries.
     pub(crate) key: Option<String>,
-    /// A digest of the request, since one key must name one request.
+    /// Digest of the request, to detect a key that is reused for another request.
     pub(crate) digest: String,
-    /// How long a claimed key and its answer are kept.
+    /// Time for which a claimed key and its answer are stored.
     pub(crate) key_lifetime: Duration,
-    /// How long a server may be silent.
+    /// Time without progress after which a run is checked.
     pub(crate) progress_timeout: Duration,
 }
--- a/crates/plumgate-node/src/caller_error.rs
+++ b/crates/plumgate-node/src/caller_error.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them, in the shape that model clients know.
+//! Error responses to callers, in the JSON format that model clients expect.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use crate::body::AnswerBody;
 use crate::http::{REQUEST_ID, json_response};
 
-/// What a caller is told instead of an answer.
+/// Error that a caller receives instead of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallerError {
-    /// The status.
+    /// HTTP status.
     pub(crate) status: StatusCode,
-    /// The kind of error, one word.
+    /// Error type, one word; the field `type` in JSON.
     pub(crate) kind: &'static str,
     /// Whether the request ran.
     pub(crate) outcome: RunOutcome,
-    /// What happened and what to do.
+    /// Message for people: what happened, and what to do.
     pub(crate) message: String,
-    /// When to come back, where that may help.
+    /// Delay before a retry, if a retry may help.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl CallerError {
-    /// An error of the request itself, which ran nowhere.
+    /// Creates an error for an invalid request, which did not run.
     pub(crate) fn invalid(
         status: StatusCode,
         kind: &'static str,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A refusal of a request that surely ran nowhere.
+    /// Creates a refusal of a request that is known not to have run.
     pub(crate) fn not_run(
         status: StatusCode,
         kind: &'static str,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The failure of a request that may have run.
+    /// Creates the error of a failed request that may have run.
     pub(crate) fn unknown(kind: &'static str, message: impl Into<String>) -> Self {
         let error = Self::invalid(StatusCode::BAD_GATEWAY, kind, message);
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The error as JSON.
+    /// Converts the error to JSON.
     pub(crate) fn to_json(&self, request: &str) -> serde_json::Value {
         let mut error = json!({
             "type": self.kind,
@@ -79,26 +79,27 @@
         json!({ "error": error })
     }
 
-    /// The error as an answer.
+    /// Converts the error to an HTTP response.
     pub(crate) fn to_response(&self, request: &str) -> Response<AnswerBody> {
         let mut response = json_response(self.status, &self.to_json(request));
         let headers = response.headers_mut();
         if let Some(pause) = self.retry_after {
             headers.insert(RETRY_AFTER, whole_seconds(pause).into());
         }
-        name_request(headers, request);
+        set_request_id(headers, request);
         response
     }
 }
 
-/// The header counts whole seconds; rounded up, so that no caller comes back too early.
+/// Converts a pause to the whole seconds of `Retry-After`, rounded up so that no caller retries
+/// too early.
 fn whole_seconds(pause: Duration) -> u64 {
     let millis = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
     millis.div_ceil(1000).max(1)
 }
 
-/// Puts the id of a request on its answer.
-pub(crate) fn name_request(headers: &mut hyper::HeaderMap, request: &str) {
+/// Sets the header with the request id on a response.
+pub(crate) fn set_request_id(headers: &mut hyper::HeaderMap, request: &str) {
     if let Ok(id) = HeaderValue::from_str(request) {
         headers.insert(REQUEST_ID, id);
     }
--- a/crates/plumgate-node/src/caller_sink.rs
+++ b/crates/plumgate-node/src/caller_sink.rs
@@ -1,4 +1,4 @@
-//! Passes an answer on to its caller as it comes.
+//! Sends an answer to its caller as it arrives.
 
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
@@ -8,70 +8,71 @@
 use crate::body::{AnswerChunk, AnswerCut};
 use crate::caller_error::CallerError;
 
-/// Pieces of a stream that wait for a slow caller.
-const CHUNKS_WAITING: usize = 64;
-/// Largest answer in bytes that is kept for a repeated request.
-const LARGEST_KEPT: usize = 1024 * 1024;
+/// Maximum number of chunks of a stream that are queued for a slow caller.
+const MAX_QUEUED_CHUNKS: usize = 64;
+/// Maximum size in bytes of an answer that is stored for repeated requests.
+const MAX_STORED_BYTES: usize = 1024 * 1024;
 
-/// What a caller gets first.
+/// First message to a caller's connection.
 #[derive(Debug)]
 pub(crate) enum CallerAnswer {
-    /// A whole answer.
+    /// Answer that is not streamed.
     Whole(WholeAnswer),
-    /// A stream, piece by piece.
+    /// Channel with the chunks of a stream.
     Stream(Receiver<AnswerChunk>),
-    /// No answer.
+    /// Error instead of an answer.
     Error(CallerError),
 }
 
-/// Where an answer has come on its way to the caller.
+/// Delivery state of an answer.
 #[derive(Debug)]
 enum SinkState {
-    /// Nothing was passed on yet.
+    /// Nothing has been sent.
     Waiting,
-    /// A stream is being passed on.
+    /// A stream is being sent.
     Streaming(Sender<AnswerChunk>),
-    /// A whole answer is held until it may be passed on.
-    Holding(WholeAnswer),
+    /// A whole answer is buffered until the request is finished.
+    Buffered(WholeAnswer),
 }
 
-/// The way of one answer to its caller.
+/// Sink that delivers one answer to its caller.
 #[derive(Debug)]
 pub(crate) struct CallerSink<F> {
     answers: Sender<CallerAnswer>,
     state: SinkState,
-    kept: Option<Vec<u8>>,
-    on_first: F,
+    recorded: Option<Vec<u8>>,
+    on_first_byte: F,
 }
 
 impl<F: FnMut() + Send + Sync> CallerSink<F> {
-    /// A sink that calls `on_first` before the first byte goes to the caller.
-    pub(crate) fn new(answers: Sender<CallerAnswer>, on_first: F) -> Self {
+    /// Creates a sink that calls `on_first_byte` before it sends the first byte of a stream.
+    pub(crate) fn new(answers: Sender<CallerAnswer>, on_first_byte: F) -> Self {
         Self {
             answers,
             state: SinkState::Waiting,
-            kept: None,
-            on_first,
+            recorded: None,
+            on_first_byte,
         }
     }
 
-    /// The same, keeping a copy of what a stream says.
-    pub(crate) fn with_copy(mut self) -> Self {
-        self.kept = Some(Vec::new());
+    /// Enables recording of streamed events, for [`Self::whole_answer`].
+    pub(crate) fn with_recording(mut self) -> Self {
+        self.recorded = Some(Vec::new());
         self
     }
 
-    /// Whether the caller has got bytes of the answer.
+    /// Returns whether the caller has received bytes of the answer.
     pub(crate) fn has_delivered(&self) -> bool {
         matches!(self.state, SinkState::Streaming(_))
     }
 
-    /// The whole answer, for keeping; `None` if it is too large.
+    /// Returns the whole answer for storage; `None` if it was not recorded or is larger than
+    /// `MAX_STORED_BYTES`.
     pub(crate) fn whole_answer(&self) -> Option<WholeAnswer> {
         let whole = match &self.state {
-            SinkState::Holding(whole) => whole.clone(),
+            SinkState::Buffered(whole) => whole.clone(),
             _ => {
-                let mut body = self.kept.clone()?;
+                let mut body = self.recorded.clone()?;
                 body.extend_from_slice(b"data: [DONE]\n\n");
                 WholeAnswer {
                     status: hyper::StatusCode::OK,
@@ -82,64 +83,65 @@
                 }
             }
         };
-        (whole.body.len() <= LARGEST_KEPT).then_some(whole)
+        (whole.body.len() <= MAX_STORED_BYTES).then_some(whole)
     }
 
-    /// The answer is complete: the caller gets what was held back, or the end mark.
+    /// Completes the answer: sends the buffered answer, or the event that ends the stream.
     pub(crate) async fn finish(mut self) {
         if matches!(self.state, SinkState::Waiting) {
-            // A stream without any event is still a whole stream.
-            self.begin_stream().await;
+            // A stream without events is still a complete stream.
+            self.start_stream().await;
         }
         match self.state {
             SinkState::Streaming(chunks) => {
-                // A caller that went away at the end misses nothing that could be mended.
+                // If the caller disconnects here, there is nothing left to recover.
                 let _ = chunks
                     .send(Ok(Bytes::from_static(b"data: [DONE]\n\n")))
                     .await;
             }
-            SinkState::Holding(whole) => {
+            SinkState::Buffered(whole) => {
                 let _ = self.answers.send(CallerAnswer::Whole(whole)).await;
             }
             SinkState::Waiting => {}
         }
     }
 
-    /// There is no whole answer: the caller gets the error, and a stream is cut visibly.
+    /// Sends an error; a stream that has started ends with an error event and an aborted
+    /// connection.
     pub(crate) async fn fail(self, error: CallerError, request: &str) {
         match self.state {
             SinkState::Streaming(chunks) => {
                 let event = format!("data: {}\n\n", error.to_json(request));
-                // The caller may be gone; otherwise it sees the event and a broken connection.
+                // A caller that is still connected sees the event and then an aborted connection.
                 let _ = chunks.send(Ok(event.into())).await;
                 let _ = chunks.send(Err(AnswerCut)).await;
             }
-            SinkState::Waiting | SinkState::Holding(_) => {
+            SinkState::Waiting | SinkState::Buffered(_) => {
                 let _ = self.answers.send(CallerAnswer::Error(error)).await;
             }
         }
     }
 
-    async fn begin_stream(&mut self) -> bool {
-        (self.on_first)();
-        let (sender, receiver) = async_channel::bounded(CHUNKS_WAITING);
-        let told = self
+    async fn start_stream(&mut self) -> bool {
+        (self.on_first_byte)();
+        let (sender, receiver) = async_channel::bounded(MAX_QUEUED_CHUNKS);
+        let is_delivered = self
             .answers
             .send(CallerAnswer::Stream(receiver))
             .await
             .is_ok();
         self.state = SinkState::Streaming(sender);
-        told
+        is_delivered
     }
 
-    async fn pass_on(&mut self, data: &str) -> bool {
+    async fn send_event(&mut self, data: &str) -> bool {
         let chunk = format!("data: {data}\n\n");
-        if let Some(kept) = &mut self.kept
-            && kept.len() <= LARGEST_KEPT
+        if let Some(recorded) = &mut self.recorded
+            && recorded.len() <= MAX_STORED_BYTES
         {
-            kept.extend_from_slice(chunk.as_bytes());
+            recorded.extend_from_slice(chunk.as_bytes());
         }
-        if matches!(self.state, SinkState::Waiting) && !self.begin_stream().await {
+        if matches!(self.state, SinkState::Waiting) && !self.start_stream().await {
             return false;
         }
         match &self.state {
@@ -150,19 +152,20 @@
 }
 
 impl<F: FnMut() + Send + Sync> AnswerSink for CallerSink<F> {
-    async fn take(&mut self, part: AnswerPart) -> bool {
+    async fn send(&mut self, part: AnswerPart) -> bool {
         match part {
-            // The head goes out with the first event: until then another server may take over.
+            // The head is sent with the first event: until then the request can be retried on
+            // another server.
             AnswerPart::StreamHead => true,
-            AnswerPart::Event(data) => self.pass_on(&data).await,
+            AnswerPart::Event(data) => self.send_event(&data).await,
             AnswerPart::Whole(whole) => {
-                self.state = SinkState::Holding(whole);
+                self.state = SinkState::Buffered(whole);
                 !self.answers.is_closed()
             }
         }
     }
 
-    async fn gone(&self) {
+    async fn caller_gone(&self) {
         match &self.state {
             SinkState::Streaming(chunks) => chunks.closed().await,
             _ => self.answers.closed().await,
--- a/crates/plumgate-node/src/callers.rs
+++ b/crates/plumgate-node/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side: checks a request, hands it on, and gives back what comes.
+//! Listener for callers: validates requests, starts their relay and returns the responses.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -20,25 +20,25 @@
 use crate::admin::health_response;
 use crate::body::AnswerBody;
 use crate::call::{BackendCall, CallerRequest};
-use crate::caller_error::{CallerError, name_request};
+use crate::caller_error::{CallerError, set_request_id};
 use crate::caller_sink::CallerAnswer;
 use crate::clock::Clock;
 use crate::http::json_response;
 use crate::relay::relay_request;
 use crate::shared::NodeShared;
 
-/// Header that names the class of a request.
+/// Header with the class of a request.
 const CLASS_HEADER: &str = "x-plumgate-class";
-/// Header that names a request across retries of its caller.
+/// Header with the idempotency key, which is the same across the caller's own retries.
 const KEY_HEADER: &str = "idempotency-key";
-/// Longest key in bytes.
-const LONGEST_KEY: usize = 256;
-/// Bytes of a prompt that decide which server may have it cached.
+/// Maximum length of an idempotency key in bytes.
+const MAX_KEY_BYTES: usize = 256;
+/// Length in bytes of the prompt prefix by which requests are routed to a server's cache.
 const PREFIX_BYTES: usize = 512;
-/// Path under which plain services stand.
+/// Path prefix of plain services.
 const SERVICES_PATH: &str = "/services/";
 
-/// The part of a model request that the router reads.
+/// Fields of a model request that routing needs.
 #[derive(Deserialize)]
 struct ModelRequest<'a> {
     model: String,
@@ -52,7 +52,7 @@
     prompt: Option<&'a RawValue>,
 }
 
-/// Answers one request on a caller's connection.
+/// Serves one request on a caller's connection.
 pub(crate) async fn serve_caller<C: Clock>(
     shared: Arc<NodeShared<C>>,
     request: Request<Incoming>,
@@ -61,13 +61,13 @@
         return response;
     }
     let id = shared.new_request_id();
-    match accept(&shared, request, &id).await {
-        Ok(Accepted::Models(models)) => {
+    match parse_request(&shared, request, &id).await {
+        Ok(ParsedRequest::Models(models)) => {
             let mut response = json_response(StatusCode::OK, &models);
-            name_request(response.headers_mut(), &id);
+            set_request_id(response.headers_mut(), &id);
             response
         }
-        Ok(Accepted::Request(request)) => answer(shared, *request).await,
+        Ok(ParsedRequest::Request(request)) => run_request(shared, *request).await,
         Err(error) => {
             let line = crate::log::LogLine::new("rejected").with("request", &id);
             line.with("reason", error.kind)
@@ -78,15 +78,15 @@
     }
 }
 
-/// What a caller asked for.
-enum Accepted {
-    /// The list of models.
+/// A validated request of a caller.
+enum ParsedRequest {
+    /// Request for the model list, with the list in JSON.
     Models(serde_json::Value),
-    /// Something to be run.
+    /// Request to be run on a backend server.
     Request(Box<CallerRequest>),
 }
 
-async fn answer<C: Clock>(
+async fn run_request<C: Clock>(
     shared: Arc<NodeShared<C>>,
     request: CallerRequest,
 ) -> Response<AnswerBody> {
@@ -95,7 +95,7 @@
     let relay = relay_request(shared.clone(), request, sender);
     shared.executor.spawn(relay).detach();
     let answer = receiver.recv().await.unwrap_or_else(|_| {
-        // The relay always answers unless it failed itself; then nobody knows what ran.
+        // The relay sends an answer unless it failed; it is then unknown whether the request ran.
         CallerAnswer::Error(CallerError::unknown(
             "internal",
             "the request was lost in this node",
@@ -112,22 +112,22 @@
             response
         }
         CallerAnswer::Stream(chunks) => {
-            let mut response = Response::new(AnswerBody::fed(chunks));
+            let mut response = Response::new(AnswerBody::streamed(chunks));
             let headers = response.headers_mut();
             headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
             headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-cache"));
             response
         }
     };
-    name_request(response.headers_mut(), &id);
+    set_request_id(response.headers_mut(), &id);
     response
 }
 
-async fn accept<C: Clock>(
+async fn parse_request<C: Clock>(
     shared: &NodeShared<C>,
     request: Request<Incoming>,
     id: &RequestId,
-) -> Result<Accepted, CallerError> {
+) -> Result<ParsedRequest, CallerError> {
     let config = shared.config.load_full().ok_or_else(|| {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         let message = "this node has no configuration yet";
@@ -137,7 +137,7 @@
     let workspace = authenticate(&config, &head)?.clone();
     let path = head.uri.path().to_owned();
     if head.method == Method::GET && path == "/v1/models" {
-        return Ok(Accepted::Models(list_models(&config)));
+        return Ok(ParsedRequest::Models(list_models(&config)));
     }
     let is_model = matches!(path.as_str(), "/v1/chat/completions" | "/v1/completions");
     if is_model && head.method != Method::POST {
@@ -157,7 +157,7 @@
         ));
     }
     let body = read_body(shared, body).await?;
-    let intake = RequestIntake {
+    let builder = RequestBuilder {
         shared,
         config: &config,
         workspace: &workspace,
@@ -166,11 +166,11 @@
         id,
     };
     let request = if is_model {
-        intake.model_request()?
+        builder.model_request()?
     } else {
-        intake.service_request()?
+        builder.service_request()?
     };
-    Ok(Accepted::Request(Box::new(request)))
+    Ok(ParsedRequest::Request(Box::new(request)))
 }
 
 fn authenticate<'a>(config: &'a FleetConfig, head: &Parts) -> Result<&'a Workspace, CallerError> {
@@ -198,13 +198,13 @@
 }
 
 async fn read_body<C: Clock>(shared: &NodeShared<C>, body: Incoming) -> Result<Bytes, CallerError> {
-    let most = shared.settings.body_bytes;
+    let limit = shared.settings.body_bytes;
     let deadline = shared.clock.now() + shared.settings.header_timeout;
-    let reading = Limited::new(body, most).collect();
+    let reading = Limited::new(body, limit).collect();
     match shared.until(deadline, reading).await {
         Some(Ok(whole)) => Ok(whole.to_bytes()),
         Some(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            let message = format!("the body is larger than {most} bytes");
+            let message = format!("the body is larger than {limit} bytes");
             Err(CallerError::invalid(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too_large",
@@ -230,8 +230,8 @@
     }
 }
 
-/// Turns what a caller sent into a request to be run.
-struct RequestIntake<'a, C> {
+/// Builds the request to be run from a caller's HTTP request.
+struct RequestBuilder<'a, C> {
     shared: &'a NodeShared<C>,
     config: &'a FleetConfig,
     workspace: &'a Workspace,
@@ -240,26 +240,26 @@
     id: &'a RequestId,
 }
 
-impl<C: Clock> RequestIntake<'_, C> {
+impl<C: Clock> RequestBuilder<'_, C> {
     fn model_request(&self) -> Result<CallerRequest, CallerError> {
-        let asked: ModelRequest<'_> = serde_json::from_slice(&self.body).map_err(|error| {
+        let parsed: ModelRequest<'_> = serde_json::from_slice(&self.body).map_err(|error| {
             let message = format!("the body is not a model request: {error}");
             CallerError::invalid(StatusCode::BAD_REQUEST, "invalid_request_error", message)
         })?;
-        let pool = self.pool(&asked.model, ServerKind::Engine)?;
+        let pool = self.pool(&parsed.model, ServerKind::Engine)?;
         let class = self.class()?;
-        let wanted = asked
+        let max_tokens = parsed
             .max_completion_tokens
-            .or(asked.max_tokens)
+            .or(parsed.max_tokens)
             .unwrap_or(u32::MAX);
-        let prompt = asked.messages.or(asked.prompt).map_or("", RawValue::get);
-        let prefix = prefix_digest(self.workspace, &asked.model, prompt);
+        let prompt = parsed.messages.or(parsed.prompt).map_or("", RawValue::get);
+        let prefix = prefix_digest(self.workspace, &parsed.model, prompt);
         let ticket = RequestTicket {
-            expected_tokens: class.expected_tokens.min(wanted).max(1),
+            expected_tokens: class.expected_tokens.min(max_tokens).max(1),
             prefix: Some(prefix),
             ..self.ticket(pool, class, class.idempotent)
         };
-        self.request(ticket, self.head.uri.path().to_owned(), asked.stream)
+        self.request(ticket, self.head.uri.path().to_owned(), parsed.stream)
     }
 
     fn service_request(&self) -> Result<CallerRequest, CallerError> {
@@ -286,7 +286,7 @@
             .rules
             .classes
             .get(&rule.class)
-            .ok_or_else(no_class)?;
+            .ok_or_else(missing_class)?;
         let idempotent = class.idempotent && rule.is_idempotent(self.head.method.as_str(), &call);
         self.request(self.ticket(pool, class, idempotent), call, false)
     }
@@ -320,8 +320,8 @@
                     .rules
                     .default_class
                     .as_ref()
-                    .ok_or_else(no_class)?;
-                classes.get(name).ok_or_else(no_class)
+                    .ok_or_else(missing_class)?;
+                classes.get(name).ok_or_else(missing_class)
             }
         }
     }
@@ -353,7 +353,7 @@
     ) -> Result<CallerRequest, CallerError> {
         let headers = &self.head.headers;
         let idempotency_key = headers.get(KEY_HEADER).cloned();
-        let key = idempotency_key.as_ref().map(read_key).transpose()?;
+        let key = idempotency_key.as_ref().map(parse_key).transpose()?;
         let call = BackendCall {
             method: self.head.method.clone(),
             path,
@@ -379,25 +379,26 @@
     }
 }
 
-fn no_class() -> CallerError {
+fn missing_class() -> CallerError {
     let message =
         format!("the request names no class in {CLASS_HEADER} and the rules have no default");
     CallerError::invalid(StatusCode::BAD_REQUEST, "invalid_request_error", message)
 }
 
-fn read_key(value: &HeaderValue) -> Result<String, CallerError> {
+fn parse_key(value: &HeaderValue) -> Result<String, CallerError> {
     let key = value
         .to_str()
         .ok()
-        .filter(|key| !key.is_empty() && key.len() <= LONGEST_KEY);
+        .filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     key.map(str::to_owned).ok_or_else(|| {
         let message =
-            format!("the Idempotency-Key must have 1 to {LONGEST_KEY} visible characters");
+            format!("the Idempotency-Key must have 1 to {MAX_KEY_BYTES} visible characters");
         CallerError::invalid(StatusCode::BAD_REQUEST, "invalid_request_error", message)
     })
 }
 
-/// Workspaces never share a cached prefix: the digest of equal prompts differs between them.
+/// Computes the digest of a prompt prefix. It includes the workspace, so that workspaces never
+/// share a cached prefix even if their prompts are equal.
 fn prefix_digest(workspace: &Workspace, model: &str, prompt: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     workspace.id.hash(&mut hasher);
--- a/crates/plumgate-node/src/claims.rs
+++ b/crates/plumgate-node/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of keys in the platform's table, and the answers kept for repeated requests.
+//! Claims of idempotency keys in the platform's table, and the answers stored for repeated requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,54 +15,54 @@
 use crate::platform::{TableRow, WriteAnswer, WriteCondition};
 use crate::shared::NodeShared;
 
-/// The platform's table with one row for each key.
+/// Table on the platform with one row per key.
 const CLAIM_TABLE: &str = "claims";
-/// First pause between two looks at another attempt's claim.
-const FIRST_LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two looks at another attempt's claim.
-const LONGEST_LOOK_PAUSE: Duration = Duration::from_secs(1);
-/// Times that the end of a run is written before it is left as claimed.
-const SETTLE_TRIES: u32 = 6;
+/// Initial interval between two reads of another attempt's claim, and between tries to settle.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum interval between two reads of another attempt's claim.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of tries to record the end of a run before the row is left as claimed.
+const MAX_SETTLE_ATTEMPTS: u32 = 6;
 
-/// How a claim ended.
+/// Outcome of claiming a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum ClaimEnd {
-    /// The key is this attempt's.
+pub(crate) enum ClaimOutcome {
+    /// This attempt holds the key.
     Granted(RowVersion),
-    /// Another attempt has it.
+    /// Another attempt holds the key.
     Taken(ClaimRow),
-    /// The key names another request.
+    /// The key was used for a different request.
     Mismatched,
-    /// No claim is possible now.
+    /// The key can't be claimed now.
     Unavailable,
 }
 
-/// What became of another attempt's claim.
+/// Outcome of another attempt's claim.
 #[derive(Debug)]
-pub(crate) enum OtherEnd {
-    /// Its answer.
+pub(crate) enum OtherAttemptOutcome {
+    /// The attempt was answered.
     Answered(WholeAnswer),
-    /// It surely did not run.
+    /// The request did not run.
     NotRun,
-    /// Nobody can tell.
+    /// It is unknown whether the request ran.
     Unknown,
 }
 
-/// An answer as the object store keeps it.
+/// Format of an answer in the object store.
 #[derive(Debug, Serialize, Deserialize)]
-struct KeptAnswer {
+struct StoredAnswer {
     status: u16,
     content_type: Option<String>,
     body: Vec<u8>,
 }
 
-/// Claims one key.
+/// Claims a key. If a write gets no answer, the row is read back before another write.
 pub(crate) async fn claim_key<C: Clock>(
     shared: &NodeShared<C>,
     name: &str,
     run: &mut ClaimRun,
     lifetime: Duration,
-) -> ClaimEnd {
+) -> ClaimOutcome {
     let mut action = run.start();
     loop {
         action = match action {
@@ -88,10 +88,10 @@
                 Ok(found) => run.apply_row(found.map(|row| (row.value, row.version))),
                 Err(()) => run.apply_unanswered(),
             },
-            ClaimAction::Granted(version) => return ClaimEnd::Granted(version),
-            ClaimAction::Taken(row) => return ClaimEnd::Taken(row),
-            ClaimAction::Mismatched => return ClaimEnd::Mismatched,
-            ClaimAction::Unavailable => return ClaimEnd::Unavailable,
+            ClaimAction::Granted(version) => return ClaimOutcome::Granted(version),
+            ClaimAction::Taken(row) => return ClaimOutcome::Taken(row),
+            ClaimAction::Mismatched => return ClaimOutcome::Mismatched,
+            ClaimAction::Unavailable => return ClaimOutcome::Unavailable,
         };
     }
 }
@@ -109,38 +109,38 @@
         })
 }
 
-/// Waits for what another attempt makes of its claim.
+/// Waits for the outcome of the attempt that holds the claim.
 ///
-/// While its node is alive it may still answer. Once that node is gone, nobody will ever
-/// know whether the request ran, and the caller is told so at once.
-pub(crate) async fn await_other<C: Clock>(
+/// The attempt may still be answered while its node is alive. Once that node is gone, it stays
+/// unknown whether the request ran, and this function returns at once.
+pub(crate) async fn await_other_attempt<C: Clock>(
     shared: &NodeShared<C>,
     name: &str,
     row: ClaimRow,
     deadline: Instant,
-) -> OtherEnd {
+) -> OtherAttemptOutcome {
     let mut row = row;
-    let mut pause = FIRST_LOOK_PAUSE;
+    let mut pause = MIN_POLL_INTERVAL;
     loop {
         match &row.state {
             ClaimState::Answered(object) => {
                 return read_answer(shared, object)
                     .await
-                    .map_or(OtherEnd::Unknown, OtherEnd::Answered);
+                    .map_or(OtherAttemptOutcome::Unknown, OtherAttemptOutcome::Answered);
             }
-            ClaimState::NotRun => return OtherEnd::NotRun,
-            ClaimState::Unknown => return OtherEnd::Unknown,
+            ClaimState::NotRun => return OtherAttemptOutcome::NotRun,
+            ClaimState::Unknown => return OtherAttemptOutcome::Unknown,
             ClaimState::Claimed => {}
         }
         let alive = shared.members.load().nodes.contains(&row.node);
         if !alive || shared.clock.now() + pause >= deadline {
-            return OtherEnd::Unknown;
+            return OtherAttemptOutcome::Unknown;
         }
         shared.clock.sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_LOOK_PAUSE);
+        pause = (pause * 2).min(MAX_POLL_INTERVAL);
         match read_claim(shared, name).await {
             Ok(Some(found)) => row = found.value,
-            Ok(None) => return OtherEnd::Unknown,
+            Ok(None) => return OtherAttemptOutcome::Unknown,
             Err(()) => {}
         }
     }
@@ -148,47 +148,47 @@
 
 async fn read_answer<C: Clock>(shared: &NodeShared<C>, object: &str) -> Option<WholeAnswer> {
     let bytes = shared.platform.read_object(object).await.ok().flatten()?;
-    let kept: KeptAnswer = postcard::from_bytes(&bytes).ok()?;
+    let stored: StoredAnswer = postcard::from_bytes(&bytes).ok()?;
     Some(WholeAnswer {
-        status: StatusCode::from_u16(kept.status).ok()?,
-        content_type: kept
+        status: StatusCode::from_u16(stored.status).ok()?,
+        content_type: stored
             .content_type
             .and_then(|text| HeaderValue::from_str(&text).ok()),
-        body: kept.body.into(),
+        body: stored.body.into(),
     })
 }
 
-/// How the run of a claimed key ended.
+/// Final outcome of the run of a claimed key.
 #[derive(Debug)]
 pub(crate) enum SettledRun {
-    /// With an answer to keep.
+    /// The run ended with an answer, which is stored.
     Answered(WholeAnswer),
-    /// Without one.
+    /// The run ended without an answer.
     Ended(RunOutcome),
 }
 
 /// A claim that this node holds.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldClaim {
-    /// The name of the row.
+    /// Name of the row.
     pub(crate) name: String,
-    /// The claim.
+    /// State of the claim.
     pub(crate) run: ClaimRun,
-    /// The version of the row; `None` where it is not known whether the write took effect.
+    /// Version of the row; `None` if it is unknown whether the write took effect.
     pub(crate) version: Option<RowVersion>,
-    /// How long row and answer are kept.
+    /// Time for which row and answer are stored.
     pub(crate) lifetime: Duration,
 }
 
-/// Writes down how a run ended, so that a repeated request learns of it.
+/// Records the outcome of a run in the claim's row, for repeated requests.
 pub(crate) async fn settle_claim<C: Clock>(
     shared: Arc<NodeShared<C>>,
     mut claim: HeldClaim,
     settled: SettledRun,
 ) {
-    let mut pause = FIRST_LOOK_PAUSE;
-    for _ in 0..SETTLE_TRIES {
-        if try_settle(&shared, &mut claim, &settled).await {
+    let mut pause = MIN_POLL_INTERVAL;
+    for _ in 0..MAX_SETTLE_ATTEMPTS {
+        if try_settle_once(&shared, &mut claim, &settled).await {
             return;
         }
         shared.clock.sleep(pause).await;
@@ -199,17 +199,17 @@
         .warn(&shared.log);
 }
 
-/// One try; whether the row needs no more.
-async fn try_settle<C: Clock>(
+/// Tries once to record the outcome; returns whether no further try is needed.
+async fn try_settle_once<C: Clock>(
     shared: &NodeShared<C>,
     claim: &mut HeldClaim,
     settled: &SettledRun,
 ) -> bool {
     let Some(version) = claim.version else {
-        return find_version(shared, claim).await;
+        return resolve_version(shared, claim).await;
     };
     let row = match settled {
-        SettledRun::Answered(whole) => match keep_answer(shared, claim, whole).await {
+        SettledRun::Answered(whole) => match store_answer(shared, claim, whole).await {
             Some(object) => claim.run.answered(object),
             None => return false,
         },
@@ -223,31 +223,32 @@
         .await
     {
         WriteAnswer::Written(_) => true,
-        // Nobody else writes a claimed row: the conflict is this node's own earlier write.
+        // Only the claimer writes a claimed row, so the conflict is this node's own earlier write.
         WriteAnswer::Conflict(_) => true,
         WriteAnswer::Refused | WriteAnswer::Unanswered => false,
     }
 }
 
-/// Finds out whether a claim in doubt took effect; whether there is nothing to settle.
-async fn find_version<C: Clock>(shared: &NodeShared<C>, claim: &mut HeldClaim) -> bool {
+/// Reads whether a write without an answer took effect; returns whether nothing is left to
+/// settle.
+async fn resolve_version<C: Clock>(shared: &NodeShared<C>, claim: &mut HeldClaim) -> bool {
     match read_claim(shared, &claim.name).await {
         Ok(Some(found)) if claim.run.owns(&found.value) => {
             claim.version = Some(found.version);
             false
         }
-        // Another attempt has it, or the write had no effect so far.
+        // Another attempt holds the key, or the write has had no effect so far.
         Ok(found) => found.is_some(),
         Err(()) => false,
     }
 }
 
-async fn keep_answer<C: Clock>(
+async fn store_answer<C: Clock>(
     shared: &NodeShared<C>,
     claim: &HeldClaim,
     whole: &WholeAnswer,
 ) -> Option<String> {
-    let kept = KeptAnswer {
+    let stored = StoredAnswer {
         status: whole.status.as_u16(),
         content_type: whole
             .content_type
@@ -256,7 +257,7 @@
             .map(str::to_owned),
         body: whole.body.to_vec(),
     };
-    let bytes = postcard::to_stdvec(&kept).ok()?;
+    let bytes = postcard::to_stdvec(&stored).ok()?;
     let object = format!("answers-{}", claim.name);
     let written = shared
         .platform
--- a/crates/plumgate-node/src/control.rs
+++ b/crates/plumgate-node/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: owns what the node believes about the fleet, and publishes it.
+//! Control thread: owns the node's view of the fleet and publishes it to the traffic threads.
 
 mod config;
 mod gossip;
@@ -26,57 +26,57 @@
 use crate::platform::{ListedVm, ReadFailure, TableRow, VmRole};
 use crate::shared::{ControlEvent, MemberView, NodeShared};
 
-/// Time between two looks at all that may be due.
-const TICK: Duration = Duration::from_millis(50);
-/// Time between two reads of the list of VMs by a node that is chosen to read it.
-const LIST_PAUSE: Duration = Duration::from_secs(1);
-/// Time between two reads by a node that is not chosen.
-const IDLE_LIST_PAUSE: Duration = Duration::from_secs(10);
-/// Nodes of a data centre that read head and list.
-const READERS: usize = 2;
-/// Shortest pause between two questions for room in one pool.
-const ROOM_PAUSE: Duration = Duration::from_millis(100);
-/// Peers that are asked for room at a time.
-const ROOM_PEERS: usize = 2;
+/// Interval at which all periodic work is checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two reads of the VM list by a node that is chosen as its watcher.
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two reads of the VM list by a node that is not chosen.
+const IDLE_LIST_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of nodes per data centre that watch the configuration head and the VM list.
+const WATCHERS: usize = 2;
+/// Minimum interval between two preemption requests for the same pool.
+const PREEMPT_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of peers that receive one preemption request.
+const MAX_PREEMPT_PEERS: usize = 2;
 
-/// What a task of the control thread found out.
-enum TaskEnd {
+/// Result of a task that the control thread spawned.
+enum TaskResult {
     Head(Result<Option<TableRow<ConfigHead>>, ReadFailure>),
-    Body(ConfigHead, Option<String>),
+    Bundle(ConfigHead, Option<String>),
     Vms(Result<Vec<ListedVm>, ReadFailure>),
     Report(Option<(ServerId, LoadReport)>),
 }
 
-/// What woke the control thread before its next tick.
-enum Woken {
+/// Reason why the control thread woke before its next tick.
+enum WakeReason {
     Event(ControlEvent),
-    Task(TaskEnd),
+    Task(TaskResult),
     Order(OrderEvent),
 }
 
-/// The state of the control thread.
+/// State and event loop of the control thread.
 pub(crate) struct ControlLoop<C> {
     shared: Arc<NodeShared<C>>,
     events: Receiver<ControlEvent>,
     executor: Rc<LocalExecutor<'static>>,
-    task_ends: (async_channel::Sender<TaskEnd>, Receiver<TaskEnd>),
+    task_results: (async_channel::Sender<TaskResult>, Receiver<TaskResult>),
     members: MemberTable,
     follower: ConfigFollower,
     links: PeerLinks,
     guard: ReplayGuard,
-    life: NodeLife,
+    lifecycle: NodeLife,
     orders: OrderGiver<C>,
-    order_ends: Receiver<OrderEvent>,
+    order_events: Receiver<OrderEvent>,
     observer: ServerObserver,
     last_patch: Option<(u64, u64, TextPatch)>,
-    next_list: Option<Instant>,
+    next_list_read: Option<Instant>,
     platform_leaving: BTreeSet<ServerId>,
-    asked_room: HashMap<PoolId, Instant>,
-    tell_soon: BTreeSet<String>,
+    last_preempt_requests: HashMap<PoolId, Instant>,
+    awaiting_digest: BTreeSet<String>,
 }
 
 impl<C: Clock> ControlLoop<C> {
-    /// A control thread that knows nothing yet.
+    /// Creates a control loop without a configuration or server data.
     pub(crate) fn new(
         shared: Arc<NodeShared<C>>,
         events: Receiver<ControlEvent>,
@@ -84,25 +84,25 @@
         members: MemberTable,
         links: PeerLinks,
     ) -> Self {
-        let (order_sender, order_ends) = async_channel::unbounded();
+        let (order_sender, order_events) = async_channel::unbounded();
         Self {
-            life: NodeLife::new(&shared.settings),
+            lifecycle: NodeLife::new(&shared.settings),
             orders: OrderGiver::new(shared.clone(), order_sender),
-            order_ends,
+            order_events,
             observer: ServerObserver::default(),
             shared,
             events,
             executor,
-            task_ends: async_channel::unbounded(),
+            task_results: async_channel::unbounded(),
             members,
             follower: ConfigFollower::new(),
             links,
             guard: ReplayGuard::new(),
             last_patch: None,
-            next_list: None,
+            next_list_read: None,
             platform_leaving: BTreeSet::new(),
-            asked_room: HashMap::new(),
-            tell_soon: BTreeSet::new(),
+            last_preempt_requests: HashMap::new(),
+            awaiting_digest: BTreeSet::new(),
         }
     }
 
@@ -112,16 +112,16 @@
         loop {
             if self.shared.clock.now() >= next_tick {
                 self.tick();
-                next_tick = self.shared.clock.now() + TICK;
+                next_tick = self.shared.clock.now() + TICK_INTERVAL;
             }
-            if self.life.is_over() {
+            if self.lifecycle.is_over() {
                 return;
             }
             self.wait(next_tick).await;
         }
     }
 
-    /// Takes in one event, or waits until the next tick.
+    /// Handles one event, or returns at the next tick.
     async fn wait(&mut self, next_tick: Instant) {
         let clock = self.shared.clock.clone();
         let tick = async {
@@ -129,15 +129,15 @@
             None
         };
         let events = self.events.clone();
-        let event = async { Some(Woken::Event(events.recv().await.ok()?)) };
-        let ends = self.task_ends.1.clone();
-        let end = async { Some(Woken::Task(ends.recv().await.ok()?)) };
-        let orders = self.order_ends.clone();
-        let order = async { Some(Woken::Order(orders.recv().await.ok()?)) };
-        match future::or(tick, future::or(event, future::or(end, order))).await {
-            Some(Woken::Event(event)) => self.apply(event),
-            Some(Woken::Task(end)) => self.apply_end(end),
-            Some(Woken::Order(event)) => {
+        let event = async { Some(WakeReason::Event(events.recv().await.ok()?)) };
+        let results = self.task_results.1.clone();
+        let result = async { Some(WakeReason::Task(results.recv().await.ok()?)) };
+        let orders = self.order_events.clone();
+        let order = async { Some(WakeReason::Order(orders.recv().await.ok()?)) };
+        match future::or(tick, future::or(event, future::or(result, order))).await {
+            Some(WakeReason::Event(event)) => self.apply(event),
+            Some(WakeReason::Task(result)) => self.apply_result(result),
+            Some(WakeReason::Order(event)) => {
                 let task = self.orders.apply(event);
                 self.run_tasks(task);
             }
@@ -154,33 +154,35 @@
     fn apply(&mut self, event: ControlEvent) {
         match event {
             ControlEvent::PeerBytes(bytes) => self.apply_bytes(&bytes),
-            ControlEvent::AskForRoom(pool, rank) => self.ask_for_room(&pool, rank),
-            ControlEvent::Stop => self.life.stop(&self.shared),
+            ControlEvent::AskForRoom(pool, rank) => self.request_peer_preemption(&pool, rank),
+            ControlEvent::Stop => self.lifecycle.stop(&self.shared),
         }
     }
 
     fn tick(&mut self) {
         let now = self.shared.clock.now();
         for event in self.members.tick(now) {
-            self.note_member(event);
+            self.log_member_event(event);
         }
-        self.life.tick(&self.shared);
-        self.tell_waiting(now);
+        self.lifecycle.tick(&self.shared);
+        self.send_awaited_digests(now);
         self.gossip(now);
-        let chosen = self.members.is_chosen("config-reader", READERS);
-        if let Some(action) = self.follower.tick(chosen, now) {
-            self.follow(action);
+        let is_watcher = self.members.is_chosen("config-reader", WATCHERS);
+        if let Some(action) = self.follower.tick(is_watcher, now) {
+            self.run_action(action);
         }
-        self.read_list(now);
+        self.read_vm_list(now);
         self.observe_servers(now);
-        let tasks = self.orders.tick(&self.members, self.life.is_stopping());
+        let tasks = self
+            .orders
+            .tick(&self.members, self.lifecycle.is_stopping());
         self.run_tasks(tasks);
         let actions = self.shared.dispatcher().tick(now);
         self.shared.carry_out(actions);
         self.publish_members();
     }
 
-    fn note_member(&mut self, event: MemberEvent) {
+    fn log_member_event(&mut self, event: MemberEvent) {
         let line = match event {
             MemberEvent::Joined(node) => LogLine::new("member")
                 .with("node", node)
@@ -214,41 +216,41 @@
     fn spawn<F, W>(&self, work: F)
     where
         F: FnOnce(crate::platform::PlatformClient<C>) -> W + 'static,
-        W: Future<Output = TaskEnd> + 'static,
+        W: Future<Output = TaskResult> + 'static,
     {
         let platform = self.shared.platform.clone();
-        let ends = self.task_ends.0.clone();
+        let results = self.task_results.0.clone();
         let task = async move {
-            let end = work(platform).await;
-            // The loop that listens ends only when the node does.
-            let _ = ends.send(end).await;
+            let result = work(platform).await;
+            // The receiving loop ends only with the node, so a failed send needs no handling.
+            let _ = results.send(result).await;
         };
         self.executor.spawn(task).detach();
     }
 
-    fn apply_end(&mut self, end: TaskEnd) {
+    fn apply_result(&mut self, result: TaskResult) {
         let now = self.shared.clock.now();
-        match end {
-            TaskEnd::Head(Ok(row)) => {
+        match result {
+            TaskResult::Head(Ok(row)) => {
                 let action = row.and_then(|row| self.follower.apply_head(row.value, now));
-                self.follow_some(action);
+                self.run_optional_action(action);
             }
-            TaskEnd::Body(head, Some(text)) => {
+            TaskResult::Bundle(head, Some(text)) => {
                 let action = self
                     .follower
                     .apply_body(head.version, text, Some(&head.digest));
-                self.follow_some(action);
+                self.run_optional_action(action);
             }
-            TaskEnd::Vms(Ok(vms)) => self.apply_list(vms),
-            TaskEnd::Report(Some((server, report))) => {
+            TaskResult::Vms(Ok(vms)) => self.apply_list(vms),
+            TaskResult::Report(Some((server, report))) => {
                 self.shared
                     .dispatcher()
                     .routes_mut()
                     .apply_report(&server, report, now);
             }
-            // A server that gives no report is judged by how it answers requests.
-            TaskEnd::Report(None) => {}
-            TaskEnd::Head(Err(_)) | TaskEnd::Vms(Err(_)) | TaskEnd::Body(_, None) => {
+            // A server without a load report is assessed by its answers to requests.
+            TaskResult::Report(None) => {}
+            TaskResult::Head(Err(_)) | TaskResult::Vms(Err(_)) | TaskResult::Bundle(_, None) => {
                 self.shared.metrics.platform_failures.inc();
             }
         }
@@ -260,17 +262,23 @@
         };
         for server in self.observer.tick(&self.members, &config, now) {
             let shared = self.shared.clone();
-            self.spawn(|_| async move { TaskEnd::Report(fetch_report(shared, server).await) });
+            self.spawn(|_| async move { TaskResult::Report(fetch_report(shared, server).await) });
         }
     }
 
-    fn read_list(&mut self, now: Instant) {
-        if self.next_list.is_some_and(|due| now < due) {
+    fn read_vm_list(&mut self, now: Instant) {
+        if self.next_list_read.is_some_and(|due| now < due) {
             return;
         }
-        let chosen = self.members.is_chosen("list-reader", READERS);
-        self.next_list = Some(now + if chosen { LIST_PAUSE } else { IDLE_LIST_PAUSE });
-        self.spawn(|platform| async move { TaskEnd::Vms(platform.list_vms().await) });
+        let is_watcher = self.members.is_chosen("list-reader", WATCHERS);
+        self.next_list_read = Some(
+            now + if is_watcher {
+                LIST_INTERVAL
+            } else {
+                IDLE_LIST_INTERVAL
+            },
+        );
+        self.spawn(|platform| async move { TaskResult::Vms(platform.list_vms().await) });
     }
 
     fn apply_list(&mut self, vms: Vec<ListedVm>) {
--- a/crates/plumgate-node/src/control/config.rs
+++ b/crates/plumgate-node/src/control/config.rs
@@ -1,4 +1,4 @@
-//! Brings the newest configuration into force and passes it on.
+//! Activates the newest configuration and distributes it to peers.
 
 use std::sync::Arc;
 
@@ -6,27 +6,27 @@
 use plumgate::follow::FollowAction;
 use plumgate::wire::{PeerMessage, TextPatch};
 
-use super::{ControlLoop, TaskEnd};
+use super::{ControlLoop, TaskResult};
 use crate::clock::Clock;
 use crate::log::LogLine;
 use crate::platform::{CONFIG_HEAD, CONFIG_TABLE};
 
 impl<C: Clock> ControlLoop<C> {
-    pub(super) fn follow_some(&mut self, action: Option<FollowAction>) {
+    pub(super) fn run_optional_action(&mut self, action: Option<FollowAction>) {
         if let Some(action) = action {
-            self.follow(action);
+            self.run_action(action);
         }
     }
 
-    pub(super) fn follow(&mut self, action: FollowAction) {
+    pub(super) fn run_action(&mut self, action: FollowAction) {
         match action {
             FollowAction::ReadHead => self.spawn(|platform| async move {
-                TaskEnd::Head(platform.read_row(CONFIG_TABLE, CONFIG_HEAD).await)
+                TaskResult::Head(platform.read_row(CONFIG_TABLE, CONFIG_HEAD).await)
             }),
             FollowAction::ReadBody(head) => self.spawn(|platform| async move {
                 let bytes = platform.read_object(&head.digest).await.ok().flatten();
                 let text = bytes.and_then(|bytes| String::from_utf8(bytes.to_vec()).ok());
-                TaskEnd::Body(head, text)
+                TaskResult::Bundle(head, text)
             }),
             FollowAction::AskPeer(node) => {
                 let address = self
@@ -51,7 +51,8 @@
         let version = config.version;
         let actions = {
             let mut dispatcher = self.shared.dispatcher();
-            // Traffic reads the version of a request's decision: both change in one step.
+            // Traffic threads log the configuration version of each routing decision, so the
+            // configuration and the dispatcher change under one lock.
             self.shared.config.store(Some(config.clone()));
             dispatcher.set_config(config, self.shared.clock.now())
         };
@@ -60,13 +61,13 @@
         LogLine::new("config")
             .with("version", version)
             .info(&self.shared.log);
-        self.life.configured(&self.shared);
+        self.lifecycle.configured(&self.shared);
         self.last_patch = patch.map(|(from, patch)| (from, version, patch));
-        self.pass_on_config();
+        self.announce_config();
     }
 
-    /// Tells a new version at once; whoever hears it first passes it on in turn.
-    pub(super) fn pass_on_config(&mut self) {
+    /// Sends a new version to peers at once; each peer that applies it sends it on to others.
+    pub(super) fn announce_config(&mut self) {
         let addresses = self.members.partners();
         let digest = self.follower.held().map(|held| held.digest.clone());
         if let (Some((from, version, patch)), Some(digest)) = (self.last_patch.clone(), digest) {
@@ -84,7 +85,7 @@
         }
     }
 
-    pub(super) fn answer_config(&mut self, node: &str, have: u64) {
+    pub(super) fn send_config(&mut self, node: &str, have: u64) {
         let Some(held) = self.follower.held().filter(|held| held.version > have) else {
             return;
         };
--- a/crates/plumgate-node/src/control/gossip.rs
+++ b/crates/plumgate-node/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Tells peers what this node knows, and takes in what they tell.
+//! Gossip: sends this node's digests to peers and applies the messages of peers.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -9,7 +9,7 @@
     NodeDigest, PeerEnvelope, PeerMessage, ServerLoad, servers_told, workspaces_told,
 };
 
-use super::{ControlLoop, ROOM_PAUSE, ROOM_PEERS};
+use super::{ControlLoop, MAX_PREEMPT_PEERS, PREEMPT_REQUEST_INTERVAL};
 use crate::clock::Clock;
 use crate::log::LogLine;
 use crate::metrics::ReasonLabels;
@@ -19,7 +19,7 @@
         if self.members.next_round().is_some_and(|due| now < due) {
             return;
         }
-        self.fill_digest(now);
+        self.update_own_digest(now);
         let Some(round) = self.members.gossip(now) else {
             return;
         };
@@ -28,7 +28,7 @@
         self.members.note_sent(sent, &round, now);
     }
 
-    /// Sends a message; how many bytes went out.
+    /// Sends a message to the addresses and returns the number of bytes sent.
     pub(super) fn send(&mut self, addresses: &[String], message: PeerMessage) -> u64 {
         let sent_ms = self.shared.clock.unix_ms();
         let now = self.shared.clock.now();
@@ -36,7 +36,7 @@
             .send(addresses, message, sent_ms, now, &self.shared.metrics)
     }
 
-    pub(super) fn fill_digest(&mut self, now: Instant) {
+    pub(super) fn update_own_digest(&mut self, now: Instant) {
         let nodes = self.members.live_count();
         let (pools, servers, demand) = {
             let mut dispatcher = self.shared.dispatcher();
@@ -47,19 +47,20 @@
                 dispatcher.limits_mut().demand(now),
             )
         };
-        let leaving = self.leaving_to_tell();
+        let leaving = self.leaving_to_announce();
         let own = self.members.own_mut();
         own.config = self.follower.version();
-        own.stopping = self.life.is_stopping();
+        own.stopping = self.lifecycle.is_stopping();
         own.pools = pools;
         own.servers = servers;
         own.demand = largest_demand(demand, workspaces_told(nodes));
         own.leaving = leaving;
     }
 
-    /// Leaving marks of the platform and of servers themselves. Marks that only peers told are
-    /// not told on, or a mark would outlive its source by going round.
-    pub(super) fn leaving_to_tell(&self) -> Vec<String> {
+    /// Returns the servers that the platform or the servers themselves report as leaving. Marks
+    /// reported only by peers are not forwarded: they would circulate after their source has
+    /// removed them.
+    pub(super) fn leaving_to_announce(&self) -> Vec<String> {
         let now = self.shared.clock.now();
         let dispatcher = self.shared.dispatcher();
         let own = |sources: &Vec<LeavingSource>| {
@@ -87,7 +88,7 @@
             Ok(envelope) => self.apply_message(envelope),
             Err(error) => {
                 let labels = ReasonLabels {
-                    reason: refusal_word(&error),
+                    reason: refusal_label(&error),
                 };
                 self.shared
                     .metrics
@@ -105,13 +106,13 @@
         let now = self.shared.clock.now();
         match envelope.message {
             PeerMessage::Digests(digests) => {
-                self.greet(&envelope.sender, &digests, now);
+                self.send_known_digests(&envelope.sender, &digests, now);
                 self.apply_digests(digests, now);
             }
-            PeerMessage::AskConfig { have } => self.answer_config(&envelope.sender, have),
+            PeerMessage::AskConfig { have } => self.send_config(&envelope.sender, have),
             PeerMessage::Config { version, bundle } => {
                 let action = self.follower.apply_body(version, bundle, None);
-                self.follow_some(action);
+                self.run_optional_action(action);
             }
             PeerMessage::ConfigPatch {
                 from,
@@ -123,19 +124,26 @@
                 let action = self
                     .follower
                     .apply_patch(sender, from, version, &patch, &digest);
-                self.follow_some(action);
+                self.run_optional_action(action);
+            }
+            PeerMessage::MakeRoom { pool, rank } => {
+                self.on_preempt_request(&envelope.sender, pool, rank)
             }
-            PeerMessage::MakeRoom { pool, rank } => self.make_room(&envelope.sender, pool, rank),
         }
     }
 
-    /// Tells a new node all that is known of the others.
-    pub(super) fn greet(&mut self, sender: &str, digests: &[NodeDigest], now: Instant) {
-        let Some(first) = digests.iter().find(|digest| digest.node == sender) else {
+    /// Sends all known digests to a node that has just joined.
+    pub(super) fn send_known_digests(
+        &mut self,
+        sender: &str,
+        digests: &[NodeDigest],
+        now: Instant,
+    ) {
+        let Some(own) = digests.iter().find(|digest| digest.node == sender) else {
             return;
         };
         if let Some(known) = self.members.greeting(sender, now) {
-            let address = first.address.clone();
+            let address = own.address.clone();
             self.send(&[address], PeerMessage::Digests(known));
         }
     }
@@ -160,16 +168,16 @@
             let action = self
                 .follower
                 .apply_peer_version(&digest.node, digest.config, now);
-            self.follow_some(action);
+            self.run_optional_action(action);
         }
-        let told = self.members.live().flat_map(|digest| &digest.leaving);
-        let leaving: BTreeSet<ServerId> = told.map(|server| server.as_str().into()).collect();
+        let leaving = self.members.live().flat_map(|digest| &digest.leaving);
+        let leaving: BTreeSet<ServerId> = leaving.map(|server| server.as_str().into()).collect();
         self.set_leaving(LeavingSource::Peer, &leaving);
     }
 
-    /// Lets a request give way for a peer, and tells that peer soon that the slot is free: the
-    /// next round of gossip may come too late for a request that waits there.
-    pub(super) fn make_room(&mut self, sender: &str, pool: String, rank: TierRank) {
+    /// Preempts a request for a peer and schedules a digest to that peer, which shows the free
+    /// slot: the next gossip round may be too late for the request that waits there.
+    pub(super) fn on_preempt_request(&mut self, sender: &str, pool: String, rank: TierRank) {
         let action = self.shared.dispatcher().give_way(&pool.into(), rank);
         let Some(action) = action else { return };
         self.shared.carry_out(vec![action]);
@@ -177,42 +185,44 @@
             .members
             .peer(sender)
             .map(|digest| digest.address.clone());
-        self.tell_soon.extend(address);
+        self.awaiting_digest.extend(address);
     }
 
-    /// Tells this node's state to peers that wait for it.
-    pub(super) fn tell_waiting(&mut self, now: Instant) {
-        if self.tell_soon.is_empty() {
+    /// Sends this node's digest to the peers for which one is scheduled.
+    pub(super) fn send_awaited_digests(&mut self, now: Instant) {
+        if self.awaiting_digest.is_empty() {
             return;
         }
-        let addresses: Vec<String> = std::mem::take(&mut self.tell_soon).into_iter().collect();
-        self.fill_digest(now);
+        let addresses: Vec<String> = std::mem::take(&mut self.awaiting_digest)
+            .into_iter()
+            .collect();
+        self.update_own_digest(now);
         let digest = self.members.next_digest();
         self.send(&addresses, PeerMessage::Digests(vec![digest]));
     }
 
-    pub(super) fn ask_for_room(&mut self, pool: &PoolId, rank: TierRank) {
+    pub(super) fn request_peer_preemption(&mut self, pool: &PoolId, rank: TierRank) {
         let now = self.shared.clock.now();
         if self
-            .asked_room
+            .last_preempt_requests
             .get(pool)
-            .is_some_and(|asked| now < *asked + ROOM_PAUSE)
+            .is_some_and(|sent_at| now < *sent_at + PREEMPT_REQUEST_INTERVAL)
         {
             return;
         }
-        self.asked_room.insert(pool.clone(), now);
-        let holds = |digest: &&NodeDigest| {
+        self.last_preempt_requests.insert(pool.clone(), now);
+        let runs_lower_rank = |digest: &&NodeDigest| {
             let loads = digest.pools.iter().filter(|load| *load.pool == **pool);
             loads
                 .flat_map(|load| &load.running)
-                .any(|(held, count)| *held > rank && *count > 0)
+                .any(|(running_rank, count)| *running_rank > rank && *count > 0)
         };
-        let holders = self
+        let candidates = self
             .members
             .live()
-            .filter(holds)
+            .filter(runs_lower_rank)
             .map(|digest| digest.address.clone());
-        let addresses: Vec<String> = holders.take(ROOM_PEERS).collect();
+        let addresses: Vec<String> = candidates.take(MAX_PREEMPT_PEERS).collect();
         LogLine::new("ask_for_room")
             .with("pool", pool)
             .with("tier", rank)
@@ -223,21 +233,22 @@
     }
 }
 
-fn busiest_servers(mut loads: Vec<PeerServerLoad>, most: usize) -> Vec<ServerLoad> {
+fn busiest_servers(mut loads: Vec<PeerServerLoad>, limit: usize) -> Vec<ServerLoad> {
     let total = |load: &PeerServerLoad| load.counts.iter().map(|(_, count)| *count).sum::<u32>();
     loads.sort_by_key(|load| std::cmp::Reverse(total(load)));
-    loads.truncate(most);
-    let told = loads.into_iter();
-    told.map(|load| ServerLoad {
-        server: load.server.to_string(),
-        counts: load.counts,
-    })
-    .collect()
+    loads.truncate(limit);
+    let loads = loads.into_iter();
+    loads
+        .map(|load| ServerLoad {
+            server: load.server.to_string(),
+            counts: load.counts,
+        })
+        .collect()
 }
 
-fn largest_demand(mut demand: Vec<(WorkspaceId, f32)>, most: usize) -> Vec<(String, f32)> {
+fn largest_demand(mut demand: Vec<(WorkspaceId, f32)>, limit: usize) -> Vec<(String, f32)> {
     demand.sort_by(|a, b| b.1.total_cmp(&a.1));
-    demand.truncate(most);
+    demand.truncate(limit);
     demand
         .into_iter()
         .map(|(workspace, demand)| (workspace.to_string(), demand))
@@ -251,7 +262,7 @@
     }
 }
 
-fn refusal_word(error: &plumgate::Error) -> &'static str {
+fn refusal_label(error: &plumgate::Error) -> &'static str {
     match error {
         plumgate::Error::OversizedMessage(..) => "oversized",
         plumgate::Error::ForgedMessage => "forged",
--- a/crates/plumgate-node/src/exchange.rs
+++ b/crates/plumgate-node/src/exchange.rs
@@ -1,4 +1,5 @@
-//! One attempt on a backend server: connect, send, follow the answer, resume it.
+//! One attempt on a backend server: connects, sends the request, relays the answer and resumes
+//! it after a lost connection.
 
 mod order;
 mod recover;
@@ -24,84 +25,84 @@
 
 pub(crate) use order::{AttemptOrder, AttemptResult};
 
-/// How long a new connection may take to come about.
+/// Timeout for opening a connection, and for each resume and status request.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Times that the same run is resumed over a new connection.
-const RESUMES_MOST: u32 = 3;
-/// Largest whole answer that is read.
-const LARGEST_ANSWER: usize = 32 * 1024 * 1024;
-/// Longest pause between two looks at a run that is silent.
-const LONGEST_LOOK_PAUSE: Duration = Duration::from_secs(30);
+/// Maximum number of consecutive tries to resume a run without receiving an event.
+const MAX_RESUMES: u32 = 3;
+/// Maximum size in bytes of an answer that is read as a whole.
+const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
+/// Upper bound of the interval between two status checks of a silent run.
+const MAX_SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Data of the event that ends a stream.
-const STREAM_END: &str = "[DONE]";
-/// Header by which a server says that it surely did not run the request.
-const NOT_RUN: &str = "x-not-run";
-/// Header by which a server says that it is leaving.
-const LEAVING: &str = "x-leaving";
-/// Header with the rank of a request, for engines that honour priorities.
-const PRIORITY: &str = "x-priority";
-/// Header with the number of the last event that was received.
-const LAST_EVENT: &str = "last-event-id";
+const STREAM_END_DATA: &str = "[DONE]";
+/// Header by which a server guarantees that it did not run the request.
+const NOT_RUN_HEADER: &str = "x-not-run";
+/// Header by which a server announces that it is leaving.
+const LEAVING_HEADER: &str = "x-leaving";
+/// Header with the tier rank of a request, for engines that schedule by priority.
+const PRIORITY_HEADER: &str = "x-priority";
+/// Header with the number of the last event received.
+const LAST_EVENT_HEADER: &str = "last-event-id";
 
-/// One attempt on its way.
+/// One attempt in progress.
 pub(crate) struct ServerAttempt<'a, C> {
     shared: &'a NodeShared<C>,
     order: AttemptOrder<'a>,
-    verdicts: &'a Receiver<Verdict>,
+    decisions: &'a Receiver<Verdict>,
     run: &'a mut AttemptRun,
     sent_at: Instant,
-    first_at: Option<Instant>,
+    first_token_at: Option<Instant>,
     events: u64,
     resumes: u32,
 }
 
-/// What happened while an answer was waited for.
-enum Waited<T> {
-    Came(T),
-    Silent,
+/// Outcome of waiting for an operation on the connection.
+enum WaitOutcome<T> {
+    Completed(T),
+    NoProgress,
     CallerGone,
     Preempted,
     Deadline,
 }
 
-/// How reading a stream ended.
-enum StreamEnd {
-    Done,
-    Cut,
+/// Outcome of reading a stream over one connection.
+enum StreamOutcome {
+    Complete,
+    Interrupted,
     Ended(AttemptResult),
 }
 
-/// What came of asking for the rest of a run.
-enum ResumeEnd {
+/// Outcome of requesting the rest of a run.
+enum ResumeOutcome {
     Resumed(Response<Incoming>),
-    /// The server answers, but doesn't know the run (any more).
-    Forgotten,
+    /// The server answers but does not know the run, or no longer does.
+    UnknownRun,
     Unreachable,
 }
 
 impl<'a, C: Clock> ServerAttempt<'a, C> {
-    /// An attempt that has not begun.
+    /// Creates an attempt that has not been sent.
     pub(crate) fn new(
         shared: &'a NodeShared<C>,
         order: AttemptOrder<'a>,
-        verdicts: &'a Receiver<Verdict>,
+        decisions: &'a Receiver<Verdict>,
         run: &'a mut AttemptRun,
     ) -> Self {
         let sent_at = shared.clock.now();
         Self {
             shared,
             order,
-            verdicts,
+            decisions,
             run,
             sent_at,
-            first_at: None,
+            first_token_at: None,
             events: 0,
             resumes: 0,
         }
     }
 
-    /// Carries the attempt out.
-    pub(crate) async fn carry_out(&mut self, sink: &mut impl AnswerSink) -> AttemptResult {
+    /// Runs the attempt to its end; cancels the run on the server unless it answered or refused.
+    pub(crate) async fn execute(&mut self, sink: &mut impl AnswerSink) -> AttemptResult {
         let Some((connection, reused)) = self.connect().await else {
             self.apply(AttemptEvent::ConnectFailed);
             return AttemptResult::ConnectFailed;
@@ -118,10 +119,11 @@
         result
     }
 
-    /// An open connection, and whether it served before.
+    /// Returns an open connection and whether it was used before.
     async fn connect(&self) -> Option<(OpenConnection, bool)> {
-        // A server may close an idle connection just as the request leaves, and then nobody
-        // knows whether it ran. What may run only once therefore gets a connection of its own.
+        // A server may close an idle connection while the request is being sent; it is then
+        // unknown whether the request ran. Requests that are not idempotent therefore use a new
+        // connection.
         if self.order.idempotent
             && let Some(connection) = self.shared.backends.take(self.address())
         {
@@ -144,22 +146,25 @@
         let request = self.request();
         let sending = connection.send_request(request);
         let mut sending = std::pin::pin!(sending);
-        let mut looks = 0;
+        let mut checks = 0;
         loop {
-            match self.wait(sending.as_mut(), self.silence(looks), sink).await {
-                Waited::Came(Ok(response)) => {
-                    let result = self.follow(response, sink).await;
+            match self
+                .wait(sending.as_mut(), self.silence_timeout(checks), sink)
+                .await
+            {
+                WaitOutcome::Completed(Ok(response)) => {
+                    let result = self.read_response(response, sink).await;
                     if matches!(result, AttemptResult::Answered { .. }) {
                         self.shared.backends.put(self.address(), connection);
                     }
                     return result;
                 }
-                Waited::Came(Err(_)) => {
+                WaitOutcome::Completed(Err(_)) => {
                     self.apply(AttemptEvent::Cut);
                     return self.recover(!reused, sink).await;
                 }
-                Waited::Silent => {
-                    looks += 1;
+                WaitOutcome::NoProgress => {
+                    checks += 1;
                     if self.is_still_running().await {
                         continue;
                     }
@@ -167,24 +172,25 @@
                     self.apply(AttemptEvent::Cut);
                     return self.recover(false, sink).await;
                 }
-                other => return self.end_of(other),
+                other => return self.interrupted_result(other),
             }
         }
     }
 
-    /// Reads an answer from its head on.
-    async fn follow(
+    /// Checks the head of a response and relays its body.
+    async fn read_response(
         &mut self,
         response: Response<Incoming>,
         sink: &mut impl AnswerSink,
     ) -> AttemptResult {
         let headers = response.headers();
-        if headers.contains_key(NOT_RUN) {
-            let leaving = headers.contains_key(LEAVING);
+        if headers.contains_key(NOT_RUN_HEADER) {
+            let leaving = headers.contains_key(LEAVING_HEADER);
             self.apply(AttemptEvent::ServerRefused);
             return AttemptResult::Refused { leaving };
         }
-        // An answer to another request, out of step on this connection, must reach nobody.
+        // The connection is out of step and carries the answer to another request, which must
+        // not reach this caller.
         if !self.is_own(headers) {
             self.apply(AttemptEvent::Cut);
             return AttemptResult::InDoubt {
@@ -199,38 +205,38 @@
         }
         self.apply(AttemptEvent::HeadReceived);
         if self.order.call.stream && response.status().is_success() {
-            self.follow_stream(response.into_body(), sink).await
+            self.relay_stream(response.into_body(), sink).await
         } else {
-            self.follow_whole(response, sink).await
+            self.relay_whole(response, sink).await
         }
     }
 
-    async fn follow_stream(&mut self, body: Incoming, sink: &mut impl AnswerSink) -> AttemptResult {
-        if !sink.take(AnswerPart::StreamHead).await {
+    async fn relay_stream(&mut self, body: Incoming, sink: &mut impl AnswerSink) -> AttemptResult {
+        if !sink.send(AnswerPart::StreamHead).await {
             return AttemptResult::CallerGone;
         }
         let mut body = body;
         loop {
-            match self.read_stream(body, sink).await {
-                StreamEnd::Done => {
+            match self.relay_events(body, sink).await {
+                StreamOutcome::Complete => {
                     self.apply(AttemptEvent::Finished);
                     return self.answered(u32::try_from(self.events).unwrap_or(u32::MAX));
                 }
-                StreamEnd::Ended(result) => return result,
-                StreamEnd::Cut => {}
+                StreamOutcome::Ended(result) => return result,
+                StreamOutcome::Interrupted => {}
             }
             self.apply(AttemptEvent::Cut);
             match self.resume().await {
-                ResumeEnd::Resumed(response) => {
+                ResumeOutcome::Resumed(response) => {
                     self.apply(AttemptEvent::Resumed);
                     body = response.into_body();
                 }
-                ResumeEnd::Forgotten => {
+                ResumeOutcome::UnknownRun => {
                     return AttemptResult::InDoubt {
                         blames_server: false,
                     };
                 }
-                ResumeEnd::Unreachable => {
+                ResumeOutcome::Unreachable => {
                     return AttemptResult::InDoubt {
                         blames_server: true,
                     };
@@ -239,71 +245,76 @@
         }
     }
 
-    /// Passes events on until the stream ends, breaks or falls silent.
-    async fn read_stream(&mut self, body: Incoming, sink: &mut impl AnswerSink) -> StreamEnd {
+    /// Relays events until the stream ends, its connection is lost or the run makes no progress.
+    async fn relay_events(&mut self, body: Incoming, sink: &mut impl AnswerSink) -> StreamOutcome {
         let mut events = BodyDataStream::new(body).eventsource();
-        let mut looks = 0;
+        let mut checks = 0;
         loop {
-            let silence = self.silence(looks);
-            let event = match self.wait(events.next(), silence, sink).await {
-                Waited::Came(Some(Ok(event))) => event,
-                Waited::Came(_) => return StreamEnd::Cut,
-                Waited::Silent => {
-                    looks += 1;
+            let silence_timeout = self.silence_timeout(checks);
+            let event = match self.wait(events.next(), silence_timeout, sink).await {
+                WaitOutcome::Completed(Some(Ok(event))) => event,
+                WaitOutcome::Completed(_) => return StreamOutcome::Interrupted,
+                WaitOutcome::NoProgress => {
+                    checks += 1;
                     if self.is_still_running().await {
                         continue;
                     }
                     self.shared.backends.clear(self.address());
-                    return StreamEnd::Cut;
+                    return StreamOutcome::Interrupted;
                 }
-                other => return StreamEnd::Ended(self.end_of(other)),
+                other => return StreamOutcome::Ended(self.interrupted_result(other)),
             };
-            looks = 0;
+            checks = 0;
             self.resumes = 0;
             let number = event.id.parse::<u64>().unwrap_or(self.events + 1);
-            // A resumed stream may begin before the offset that was asked for: an event that the
-            // caller has must not come twice, and a gap must not pass for the whole answer.
+            // A resumed stream may start before the requested offset. Events that the caller has
+            // already received are skipped, and a gap counts as a lost connection, so that an
+            // incomplete answer is never taken for a whole one.
             if number <= self.events {
                 continue;
             }
             if number > self.events + 1 {
-                return StreamEnd::Cut;
+                return StreamOutcome::Interrupted;
             }
-            if event.data == STREAM_END {
-                return StreamEnd::Done;
+            if event.data == STREAM_END_DATA {
+                return StreamOutcome::Complete;
             }
             self.events = number;
-            self.first_at.get_or_insert_with(|| self.shared.clock.now());
-            if !sink.take(AnswerPart::Event(event.data)).await {
-                return StreamEnd::Ended(AttemptResult::CallerGone);
+            self.first_token_at
+                .get_or_insert_with(|| self.shared.clock.now());
+            if !sink.send(AnswerPart::Event(event.data)).await {
+                return StreamOutcome::Ended(AttemptResult::CallerGone);
             }
         }
     }
 
-    async fn follow_whole(
+    async fn relay_whole(
         &mut self,
         response: Response<Incoming>,
         sink: &mut impl AnswerSink,
     ) -> AttemptResult {
         let (head, body) = response.into_parts();
-        let reading = Limited::new(body, LARGEST_ANSWER).collect();
+        let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
         let mut reading = std::pin::pin!(reading);
-        let mut looks = 0;
+        let mut checks = 0;
         let body = loop {
-            match self.wait(reading.as_mut(), self.silence(looks), sink).await {
-                Waited::Came(Ok(whole)) => break whole.to_bytes(),
-                Waited::Came(Err(_)) => {
+            match self
+                .wait(reading.as_mut(), self.silence_timeout(checks), sink)
+                .await
+            {
+                WaitOutcome::Completed(Ok(whole)) => break whole.to_bytes(),
+                WaitOutcome::Completed(Err(_)) => {
                     self.apply(AttemptEvent::Cut);
                     return self.recover(false, sink).await;
                 }
-                Waited::Silent => {
-                    looks += 1;
+                WaitOutcome::NoProgress => {
+                    checks += 1;
                     if !self.is_still_running().await {
                         self.apply(AttemptEvent::Cut);
                         return self.recover(false, sink).await;
                     }
                 }
-                other => return self.end_of(other),
+                other => return self.interrupted_result(other),
             }
         };
         let tokens = count_tokens(&body);
@@ -313,62 +324,68 @@
             content_type,
             body,
         };
-        self.first_at.get_or_insert_with(|| self.shared.clock.now());
-        if !sink.take(AnswerPart::Whole(whole)).await {
+        self.first_token_at
+            .get_or_insert_with(|| self.shared.clock.now());
+        if !sink.send(AnswerPart::Whole(whole)).await {
             return AttemptResult::CallerGone;
         }
         self.apply(AttemptEvent::Finished);
         self.answered(tokens)
     }
 
-    /// Waits for something, for a silence at most, while caller and dispatcher may end it.
+    /// Waits for `work` until the silence timeout or the deadline passes, the caller disconnects
+    /// or the dispatcher preempts the request.
     async fn wait<T>(
         &self,
         work: impl Future<Output = T>,
-        silence: Duration,
+        silence_timeout: Duration,
         sink: &impl AnswerSink,
-    ) -> Waited<T> {
+    ) -> WaitOutcome<T> {
         let mut work = std::pin::pin!(work);
-        // Most events of a busy stream are here already: no timer is set up for them.
-        if let Some(come) = future::poll_once(work.as_mut()).await {
-            return Waited::Came(come);
+        // Most events of a busy stream are already available and need no timer.
+        if let Some(output) = future::poll_once(work.as_mut()).await {
+            return WaitOutcome::Completed(output);
         }
-        let work = async { Waited::Came(work.await) };
+        let work = async { WaitOutcome::Completed(work.await) };
         let clock = &self.shared.clock;
-        let quiet_until = clock.now() + silence;
+        let silent_until = clock.now() + silence_timeout;
         let deadline = self.order.deadline;
         let timeout = async {
-            clock.sleep_until(quiet_until.min(deadline)).await;
+            clock.sleep_until(silent_until.min(deadline)).await;
             if clock.now() >= deadline {
-                Waited::Deadline
+                WaitOutcome::Deadline
             } else {
-                Waited::Silent
+                WaitOutcome::NoProgress
             }
         };
-        let gone = async {
-            sink.gone().await;
-            Waited::CallerGone
+        let caller_gone = async {
+            sink.caller_gone().await;
+            WaitOutcome::CallerGone
         };
         let preempted = async {
             loop {
-                match self.verdicts.recv().await {
-                    Ok(Verdict::Preempt) => return Waited::Preempted,
+                match self.decisions.recv().await {
+                    Ok(Verdict::Preempt) => return WaitOutcome::Preempted,
                     Ok(_) => {}
                     Err(_) => future::pending().await,
                 }
             }
         };
-        future::or(future::or(work, timeout), future::or(gone, preempted)).await
+        future::or(
+            future::or(work, timeout),
+            future::or(caller_gone, preempted),
+        )
+        .await
     }
 
-    fn end_of<T>(&mut self, waited: Waited<T>) -> AttemptResult {
-        match waited {
-            Waited::CallerGone => AttemptResult::CallerGone,
-            Waited::Preempted => {
+    fn interrupted_result<T>(&mut self, outcome: WaitOutcome<T>) -> AttemptResult {
+        match outcome {
+            WaitOutcome::CallerGone => AttemptResult::CallerGone,
+            WaitOutcome::Preempted => {
                 self.apply(AttemptEvent::Cut);
                 AttemptResult::Preempted
             }
-            Waited::Came(_) | Waited::Silent | Waited::Deadline => {
+            WaitOutcome::Completed(_) | WaitOutcome::NoProgress | WaitOutcome::Deadline => {
                 self.apply(AttemptEvent::Cut);
                 AttemptResult::InDoubt {
                     blames_server: false,
@@ -380,7 +397,7 @@
     fn answered(&self, tokens: u32) -> AttemptResult {
         let since = |at: Instant| at.saturating_duration_since(self.sent_at);
         let now = self.shared.clock.now();
-        let to_first = since(self.first_at.unwrap_or(now));
+        let to_first = since(self.first_token_at.unwrap_or(now));
         AttemptResult::Answered {
             to_first,
             to_end: since(now),
@@ -388,21 +405,22 @@
         }
     }
 
-    /// How long a whole answer may be silent before its run is looked at; longer each time.
-    fn silence(&self, looks: u32) -> Duration {
-        (self.order.progress_timeout * (1 << looks.min(8))).min(LONGEST_LOOK_PAUSE)
+    /// Returns how long a server may be silent before its run is checked; the time doubles with
+    /// each check, up to `MAX_SILENCE_TIMEOUT`.
+    fn silence_timeout(&self, checks: u32) -> Duration {
+        (self.order.progress_timeout * (1 << checks.min(8))).min(MAX_SILENCE_TIMEOUT)
     }
 
     fn apply(&mut self, event: AttemptEvent) {
         let applied = self.run.apply(event);
         debug_assert!(
             applied.is_ok(),
-            "the chart expects what the attempt does: {applied:?}"
+            "the attempt chart does not allow this event: {applied:?}"
         );
     }
 }
 
-/// The part of a whole answer that counts its tokens.
+/// Part of a whole answer that holds its token counts.
 #[derive(Deserialize)]
 struct AnswerUsage {
     usage: Option<TokenUsage>,
--- a/crates/plumgate-node/src/exchange/order.rs
+++ b/crates/plumgate-node/src/exchange/order.rs
@@ -1,4 +1,4 @@
-//! What an attempt is given, and how it ends.
+//! Input and result of an attempt.
 
 use std::time::{Duration, Instant};
 
@@ -7,50 +7,50 @@
 
 use crate::call::BackendCall;
 
-/// What is sent and to whom.
+/// Request, target server and limits of one attempt.
 pub(crate) struct AttemptOrder<'a> {
-    /// The server.
+    /// Server that receives the request.
     pub(crate) server: &'a Server,
-    /// The call.
+    /// Request that is sent.
     pub(crate) call: &'a BackendCall,
-    /// The id of the run, unique to the attempt.
+    /// Id of the run, unique to the attempt.
     pub(crate) run_id: String,
-    /// The rank of the request.
+    /// Tier rank of the request.
     pub(crate) rank: TierRank,
     /// Whether the request may run more than once.
     pub(crate) idempotent: bool,
-    /// How long the server may be silent.
+    /// Time without progress after which the run is checked.
     pub(crate) progress_timeout: Duration,
-    /// When the attempt is given up whatever happens.
+    /// Time at which the attempt is abandoned in any case.
     pub(crate) deadline: Instant,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptResult {
-    /// The answer came whole.
+    /// The whole answer was received.
     Answered {
-        /// From sending to the first token.
+        /// Time from sending to the first token.
         to_first: Duration,
-        /// From sending to the end.
+        /// Time from sending to the end of the answer.
         to_end: Duration,
-        /// The tokens of the answer.
+        /// Number of tokens in the answer.
         tokens: u32,
     },
-    /// No connection came about.
+    /// No connection could be opened.
     ConnectFailed,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     Refused {
-        /// Whether it says that it is leaving.
+        /// Whether the server reported that it is leaving.
         leaving: bool,
     },
     /// The request may have run.
     InDoubt {
-        /// Whether a new connection failed, which speaks against the server.
+        /// Whether the failure counts against the server, as a failed new connection does.
         blames_server: bool,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The request gives way to one of a higher tier.
+    /// The request was preempted by one of a higher tier.
     Preempted,
 }
--- a/crates/plumgate-node/src/exchange/recover.rs
+++ b/crates/plumgate-node/src/exchange/recover.rs
@@ -1,4 +1,4 @@
-//! Goes on with a run after its connection broke or fell silent.
+//! Resumes a run after its connection was lost or fell silent.
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
@@ -7,23 +7,23 @@
 use serde::Deserialize;
 
 use super::{
-    AnswerSink, AttemptResult, CONNECT_TIMEOUT, LARGEST_ANSWER, RESUMES_MOST, ResumeEnd,
+    AnswerSink, AttemptResult, CONNECT_TIMEOUT, MAX_ANSWER_BYTES, MAX_RESUMES, ResumeOutcome,
     ServerAttempt,
 };
 use crate::clock::Clock;
 use crate::http::fetch_once;
 
 impl<C: Clock> ServerAttempt<'_, C> {
-    /// After a cut: the same run goes on over a new connection, where the server keeps it.
+    /// Resumes the same run over a new connection after a lost one, if the server retains runs.
     pub(super) async fn recover(
         &mut self,
         blames_server: bool,
         sink: &mut impl AnswerSink,
     ) -> AttemptResult {
         let response = match self.resume().await {
-            ResumeEnd::Resumed(response) => response,
-            ResumeEnd::Forgotten => return AttemptResult::InDoubt { blames_server },
-            ResumeEnd::Unreachable => {
+            ResumeOutcome::Resumed(response) => response,
+            ResumeOutcome::UnknownRun => return AttemptResult::InDoubt { blames_server },
+            ResumeOutcome::Unreachable => {
                 return AttemptResult::InDoubt {
                     blames_server: true,
                 };
@@ -31,45 +31,45 @@
         };
         self.apply(AttemptEvent::Resumed);
         if self.order.call.stream && response.status().is_success() {
-            Box::pin(self.follow_stream(response.into_body(), sink)).await
+            Box::pin(self.relay_stream(response.into_body(), sink)).await
         } else {
-            Box::pin(self.follow_whole(response, sink)).await
+            Box::pin(self.relay_whole(response, sink)).await
         }
     }
 
-    /// Asks for the rest of the run over a new connection.
+    /// Requests the rest of the run over a new connection.
     ///
-    /// A connection that broke or fell silent proves nothing about the server: something in
-    /// between may have lost track of it, while new connections work.
-    pub(super) async fn resume(&mut self) -> ResumeEnd {
+    /// A lost or silent connection is no evidence against the server: a device on the network
+    /// path may have lost its state of the connection while new connections work.
+    pub(super) async fn resume(&mut self) -> ResumeOutcome {
         if self.order.server.kind == ServerKind::Service {
-            return ResumeEnd::Forgotten;
+            return ResumeOutcome::UnknownRun;
         }
-        while self.resumes < RESUMES_MOST {
+        while self.resumes < MAX_RESUMES {
             self.resumes += 1;
             let deadline = self.shared.clock.now() + CONNECT_TIMEOUT;
             let request = self.resume_request();
-            let asking = async {
+            let fetching = async {
                 let mut connection = self.shared.connect(self.address()).await?;
                 connection.send_request(request).await.ok()
             };
-            match self.shared.until(deadline, asking).await.flatten() {
+            match self.shared.until(deadline, fetching).await.flatten() {
                 Some(response)
                     if response.status().is_success() && self.is_own(response.headers()) =>
                 {
-                    return ResumeEnd::Resumed(response);
+                    return ResumeOutcome::Resumed(response);
                 }
                 Some(response) if response.status() == StatusCode::NOT_FOUND => {
-                    return ResumeEnd::Forgotten;
+                    return ResumeOutcome::UnknownRun;
                 }
                 _ => {}
             }
         }
-        ResumeEnd::Unreachable
+        ResumeOutcome::Unreachable
     }
 
-    /// Whether the server says, over a new connection, that the run goes on and that there is
-    /// nothing of it that this connection should have brought.
+    /// Returns whether the server reports, over a new connection, that the run is in progress and
+    /// has produced no tokens that this connection has not delivered.
     pub(super) async fn is_still_running(&self) -> bool {
         if self.order.server.kind == ServerKind::Service {
             return false;
@@ -80,8 +80,8 @@
             Bytes::new(),
         );
         let deadline = self.shared.clock.now() + CONNECT_TIMEOUT;
-        let asking = fetch_once(self.address(), request, LARGEST_ANSWER);
-        let answer = self.shared.until(deadline, asking).await;
+        let fetching = fetch_once(self.address(), request, MAX_ANSWER_BYTES);
+        let answer = self.shared.until(deadline, fetching).await;
         let Some(Ok((StatusCode::OK, _, body))) = answer else {
             return false;
         };
@@ -92,7 +92,7 @@
         !state.done && !missing
     }
 
-    /// Tells the server to stop a run that nobody waits for.
+    /// Cancels a run on the server that no caller waits for.
     pub(super) fn cancel_run(&self) {
         if self.order.server.kind == ServerKind::Service {
             return;
@@ -102,8 +102,9 @@
         let address = self.address();
         let wasted = self.shared.metrics.wasted_tokens.clone();
         let cancelling = async move {
-            // Without an answer the run goes on to its end and is dropped there.
-            let answer = fetch_once(address, request, LARGEST_ANSWER).await;
+            // If the cancellation gets no answer, the run continues to its end and the server
+            // discards it.
+            let answer = fetch_once(address, request, MAX_ANSWER_BYTES).await;
             let Ok((StatusCode::OK, _, body)) = answer else {
                 return;
             };
@@ -115,7 +116,7 @@
     }
 }
 
-/// What a server says of a run.
+/// Status that a server reports of a run.
 #[derive(Deserialize)]
 struct RunState {
     done: bool,
--- a/crates/plumgate-node/src/exchange/request.rs
+++ b/crates/plumgate-node/src/exchange/request.rs
@@ -1,4 +1,4 @@
-//! The requests that an attempt sends.
+//! Requests that an attempt sends.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{HeaderMap, Method, Request};
 
-use super::{LAST_EVENT, PRIORITY, ServerAttempt};
+use super::{LAST_EVENT_HEADER, PRIORITY_HEADER, ServerAttempt};
 use crate::clock::Clock;
 use crate::http::{OutgoingRequest, REQUEST_ID};
 
@@ -38,7 +38,9 @@
     pub(super) fn resume_request(&self) -> OutgoingRequest {
         let path = format!("/v1/runs/{}/answer", self.order.run_id);
         let mut request = self.build(Method::GET, &path, Bytes::new());
-        request.headers_mut().insert(LAST_EVENT, self.events.into());
+        request
+            .headers_mut()
+            .insert(LAST_EVENT_HEADER, self.events.into());
         request
     }
 
@@ -53,7 +55,7 @@
         if let Ok(id) = self.order.run_id.parse() {
             headers.insert(REQUEST_ID, id);
         }
-        headers.insert(PRIORITY, u16::from(self.order.rank).into());
+        headers.insert(PRIORITY_HEADER, u16::from(self.order.rank).into());
         request
     }
 }
--- a/crates/plumgate-node/src/relay.rs
+++ b/crates/plumgate-node/src/relay.rs
@@ -1,4 +1,4 @@
-//! One caller's request from its arrival to its last byte.
+//! Lifecycle of one caller's request, from its arrival to the last byte of its answer.
 
 mod keyed;
 
@@ -25,32 +25,32 @@
 use crate::log::LogLine;
 use crate::shared::{NodeShared, Verdict};
 
-/// Attempts that one request gets at most.
-const ATTEMPTS_MOST: u32 = 5;
-/// How long the answer waits until a copy is kept for a repeated request.
-const KEEP_BOUND: Duration = Duration::from_millis(300);
-/// When to come back after no claim was possible.
+/// Maximum number of attempts per request.
+const MAX_ATTEMPTS: u32 = 5;
+/// Maximum time that the end of an answer is delayed until a copy is stored for repeated requests.
+const STORE_WAIT: Duration = Duration::from_millis(300);
+/// Retry delay sent to a caller whose key could not be claimed.
 const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Shortest silence after which a plain service is given up: it has no run to look at.
-const SERVICE_SILENCE: Duration = Duration::from_secs(10);
-/// Longest time that a request may run.
-const LONGEST_RUN: Duration = Duration::from_secs(900);
+/// Lower bound of the progress timeout of a plain service, whose run can't be checked.
+const MIN_SERVICE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum run time of an attempt.
+const MAX_RUN_TIME: Duration = Duration::from_secs(900);
 
-/// What to do after an attempt.
+/// Next step of a request after an attempt or a decision.
 enum NextStep {
-    /// Wait for another server.
-    Again,
+    /// Wait for a server again.
+    Retry,
     /// The answer is complete.
     Finish,
-    /// There is no answer.
+    /// The request fails with this error.
     Fail(CallerError),
-    /// Nobody waits any more.
-    Drop,
-    /// The answer of another attempt with the same key.
+    /// The caller has disconnected.
+    Abandon,
+    /// The stored answer of another attempt with the same key is sent.
     Replay(WholeAnswer),
 }
 
-/// Serves one request; the caller's side listens on the other end of `answers`.
+/// Serves one request; the caller's connection receives from the other end of `answers`.
 pub(crate) async fn relay_request<C: Clock>(
     shared: Arc<NodeShared<C>>,
     request: CallerRequest,
@@ -58,11 +58,11 @@
 ) {
     shared.open_request();
     let id = request.ticket.id.clone();
-    let verdicts = shared.submit(request.ticket.clone());
+    let decisions = shared.submit(request.ticket.clone());
     let mut relay = RequestRelay {
         shared: &shared,
         request: &request,
-        verdicts,
+        decisions,
         run: AttemptRun::new(),
         claim: None,
         outcome: RunOutcome::NotRun,
@@ -72,11 +72,11 @@
     shared.close_request();
 }
 
-/// One request on its way.
+/// One request in progress.
 struct RequestRelay<'a, C> {
     shared: &'a Arc<NodeShared<C>>,
     request: &'a CallerRequest,
-    verdicts: Receiver<Verdict>,
+    decisions: Receiver<Verdict>,
     run: AttemptRun,
     claim: Option<HeldClaim>,
     outcome: RunOutcome,
@@ -84,7 +84,7 @@
 
 impl<C: Clock> RequestRelay<'_, C> {
     async fn serve(&mut self, answers: Sender<CallerAnswer>) {
-        let first = {
+        let on_first_byte = {
             let shared = self.shared.clone();
             let id = self.request.ticket.id.clone();
             let class = self.request.ticket.class.clone();
@@ -95,13 +95,13 @@
                 shared.dispatcher().pin(&id);
             }
         };
-        let mut sink = CallerSink::new(answers.clone(), first);
+        let mut sink = CallerSink::new(answers.clone(), on_first_byte);
         if self.needs_claim() {
-            sink = sink.with_copy();
+            sink = sink.with_recording();
         }
         let step = loop {
             match self.next_step(&mut sink).await {
-                NextStep::Again => {}
+                NextStep::Retry => {}
                 step => break step,
             }
         };
@@ -109,45 +109,45 @@
         match step {
             NextStep::Finish => {
                 self.outcome = RunOutcome::Answered;
-                self.keep_answer(sink.whole_answer()).await;
-                self.report(None, late);
+                self.store_answer(sink.whole_answer()).await;
+                self.log_request(None, late);
                 sink.finish().await;
             }
             NextStep::Replay(whole) => {
                 self.outcome = RunOutcome::Answered;
-                self.report(Some("replayed"), late);
-                // A caller that went away may repeat its request once more.
+                self.log_request(Some("replayed"), late);
+                // If the caller has disconnected, it may repeat the request again.
                 let _ = answers.send(CallerAnswer::Whole(whole)).await;
             }
             NextStep::Fail(error) => {
                 self.outcome = error.outcome;
                 self.settle(SettledRun::Ended(error.outcome));
-                self.report(Some(error.kind), true);
+                self.log_request(Some(error.kind), true);
                 sink.fail(error, &self.request.ticket.id).await;
             }
-            NextStep::Drop | NextStep::Again => {
+            NextStep::Abandon | NextStep::Retry => {
                 self.outcome = self.run.outcome();
                 self.settle(SettledRun::Ended(self.outcome));
-                self.report(Some("caller_gone"), true);
+                self.log_request(Some("caller_gone"), true);
             }
         }
     }
 
-    /// Waits for a verdict and carries it out.
+    /// Waits for a decision of the dispatcher and carries it out.
     async fn next_step<S: RelaySink>(&mut self, sink: &mut S) -> NextStep {
-        let verdict = async { Some(self.verdicts.recv().await) };
-        let gone = async {
-            sink.gone().await;
+        let decision = async { Some(self.decisions.recv().await) };
+        let caller_gone = async {
+            sink.caller_gone().await;
             None
         };
-        match future::or(verdict, gone).await {
-            None => NextStep::Drop,
-            Some(Ok(Verdict::Preempt)) => NextStep::Again,
+        match future::or(decision, caller_gone).await {
+            None => NextStep::Abandon,
+            Some(Ok(Verdict::Preempt)) => NextStep::Retry,
             Some(Ok(Verdict::Refuse(reason, retry_after))) => {
                 NextStep::Fail(self.refusal(reason, retry_after))
             }
             Some(Ok(Verdict::Start(choice))) => self.attempt(choice, sink).await,
-            Some(Err(_)) => NextStep::Fail(self.give_up("stopping", "the node is stopping")),
+            Some(Err(_)) => NextStep::Fail(self.failure("stopping", "the node is stopping")),
         }
     }
 
@@ -156,7 +156,7 @@
         let dispatched = self.run.dispatch(server.id.clone());
         debug_assert!(
             dispatched.is_ok(),
-            "the chart expects a dispatch: {dispatched:?}"
+            "the attempt chart does not allow a dispatch: {dispatched:?}"
         );
         if self.needs_claim()
             && self.claim.is_none()
@@ -166,16 +166,16 @@
                 .finish(&self.request.ticket.id, AttemptEnd::GivenUp);
             return step;
         }
-        let result = self.exchange(&server, sink).await;
+        let result = self.run_attempt(&server, sink).await;
         self.log_attempt(&server, result);
         self.after_attempt(&server, result, sink)
     }
 
-    async fn exchange<S: RelaySink>(&mut self, server: &Server, sink: &mut S) -> AttemptResult {
+    async fn run_attempt<S: RelaySink>(&mut self, server: &Server, sink: &mut S) -> AttemptResult {
         let ticket = &self.request.ticket;
         let progress_timeout = match server.kind {
             ServerKind::Engine => self.request.progress_timeout,
-            ServerKind::Service => self.request.progress_timeout.max(SERVICE_SILENCE),
+            ServerKind::Service => self.request.progress_timeout.max(MIN_SERVICE_TIMEOUT),
         };
         let order = AttemptOrder {
             server,
@@ -184,10 +184,10 @@
             rank: ticket.rank,
             idempotent: ticket.idempotent,
             progress_timeout,
-            deadline: self.shared.clock.now() + LONGEST_RUN,
+            deadline: self.shared.clock.now() + MAX_RUN_TIME,
         };
-        let mut attempt = ServerAttempt::new(self.shared, order, &self.verdicts, &mut self.run);
-        attempt.carry_out(sink).await
+        let mut attempt = ServerAttempt::new(self.shared, order, &self.decisions, &mut self.run);
+        attempt.execute(sink).await
     }
 
     fn after_attempt<S: RelaySink>(
@@ -216,7 +216,7 @@
             }
             AttemptResult::CallerGone => {
                 self.shared.finish(id, AttemptEnd::GivenUp);
-                return NextStep::Drop;
+                return NextStep::Abandon;
             }
             AttemptResult::ConnectFailed => (AttemptEnd::ConnectionFailed, "connect_failed"),
             AttemptResult::Refused { leaving } => (AttemptEnd::Refused { leaving }, "refused"),
@@ -235,10 +235,10 @@
             .get_or_create(&labels)
             .inc();
         self.shared.finish(id, end);
-        self.run_again(server, result, sink)
+        self.retry(server, result, sink)
     }
 
-    fn run_again<S: RelaySink>(
+    fn retry<S: RelaySink>(
         &mut self,
         server: &Server,
         result: AttemptResult,
@@ -250,26 +250,26 @@
         };
         let allowed = may_run_again(outcome, self.request.ticket.idempotent)
             && !sink.has_delivered()
-            && self.run.number() < ATTEMPTS_MOST;
+            && self.run.number() < MAX_ATTEMPTS;
         if !allowed {
-            return NextStep::Fail(self.give_up("backend_failed", "the backend server failed"));
+            return NextStep::Fail(self.failure("backend_failed", "the backend server failed"));
         }
         if outcome == RunOutcome::Unknown {
             let applied = self.run.apply(AttemptEvent::RunAgain);
             debug_assert!(
                 applied.is_ok(),
-                "the chart expects another run: {applied:?}"
+                "the attempt chart does not allow another run: {applied:?}"
             );
         }
-        let gave_way = result == AttemptResult::Preempted;
-        let avoid = (!gave_way).then(|| server.id.clone());
-        let paid = outcome == RunOutcome::Unknown && !gave_way;
+        let was_preempted = result == AttemptResult::Preempted;
+        let avoid = (!was_preempted).then(|| server.id.clone());
+        let paid = outcome == RunOutcome::Unknown && !was_preempted;
         let mut ticket = self.request.ticket.clone();
         ticket.avoid = self.run.tried().to_vec();
         if self.shared.resubmit(ticket, avoid, paid) {
-            return NextStep::Again;
+            return NextStep::Retry;
         }
-        NextStep::Fail(self.give_up(
+        NextStep::Fail(self.failure(
             "backend_failed",
             "the backend server failed; no retry is left",
         ))
@@ -308,7 +308,7 @@
         CallerError { outcome, ..error }
     }
 
-    fn give_up(&mut self, kind: &'static str, message: &str) -> CallerError {
+    fn failure(&mut self, kind: &'static str, message: &str) -> CallerError {
         match self.run.outcome() {
             RunOutcome::NotRun => {
                 let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -319,7 +319,7 @@
     }
 
     fn log_attempt(&self, server: &Server, result: AttemptResult) {
-        let word = match result {
+        let label = match result {
             AttemptResult::Answered { .. } => "answered",
             AttemptResult::ConnectFailed => "connect_failed",
             AttemptResult::Refused { .. } => "refused",
@@ -331,7 +331,7 @@
             .with("request", &self.request.ticket.id)
             .with("attempt", self.run.number())
             .with("server", &server.id)
-            .with("end", word)
+            .with("end", label)
             .with("state", self.run.state());
         match result {
             AttemptResult::Answered {
@@ -347,9 +347,9 @@
         }
     }
 
-    fn report(&self, reason: Option<&str>, late: bool) {
+    fn log_request(&self, reason: Option<&str>, late: bool) {
         let ticket = &self.request.ticket;
-        let taken = self
+        let elapsed = self
             .shared
             .clock
             .now()
@@ -365,7 +365,7 @@
             .with("outcome", self.outcome.as_str())
             .with_some("reason", reason)
             .with("attempts", self.run.number())
-            .with("ms", taken.as_millis())
+            .with("ms", elapsed.as_millis())
             .info(&self.shared.log);
     }
 }
--- a/crates/plumgate-node/src/relay/keyed.rs
+++ b/crates/plumgate-node/src/relay/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests with a key: claimed before they run, their answers kept.
+//! Requests with an idempotency key: the key is claimed before the run, and the answer is stored.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +8,12 @@
 use plumgate::claim::{ClaimRun, claim_row_name};
 use plumgate::dispatch::AttemptEnd;
 
-use super::{CLAIM_RETRY_AFTER, KEEP_BOUND, LONGEST_RUN, NextStep, RequestRelay};
+use super::{CLAIM_RETRY_AFTER, MAX_RUN_TIME, NextStep, RequestRelay, STORE_WAIT};
 use crate::answer::WholeAnswer;
 use crate::caller_error::CallerError;
 use crate::claims::{
-    ClaimEnd, HeldClaim, OtherEnd, SettledRun, await_other, claim_key, settle_claim,
+    ClaimOutcome, HeldClaim, OtherAttemptOutcome, SettledRun, await_other_attempt, claim_key,
+    settle_claim,
 };
 use crate::clock::Clock;
 use crate::log::LogLine;
@@ -22,7 +23,7 @@
         !self.request.ticket.idempotent && self.request.key.is_some()
     }
 
-    /// Claims the key; `None` says that the request may run here.
+    /// Claims the key; returns `None` if the request may run on this node.
     pub(super) async fn claim(&mut self) -> Option<NextStep> {
         let key = self.request.key.as_deref()?;
         let ticket = &self.request.ticket;
@@ -35,7 +36,7 @@
             .with("request", &ticket.id)
             .with("row", &name);
         match end {
-            ClaimEnd::Granted(version) => {
+            ClaimOutcome::Granted(version) => {
                 line.with("end", "granted").info(&self.shared.log);
                 self.claim = Some(HeldClaim {
                     name,
@@ -45,14 +46,14 @@
                 });
                 None
             }
-            ClaimEnd::Taken(row) => {
+            ClaimOutcome::Taken(row) => {
                 line.with("end", "taken")
                     .with("claimer", &row.claimer)
                     .info(&self.shared.log);
                 self.shared.finish(&ticket.id, AttemptEnd::GivenUp);
-                Some(self.follow_other(&name, row).await)
+                Some(self.await_other_answer(&name, row).await)
             }
-            ClaimEnd::Mismatched => {
+            ClaimOutcome::Mismatched => {
                 line.with("end", "mismatched").info(&self.shared.log);
                 let message = "the Idempotency-Key was used for another request";
                 let status = StatusCode::UNPROCESSABLE_ENTITY;
@@ -62,9 +63,9 @@
                     message,
                 )))
             }
-            ClaimEnd::Unavailable => {
+            ClaimOutcome::Unavailable => {
                 line.with("end", "unavailable").warn(&self.shared.log);
-                // The write may still take effect; then the row must say that nothing ran.
+                // The write may still take effect; the row must then record that nothing ran.
                 self.claim = Some(HeldClaim {
                     name,
                     run,
@@ -80,16 +81,16 @@
         }
     }
 
-    /// Another attempt has the key: its answer is this request's answer.
-    pub(super) async fn follow_other(
+    /// Waits for the attempt that holds the key, whose answer is also the answer to this request.
+    pub(super) async fn await_other_answer(
         &self,
         name: &str,
         row: plumgate::claim::ClaimRow,
     ) -> NextStep {
-        let deadline = self.shared.clock.now() + LONGEST_RUN;
-        match await_other(self.shared, name, row, deadline).await {
-            OtherEnd::Answered(whole) => NextStep::Replay(whole),
-            OtherEnd::NotRun => {
+        let deadline = self.shared.clock.now() + MAX_RUN_TIME;
+        match await_other_attempt(self.shared, name, row, deadline).await {
+            OtherAttemptOutcome::Answered(whole) => NextStep::Replay(whole),
+            OtherAttemptOutcome::NotRun => {
                 let message = "the earlier request with this key was not run; repeat it";
                 let status = StatusCode::SERVICE_UNAVAILABLE;
                 NextStep::Fail(CallerError::not_run(
@@ -99,15 +100,15 @@
                     Duration::from_secs(1),
                 ))
             }
-            OtherEnd::Unknown => {
+            OtherAttemptOutcome::Unknown => {
                 let message = "an earlier request with this key may have run";
                 NextStep::Fail(CallerError::unknown("key_in_doubt", message))
             }
         }
     }
 
-    /// Keeps a copy of the answer before its end goes out, but holds it up only for so long.
-    pub(super) async fn keep_answer(&mut self, whole: Option<WholeAnswer>) {
+    /// Stores a copy of the answer before its end is sent, and waits for that at most `STORE_WAIT`.
+    pub(super) async fn store_answer(&mut self, whole: Option<WholeAnswer>) {
         if self.claim.is_none() {
             return;
         }
@@ -115,19 +116,20 @@
             Some(whole) => SettledRun::Answered(whole),
             None => SettledRun::Ended(RunOutcome::Unknown),
         };
-        let Some(kept) = self.settle(settled) else {
+        let Some(stored) = self.settle(settled) else {
             return;
         };
-        let bound: Instant = self.shared.clock.now() + KEEP_BOUND;
-        let _ = self.shared.until(bound, kept.recv()).await;
+        let bound: Instant = self.shared.clock.now() + STORE_WAIT;
+        let _ = self.shared.until(bound, stored.recv()).await;
     }
 
-    /// Writes down how the run of a claimed key ended; the channel closes once that is done.
+    /// Starts to record the outcome of the run of a claimed key; the returned channel closes once
+    /// that is done.
     pub(super) fn settle(&mut self, settled: SettledRun) -> Option<Receiver<()>> {
         let claim = self.claim.take()?;
         let (done, settling) = async_channel::bounded(1);
         let shared = self.shared.clone();
-        // A graceful stop waits for it like for the request itself.
+        // Counted as an open request, so that a graceful stop waits for it.
         shared.open_request();
         let work = async move {
             settle_claim(shared.clone(), claim, settled).await;
