--- a/crates/plumgate-cli/src/apply.rs
+++ b/crates/plumgate-cli/src/apply.rs
@@ -1,16 +1,16 @@
-//! Changes of the configuration: whole files, and drains of single servers.
+//! Changes of the configuration: application of whole files, and drains of single servers.
 
 use plumgate::config::{ConfigBundle, FleetConfig, config_changes};
 use plumgate::follow::ConfigHead;
 use plumgate_node::platform::TableRow;
 
 use crate::errors::{Error, Result};
-use crate::store::{Applied, ConfigStore};
+use crate::store::{ApplyOutcome, ConfigStore};
 
-/// Times that a drain is tried again after another change came first.
-const DRAIN_TRIES: u32 = 5;
+/// Number of attempts at a drain when other changes are applied at the same time.
+const MAX_DRAIN_ATTEMPTS: u32 = 5;
 
-/// Checks a bundle; all findings come back together.
+/// Validates a bundle. The error lists all findings, not only the first.
 pub(crate) fn check(bundle: &ConfigBundle, version: u64) -> Result<FleetConfig> {
     bundle.read(version).map_err(|error| match error {
         plumgate::Error::Findings(findings) => Error::Findings(findings),
@@ -18,16 +18,16 @@
     })
 }
 
-/// What an apply starts from.
+/// Configuration on top of which a change is made.
 pub(crate) struct ApplyBase {
     /// The head row.
     pub(crate) head: Option<TableRow<ConfigHead>>,
-    /// The bundle behind it; empty where nothing was applied yet.
+    /// The bundle of that version; empty if nothing was applied yet.
     pub(crate) bundle: ConfigBundle,
 }
 
 impl ApplyBase {
-    /// Reads what is in the store now.
+    /// Reads the newest configuration in the store.
     pub(crate) async fn read(store: &ConfigStore) -> Result<Self> {
         let head = store.head().await?;
         let bundle = match &head {
@@ -37,13 +37,13 @@
         Ok(Self { head, bundle })
     }
 
-    /// The version in the store, 0 for none.
+    /// Returns the version of the configuration, 0 if there is none.
     pub(crate) fn version(&self) -> u64 {
         self.head.as_ref().map_or(0, |row| row.value.version)
     }
 }
 
-/// Applies whole files on top of what was read.
+/// Applies whole files on top of a base; an error if another change was applied since it was read.
 pub(crate) async fn apply_files(
     store: &ConfigStore,
     base: &ApplyBase,
@@ -52,13 +52,13 @@
 ) -> Result<ConfigHead> {
     check(bundle, base.version() + 1)?;
     match store.apply(base.head.as_ref(), bundle, author).await? {
-        Applied::Accepted(head) => Ok(head),
-        Applied::Raced(found) => Err(raced(store, base, found).await),
+        ApplyOutcome::Accepted(head) => Ok(head),
+        ApplyOutcome::Conflict(found) => Err(conflict_error(store, base, found).await),
     }
 }
 
-/// Tells an operator who came second what changed under it.
-pub(crate) async fn raced(
+/// Builds the error for an apply that lost to another change, with what that change did.
+pub(crate) async fn conflict_error(
     store: &ConfigStore,
     base: &ApplyBase,
     found: TableRow<ConfigHead>,
@@ -70,7 +70,7 @@
         .iter()
         .map(|change| format!("\n  {change}"))
         .collect();
-    Error::Raced(found.value.version, found.value.author, listed)
+    Error::Conflict(found.value.version, found.value.author, listed)
 }
 
 async fn changes_since(
@@ -88,14 +88,14 @@
         .collect())
 }
 
-/// Drains a server, or brings it back, on top of whatever is in the store.
+/// Drains a server, or ends its drain, on top of the newest configuration; no change if it is so already.
 pub(crate) async fn set_drained(
     store: &ConfigStore,
     server: &str,
     drained: bool,
     author: &str,
 ) -> Result<ConfigHead> {
-    for _ in 0..DRAIN_TRIES {
+    for _ in 0..MAX_DRAIN_ATTEMPTS {
         let base = ApplyBase::read(store).await?;
         let head = base.head.as_ref().ok_or(Error::NoConfig)?;
         let config = check(&base.bundle, base.version())?;
@@ -111,7 +111,7 @@
         if !changed {
             return Ok(head.value.clone());
         }
-        if let Applied::Accepted(head) = store.apply(Some(head), &bundle, author).await? {
+        if let ApplyOutcome::Accepted(head) = store.apply(Some(head), &bundle, author).await? {
             return Ok(head);
         }
     }
--- a/crates/plumgate-cli/src/commands.rs
+++ b/crates/plumgate-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the tool.
+//! Commands of the tool.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -12,14 +12,14 @@
 use plumgate_node::status::NodeStatus;
 use serde_json::json;
 
-use crate::apply::{ApplyBase, apply_files, check, raced, set_drained};
+use crate::apply::{ApplyBase, apply_files, check, conflict_error, set_drained};
 use crate::errors::{Error, Result};
 use crate::flags;
 use crate::nodes::{node_pages, statuses, versions_in_force, wait_in_force};
 use crate::output::print_line;
 use crate::store::ConfigStore;
 
-/// Runs the command that was named.
+/// Runs the command given on the command line.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<ExitCode> {
     let context = CommandContext { matches };
     match matches.subcommand() {
@@ -60,7 +60,7 @@
     ExitCode::SUCCESS
 }
 
-/// The flags that all commands share.
+/// Flags common to all commands.
 struct CommandContext<'a> {
     matches: &'a ArgMatches,
 }
@@ -141,15 +141,15 @@
         if let Some(expected) = matches.get_one::<u64>("expect")
             && *expected != base.version()
         {
-            return Err(self.unexpected(&store, &base, *expected).await?);
+            return Err(self.version_conflict(&store, &base, *expected).await?);
         }
         let bundle = read_files(matches)?.with_drained(base.bundle.drained.clone());
         let head = apply_files(&store, &base, &bundle, &author(matches)).await?;
         self.finish_change(matches, &head, &bundle).await
     }
 
-    /// The operator looked at another version than the one that is there now.
-    async fn unexpected(
+    /// Builds the error for a store whose version differs from the expected one.
+    async fn version_conflict(
         &self,
         store: &ConfigStore,
         base: &ApplyBase,
@@ -171,7 +171,7 @@
             head: Some(seen_row),
             bundle,
         };
-        Ok(raced(store, &seen, found).await)
+        Ok(conflict_error(store, &seen, found).await)
     }
 
     async fn drain(&self, matches: &ArgMatches, drained: bool) -> Result<ExitCode> {
@@ -185,6 +185,7 @@
         self.finish_change(matches, &head, &bundle).await
     }
 
+    /// Prints the outcome of a change, after waiting until it is in force if `--wait` is given.
     async fn finish_change(
         &self,
         matches: &ArgMatches,
@@ -207,21 +208,21 @@
             .keys()
             .map(ToString::to_string)
             .collect();
-        let bound = matches
+        let timeout = matches
             .get_one::<u64>("wait-ms")
             .copied()
             .unwrap_or_default();
-        let bound = Duration::from_millis(bound);
-        let taken = wait_in_force(&self.nodes(), version, &names, bound).await?;
+        let timeout = Duration::from_millis(timeout);
+        let elapsed = wait_in_force(&self.nodes(), version, &names, timeout).await?;
         let json = json!({
             "version": version,
             "change": head.change,
-            "in_force_ms": taken.as_millis() as u64,
+            "in_force_ms": elapsed.as_millis() as u64,
         });
         let text = format!(
             "version {version} in force in {} after {} ms, change {}",
             names.join(", "),
-            taken.as_millis(),
+            elapsed.as_millis(),
             head.change
         );
         self.print(&json, &text);
@@ -244,7 +245,7 @@
         Ok(ExitCode::SUCCESS)
     }
 
-    /// Prints a page of each node under its address.
+    /// Prints a page of each node that answers, under the node's address.
     async fn pages(&self, path: &str) -> Result<ExitCode> {
         let pages = node_pages(&self.nodes(), path).await?;
         if self.is_json() {
--- a/crates/plumgate-cli/src/errors.rs
+++ b/crates/plumgate-cli/src/errors.rs
@@ -1,14 +1,14 @@
-//! The errors of the tool and their exit codes.
+//! Error type of the tool and its exit codes.
 
 use std::process::ExitCode;
 
 use displaydoc::Display;
 use plumgate::FindingList;
 
-/// The result that the tool's functions return.
+/// Result with the error type of the tool.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
 
-/// What can go wrong.
+/// Failure of a command.
 #[derive(Debug, Display)]
 pub(crate) enum Error {
     /// {0}
@@ -16,7 +16,7 @@
     /// {0}: {1}
     File(String, std::io::Error),
     /// version {0} was applied meanwhile by {1}; nothing of yours was applied. It changed:{2}
-    Raced(u64, String, String),
+    Conflict(u64, String, String),
     /// the platform does not answer; nothing was applied
     NotApplied,
     /// the platform does not answer; whether the change was applied is not known. Look with "plumgate history" for change {0}
@@ -36,11 +36,11 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// The exit code, as the operators' page lists it.
+    /// Returns the exit code, as listed in the operators' documentation.
     pub(crate) fn exit_code(&self) -> ExitCode {
         let code = match self {
             Self::Findings(_) | Self::File(..) | Self::NoServer(_) => 2,
-            Self::Raced(..) => 3,
+            Self::Conflict(..) => 3,
             Self::NotApplied | Self::NoNode => 4,
             Self::InDoubt(_) => 5,
             Self::NotInForce(..) => 6,
--- a/crates/plumgate-cli/src/flags.rs
+++ b/crates/plumgate-cli/src/flags.rs
@@ -1,11 +1,11 @@
-//! The command line of the tool.
+//! Command line of the tool.
 
 use std::net::SocketAddr;
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use clap_complete::Shell;
 
-/// The command line.
+/// Builds the command line.
 pub(crate) fn command() -> Command {
     Command::new("plumgate")
         .about("Checks and applies configurations of plumgate, and shows what is in force")
@@ -37,10 +37,10 @@
                 "Shows who holds the duties, the last windows of usage and the orders, by the nodes' readiness addresses",
             ),
             Command::new("limits").about(
-                "Shows the servers that named a limit and who issues their permits, by the nodes' readiness addresses",
+                "Shows the servers that reported a limit and who issues their permits, by the nodes' readiness addresses",
             ),
             Command::new("statements").about(
-                "Shows what servers said of themselves (limits, leaving, rests), by the nodes' readiness addresses",
+                "Shows what servers reported about themselves (limits, leaving, rests), by the nodes' readiness addresses",
             ),
             Command::new("show")
                 .about("Prints the configuration in force, or an earlier one")
@@ -95,6 +95,7 @@
         .help("Operators' addresses of some nodes, separated by commas")
 }
 
+/// Adds the flags for the configuration files.
 fn files(command: Command) -> Command {
     command
         .arg(
@@ -105,6 +106,7 @@
         .arg(Arg::new("rules").long("rules").default_value("rules.toml"))
 }
 
+/// Adds the argument for a server.
 fn server(command: Command) -> Command {
     command.arg(
         Arg::new("server")
@@ -113,6 +115,7 @@
     )
 }
 
+/// Adds the flags of commands that change the configuration.
 fn change(command: Command) -> Command {
     command
         .arg(
@@ -133,6 +136,6 @@
                 .long("wait-ms")
                 .default_value("10000")
                 .value_parser(value_parser!(u64))
-                .help("How long to wait"),
+                .help("Longest time to wait, in milliseconds"),
         )
 }
--- a/crates/plumgate-cli/src/main.rs
+++ b/crates/plumgate-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' tool: checks and applies configurations, and shows what is in force.
+//! Operators' tool: checks and applies configurations, and shows what is in force.
 
 #![forbid(unsafe_code)]
 
@@ -14,8 +14,8 @@
 
 fn main() -> ExitCode {
     let matches = flags::command().get_matches();
-    let done = async_io::block_on(commands::run(&matches));
-    match done {
+    let result = async_io::block_on(commands::run(&matches));
+    match result {
         Ok(code) => code,
         Err(error) => {
             eprintln!("{error}");
--- a/crates/plumgate-cli/src/nodes.rs
+++ b/crates/plumgate-cli/src/nodes.rs
@@ -1,4 +1,4 @@
-//! What the nodes say of themselves.
+//! Status and text pages of the nodes, and the versions in force.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 
 use crate::errors::{Error, Result};
 
-/// Pause between two looks at the nodes.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Pause between two polls of the nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The statuses of the nodes that answer.
+/// Fetches the statuses of the nodes that answer; an error if none does.
 pub(crate) async fn statuses(addresses: &[SocketAddr]) -> Result<Vec<NodeStatus>> {
     let mut statuses = Vec::new();
     for address in addresses {
@@ -25,7 +25,7 @@
     }
 }
 
-/// The pages that the nodes which answer serve under a path, by their readiness addresses.
+/// Fetches a text page of the nodes that answer, by their readiness addresses; an error if none does.
 pub(crate) async fn node_pages(
     addresses: &[SocketAddr],
     path: &str,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The lowest version in force in each data centre that some node knows of.
+/// Returns the lowest version in force in each data centre. Of the versions known for a node the newest counts.
 pub(crate) fn versions_in_force(statuses: &[NodeStatus]) -> BTreeMap<String, u64> {
     let mut nodes: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
     for status in statuses {
@@ -56,18 +56,19 @@
     }
     let mut lowest: BTreeMap<String, u64> = BTreeMap::new();
     for (data_centre, version) in nodes.into_values() {
-        let held = lowest.entry(data_centre.to_owned()).or_insert(version);
-        *held = (*held).min(version);
+        let current = lowest.entry(data_centre.to_owned()).or_insert(version);
+        *current = (*current).min(version);
     }
     lowest
 }
 
-/// Waits until a version is in force on all nodes of the data centres; how long that took.
+/// Waits until a version is in force on all nodes of the data centres and returns the time that it took; an
+/// error after `timeout`.
 pub(crate) async fn wait_in_force(
     addresses: &[SocketAddr],
     version: u64,
     data_centres: &[String],
-    bound: Duration,
+    timeout: Duration,
 ) -> Result<Duration> {
     let start = Instant::now();
     loop {
@@ -75,21 +76,21 @@
             Ok(statuses) => versions_in_force(&statuses),
             Err(_) => BTreeMap::new(),
         };
-        let lagging = |name: &&String| versions.get(*name).is_none_or(|held| *held < version);
+        let lagging = |name: &&String| versions.get(*name).is_none_or(|current| *current < version);
         let missing: Vec<&String> = data_centres.iter().filter(lagging).collect();
         if missing.is_empty() {
             return Ok(start.elapsed());
         }
-        if start.elapsed() > bound {
-            let told = missing.iter().map(|name| match versions.get(*name) {
-                Some(held) => format!("{name} (version {held})"),
+        if start.elapsed() > timeout {
+            let descriptions = missing.iter().map(|name| match versions.get(*name) {
+                Some(current) => format!("{name} (version {current})"),
                 None => format!("{name} (can't be reached)"),
             });
             return Err(Error::NotInForce(
                 version,
-                told.collect::<Vec<_>>().join(", "),
+                descriptions.collect::<Vec<_>>().join(", "),
             ));
         }
-        Timer::after(LOOK_PAUSE).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/crates/plumgate-cli/src/output.rs
+++ b/crates/plumgate-cli/src/output.rs
@@ -1,12 +1,12 @@
-//! What the tool prints.
+//! Output of the tool.
 
 use std::fmt::Display;
 use std::io::{self, Write};
 use std::process;
 
-/// Prints one line or text.
+/// Prints a text and a line break to standard output.
 ///
-/// Whoever reads may have read enough, as `head` does: that ends the tool quietly.
+/// If the reader has closed the pipe, as `head` does, the tool exits with code 0.
 pub(crate) fn print_line(text: impl Display) {
     if writeln!(io::stdout(), "{text}").is_err() {
         process::exit(0);
--- a/crates/plumgate-cli/src/store.rs
+++ b/crates/plumgate-cli/src/store.rs
@@ -1,4 +1,4 @@
-//! The configuration as the platform keeps it: one head row, one row a version, bundles as objects.
+//! Configuration in the platform's store: a head row, a row for each replaced version, and bundles as objects.
 
 use std::net::SocketAddr;
 
@@ -11,23 +11,23 @@
 
 use crate::errors::{Error, Result};
 
-/// Times that a write in doubt is looked after.
-const TRIES: u32 = 5;
+/// Number of attempts at a write that was refused or got no answer.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// The configuration in the platform's store.
+/// Access to the configuration in the platform's store.
 pub(crate) struct ConfigStore {
     platform: PlatformClient<SystemClock>,
 }
 
 impl ConfigStore {
-    /// The store behind a platform's address.
+    /// Creates the access to the store of the platform at an address.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             platform: PlatformClient::new(address, SystemClock),
         }
     }
 
-    /// The head row, if anything was applied yet.
+    /// Reads the head row; `None` if nothing was applied yet.
     pub(crate) async fn head(&self) -> Result<Option<TableRow<ConfigHead>>> {
         self.platform
             .read_row(CONFIG_TABLE, CONFIG_HEAD)
@@ -35,7 +35,7 @@
             .map_err(|_| Error::NotApplied)
     }
 
-    /// The bundle behind a head.
+    /// Reads the bundle of a head.
     pub(crate) async fn bundle(&self, head: &ConfigHead) -> Result<ConfigBundle> {
         let object = self
             .platform
@@ -46,7 +46,7 @@
         serde_json::from_slice(&bytes).map_err(|_| Error::NoVersion(head.version))
     }
 
-    /// The head as it was at a version.
+    /// Reads the head of a version; `None` if there is no such version.
     pub(crate) async fn version(&self, version: u64) -> Result<Option<ConfigHead>> {
         if let Some(head) = self.head().await?
             && head.value.version == version
@@ -61,19 +61,19 @@
         Ok(row.map(|row| row.value))
     }
 
-    /// Writes the next version on top of a head; on conflict the head that is there instead.
+    /// Writes the next version on top of a head; returns the present head if that is another one.
     pub(crate) async fn apply(
         &self,
         base: Option<&TableRow<ConfigHead>>,
         bundle: &ConfigBundle,
         author: &str,
-    ) -> Result<Applied> {
+    ) -> Result<ApplyOutcome> {
         let digest = bundle.digest();
         let body = serde_json::to_vec(bundle).unwrap_or_default();
         if !self.platform.write_object(&digest, body.into(), None).await {
             return Err(Error::NotApplied);
         }
-        self.keep_version(base).await?;
+        self.store_version(base).await?;
         let version = base.map_or(0, |row| row.value.version) + 1;
         let made_ms = SystemClock.unix_ms();
         let change = format!("{made_ms:x}-{:08x}", fastrand::u32(..));
@@ -87,12 +87,12 @@
         self.write_head(base.map(|row| row.version), head).await
     }
 
-    /// Writes the row of the version that is about to be replaced. Every applier does this
-    /// first, so that no version is missing in the history, whoever stopped half-way.
-    async fn keep_version(&self, base: Option<&TableRow<ConfigHead>>) -> Result<()> {
+    /// Writes the row of the version that is about to be replaced. Every apply does this first, so that the
+    /// history lacks no version even if an earlier apply was interrupted.
+    async fn store_version(&self, base: Option<&TableRow<ConfigHead>>) -> Result<()> {
         let Some(base) = base else { return Ok(()) };
         let row = version_row(base.value.version);
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let condition = WriteCondition::Absent;
             match self
                 .platform
@@ -106,19 +106,19 @@
         Err(Error::NotApplied)
     }
 
-    async fn write_head(&self, base: Option<u64>, head: ConfigHead) -> Result<Applied> {
+    async fn write_head(&self, base: Option<u64>, head: ConfigHead) -> Result<ApplyOutcome> {
         let mut in_doubt = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let condition = WriteCondition::new(base);
             let answer = self
                 .platform
                 .write_row(CONFIG_TABLE, CONFIG_HEAD, &head, condition, None)
                 .await;
             match answer {
-                WriteAnswer::Written(_) => return Ok(Applied::Accepted(head)),
-                WriteAnswer::Conflict(found) => return self.resolve(head, found).await,
+                WriteAnswer::Written(_) => return Ok(ApplyOutcome::Accepted(head)),
+                WriteAnswer::Conflict(found) => return self.resolve_conflict(head, found).await,
                 WriteAnswer::Refused => {}
-                // The next try finds out: it either takes effect or meets this one's effect.
+                // The next attempt resolves it: it takes effect, or conflicts with the effect of this one.
                 WriteAnswer::Unanswered => in_doubt = true,
             }
         }
@@ -129,30 +129,30 @@
         }
     }
 
-    /// A conflict may be with this change's own earlier write, whose answer was lost.
-    async fn resolve(
+    /// Resolves a conflict, which may be with this change's own earlier write whose answer was lost.
+    async fn resolve_conflict(
         &self,
         head: ConfigHead,
         found: Option<TableRow<ConfigHead>>,
-    ) -> Result<Applied> {
+    ) -> Result<ApplyOutcome> {
         let Some(found) = found else {
             return Err(Error::NotApplied);
         };
         let kept = self.version(head.version).await;
         match kept {
-            Ok(Some(kept)) if kept.change == head.change => Ok(Applied::Accepted(head)),
-            Ok(_) => Ok(Applied::Raced(found)),
+            Ok(Some(kept)) if kept.change == head.change => Ok(ApplyOutcome::Accepted(head)),
+            Ok(_) => Ok(ApplyOutcome::Conflict(found)),
             Err(_) => Err(Error::InDoubt(head.change)),
         }
     }
 }
 
-/// How an apply ended.
-pub(crate) enum Applied {
+/// Outcome of an apply.
+pub(crate) enum ApplyOutcome {
     /// The new head is in the table.
     Accepted(ConfigHead),
-    /// Another change came first.
-    Raced(TableRow<ConfigHead>),
+    /// Another change was applied first.
+    Conflict(TableRow<ConfigHead>),
 }
 
 fn version_row(version: u64) -> String {
--- a/crates/plumgate-node/src/admin.rs
+++ b/crates/plumgate-node/src/admin.rs
@@ -1,4 +1,4 @@
-//! What operators and the balancer ask a node: health, readiness, metrics and status.
+//! HTTP pages for operators and the load balancer: health, readiness, metrics and status.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::shared::NodeShared;
 use crate::status::{MemberStatus, NodeStatus, ServerStatus};
 
-/// Answers the balancer's probes; `None` for other paths.
+/// Answers the health and readiness probes of the balancer; `None` for other paths.
 pub(crate) fn health_response<C: Clock>(
     shared: &NodeShared<C>,
     path: &str,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Answers one request on an operator's connection.
+/// Answers one request on the operators' listener; 404 for unknown paths.
 pub(crate) async fn serve_operator<C: Clock>(
     shared: Arc<NodeShared<C>>,
     request: Request<Incoming>,
@@ -45,7 +45,7 @@
     }
     match path {
         "/metrics" => {
-            refresh_load(&shared);
+            update_load_gauges(&shared);
             text_response(StatusCode::OK, shared.metrics.page())
         }
         "/status" => json_response(StatusCode::OK, &json!(status(&shared))),
@@ -53,7 +53,8 @@
     }
 }
 
-fn refresh_load<C: Clock>(shared: &NodeShared<C>) {
+/// Sets the load gauges from the dispatcher, one for each rank and state, also where the count is 0.
+fn update_load_gauges<C: Clock>(shared: &NodeShared<C>) {
     let load = shared.dispatcher().load();
     let ranks = shared
         .config
@@ -77,6 +78,7 @@
     }
 }
 
+/// Builds the status page from the configuration, the dispatcher and the membership.
 fn status<C: Clock>(shared: &NodeShared<C>) -> NodeStatus {
     let now = shared.clock.now();
     let config = shared.config.load_full();
--- a/crates/plumgate-node/src/clock.rs
+++ b/crates/plumgate-node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the runtime, and one that tests pause and advance.
+//! Abstraction of time: the system clock, and a clock that tests pause and advance.
 
 use std::future::Future;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,30 +8,30 @@
 use event_listener::Event;
 use futures_lite::future;
 
-/// Where a paused clock starts, in milliseconds of the Unix epoch.
+/// Start of a paused clock in milliseconds of the Unix epoch: 2026-01-01 00:00 UTC.
 const PAUSED_START_MS: u64 = 1_767_225_600_000;
 
-/// Tells the time and waits for it.
+/// Source of the current time, and of timers.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// The present.
+    /// Returns the current time of the monotonic clock.
     fn now(&self) -> Instant;
 
-    /// The present in milliseconds of the Unix epoch.
+    /// Returns the current time in milliseconds of the Unix epoch.
     fn unix_ms(&self) -> u64;
 
-    /// Time since the VM started, suspension included; [`Clock::now`] may leave that out.
+    /// Returns the time since the VM booted, including suspension, which [`Clock::now`] may leave out.
     fn boot_time(&self) -> Duration;
 
-    /// Completes at a time.
+    /// Waits until a time.
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> + Send;
 
-    /// Completes after a time.
+    /// Waits for a duration.
     fn sleep(&self, pause: Duration) -> impl Future<Output = ()> + Send {
         self.sleep_until(self.now() + pause)
     }
 }
 
-/// Does some work, but no longer than until a time; `None` where it took longer.
+/// Runs a future with a deadline; `None` if it did not complete by then. It is dropped in that case.
 pub async fn until<C: Clock, T>(
     clock: &C,
     at: Instant,
@@ -44,7 +44,7 @@
     future::or(async { Some(work.await) }, timeout).await
 }
 
-/// The clock of the machine.
+/// Clock of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// A clock that stands still until a test advances it.
+/// Clock for tests, whose time changes only when a test advances it. Clones share their time.
 #[derive(Clone, Debug)]
 pub struct PausedClock {
     start: Instant,
@@ -81,7 +81,7 @@
 
 #[derive(Debug, Default)]
 struct PausedState {
-    passed: Mutex<Duration>,
+    elapsed: Mutex<Duration>,
     suspended: Mutex<Duration>,
     advanced: Event,
 }
@@ -93,7 +93,7 @@
 }
 
 impl PausedClock {
-    /// A clock that stands at its start.
+    /// Creates a clock that was not advanced yet.
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
@@ -101,17 +101,17 @@
         }
     }
 
-    /// Moves the clock and wakes whoever waited for a time that has come.
+    /// Advances the clock and wakes the tasks whose time has come.
     pub fn advance(&self, by: Duration) {
         *self
             .state
-            .passed
+            .elapsed
             .lock()
             .unwrap_or_else(PoisonError::into_inner) += by;
         self.state.advanced.notify(usize::MAX);
     }
 
-    /// Lets time pass of which only [`Clock::boot_time`] knows, as while a VM is suspended.
+    /// Simulates a suspended VM: only [`Clock::boot_time`] includes this time.
     pub fn suspend(&self, by: Duration) {
         *self
             .state
@@ -120,11 +120,11 @@
             .unwrap_or_else(PoisonError::into_inner) += by;
     }
 
-    /// How far the clock was advanced.
-    pub fn passed(&self) -> Duration {
+    /// Returns how far the clock was advanced in all.
+    pub fn elapsed(&self) -> Duration {
         *self
             .state
-            .passed
+            .elapsed
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -132,11 +132,11 @@
 
 impl Clock for PausedClock {
     fn now(&self) -> Instant {
-        self.start + self.passed()
+        self.start + self.elapsed()
     }
 
     fn unix_ms(&self) -> u64 {
-        PAUSED_START_MS + u64::try_from(self.passed().as_millis()).unwrap_or(u64::MAX)
+        PAUSED_START_MS + u64::try_from(self.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
     fn boot_time(&self) -> Duration {
@@ -145,7 +145,7 @@
             .suspended
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        self.passed() + *suspended
+        self.elapsed() + *suspended
     }
 
     async fn sleep_until(&self, at: Instant) {
--- a/crates/plumgate-node/src/errors.rs
+++ b/crates/plumgate-node/src/errors.rs
@@ -1,13 +1,13 @@
-//! The errors of the crate.
+//! Error type of the crate.
 
 use std::net::SocketAddr;
 
 use displaydoc::Display;
 
-/// The result that the crate's functions return.
+/// Result with the error type of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What can go wrong in a node.
+/// Failure to start a node.
 #[derive(Debug, Display)]
 pub enum Error {
     /// can't listen on {0}: {1}
--- a/crates/plumgate-node/src/http.rs
+++ b/crates/plumgate-node/src/http.rs
@@ -1,4 +1,4 @@
-//! What the HTTP sides of a node have in common.
+//! HTTP helpers shared by the node's clients and servers: connections, whole-body reads, simple responses.
 
 use std::future::Future;
 use std::io;
@@ -17,56 +17,56 @@
 
 use crate::body::AnswerBody;
 
-/// Header that names a request on all its ways.
+/// Header with the request's id, on calls to servers and on answers to callers.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
 
-/// A request to a server or the platform.
+/// Request to a backend server or the platform.
 pub type OutgoingRequest = Request<Full<Bytes>>;
 
-/// An open connection to a server or the platform, ready for one request.
+/// Open connection to a backend server or the platform, ready for one request.
 pub(crate) type OpenConnection = SendRequest<Full<Bytes>>;
 
-/// How long a connection may be quiet before the system probes it.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection counts as broken.
-const PROBES: u32 = 2;
-/// How long written bytes may stay unacknowledged before a connection counts as broken.
-const UNACKNOWLEDGED_MOST: Duration = Duration::from_secs(2);
+/// Idle time after which TCP keepalive probes a connection, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keepalive probes after which a connection counts as broken.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Time that written bytes may stay unacknowledged before a connection counts as broken.
+const MAX_UNACKNOWLEDGED_TIME: Duration = Duration::from_secs(2);
 
-/// Opens a stream that breaks when its other end is lost.
+/// Opens a TCP stream that fails when the peer becomes unreachable.
 ///
-/// Something between the two ends may lose track of a connection, or a data centre may be cut
-/// off: nothing comes any more, not even a reset. Without probes a read on it would wait for good.
+/// A middlebox may drop the connection's state, or a data centre may be cut off: then nothing arrives any more,
+/// not even a reset, and without keepalive probes a read would wait forever.
 pub(crate) async fn open_stream(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let stream = Async::<TcpStream>::connect(address).await?;
     let socket = SockRef::from(stream.get_ref());
     socket.set_tcp_nodelay(true)?;
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_AFTER)
-        .with_retries(PROBES);
-    socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MOST))?;
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    socket.set_tcp_keepalive(&keepalive)?;
+    socket.set_tcp_user_timeout(Some(MAX_UNACKNOWLEDGED_TIME))?;
     Ok(stream)
 }
 
-/// Opens a stream for calls that must not arrive later than a time after they were given up.
+/// Opens a TCP stream for calls that must not arrive later than `max_delay` after they were abandoned.
 ///
-/// The kernel goes on sending what a process has written, after a cut of the network and after the process has closed
-/// the connection or ended: a call would arrive seconds later, when another node has long taken over. So
-/// a close drops what was not sent, and what nobody acknowledges in time is dropped as well.
+/// The kernel goes on sending written data after a network partition, and after the process has closed the
+/// connection or exited: a call could arrive seconds later, when another node has already taken over. So
+/// closing discards unsent data (linger 0), and data that stays unacknowledged for `max_delay` is discarded too.
 pub(crate) async fn open_call_stream(
     address: SocketAddr,
-    most: Duration,
+    max_delay: Duration,
 ) -> io::Result<Async<TcpStream>> {
     let stream = open_stream(address).await?;
     let socket = SockRef::from(stream.get_ref());
     socket.set_linger(Some(Duration::ZERO))?;
-    socket.set_tcp_user_timeout(Some(most))?;
+    socket.set_tcp_user_timeout(Some(max_delay))?;
     Ok(stream)
 }
 
-/// Opens a connection. The returned future carries it and must be run by somebody.
+/// Opens an HTTP connection. The returned future drives it; the caller must poll or spawn that future.
 pub(crate) async fn open_connection(
     address: SocketAddr,
 ) -> io::Result<(OpenConnection, impl Future<Output = ()> + Send + use<>)> {
@@ -74,40 +74,40 @@
     let (sender, connection) = handshake(FuturesIo::new(stream))
         .await
         .map_err(io::Error::other)?;
-    let carry = async move {
-        // How a connection ends shows in the requests that it carried.
+    let driver = async move {
+        // A failure of the connection is reported by the requests on it.
         let _ = connection.await;
     };
-    Ok((sender, carry))
+    Ok((sender, driver))
 }
 
-/// Sends one request over a connection of its own and reads the whole answer.
+/// Sends one request over a new connection and reads the whole response, with a body of at most `max_bytes` bytes.
 pub(crate) async fn fetch_once(
     address: SocketAddr,
     request: OutgoingRequest,
-    most: usize,
+    max_bytes: usize,
 ) -> io::Result<(StatusCode, hyper::HeaderMap, Bytes)> {
-    let (mut sender, carry) = open_connection(address).await?;
+    let (mut sender, driver) = open_connection(address).await?;
     let exchange = async {
         let response = sender
             .send_request(request)
             .await
             .map_err(io::Error::other)?;
         let (head, body) = response.into_parts();
-        let bytes = read_whole(body, most).await?;
+        let bytes = read_whole(body, max_bytes).await?;
         Ok((head.status, head.headers, bytes))
     };
-    // The connection may end before the answer was read out of it; the answer still counts.
-    let carry_on = async {
-        carry.await;
+    // The connection may close before the response was read from its buffers; the response is still valid.
+    let drive = async {
+        driver.await;
         future::pending().await
     };
-    future::or(exchange, carry_on).await
+    future::or(exchange, drive).await
 }
 
-/// Reads a whole body, up to a bound.
-pub(crate) async fn read_whole(body: Incoming, most: usize) -> io::Result<Bytes> {
-    let limited = Limited::new(body, most);
+/// Reads a whole body; an error if it is longer than `max_bytes` bytes.
+pub(crate) async fn read_whole(body: Incoming, max_bytes: usize) -> io::Result<Bytes> {
+    let limited = Limited::new(body, max_bytes);
     limited
         .collect()
         .await
@@ -115,7 +115,7 @@
         .map_err(io::Error::other)
 }
 
-/// An answer of JSON.
+/// Builds a response with a JSON body.
 pub(crate) fn json_response(status: StatusCode, body: &serde_json::Value) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(body.to_string()));
     *response.status_mut() = status;
@@ -126,7 +126,7 @@
     response
 }
 
-/// An answer of plain text.
+/// Builds a response with a plain-text body.
 pub(crate) fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(text));
     *response.status_mut() = status;
--- a/crates/plumgate-node/src/lib.rs
+++ b/crates/plumgate-node/src/lib.rs
@@ -1,8 +1,8 @@
-//! One node of plumgate: it takes callers' requests, sends them to backend servers, and
-//! keeps in touch with the platform and the other nodes.
+//! One node of plumgate: accepts callers' requests, sends them to backend servers, and exchanges state with
+//! the platform and the other nodes.
 //!
-//! All decisions are taken by the `plumgate` crate. Control state has one owner, the control
-//! thread; traffic threads read what it publishes and share the dispatcher behind one lock.
+//! The decisions themselves are in the `plumgate` crate. Control state is owned by one thread, the control
+//! thread; traffic threads read the snapshots that it publishes and share the dispatcher behind one mutex.
 
 #![forbid(unsafe_code)]
 
--- a/crates/plumgate-node/src/life.rs
+++ b/crates/plumgate-node/src/life.rs
@@ -1,4 +1,4 @@
-//! The life of one node, as `charts/node.toml` allows it: start, readiness, graceful stop.
+//! Lifecycle of a node, driven by the state chart `charts/node.toml`: start, readiness, graceful stop.
 
 use std::sync::{Arc, LazyLock};
 use std::time::{Duration, Instant};
@@ -15,55 +15,58 @@
     Arc::new(chart.expect("the chart is part of the program and checked by its tests"))
 });
 
-/// Where a node stands in its life.
+/// Current lifecycle state of a node, and the times of its graceful stop.
 pub(crate) struct NodeLife {
     run: ChartRun,
     balancer_lag: Duration,
     grace: Duration,
-    since: Option<Instant>,
+    entered_at: Option<Instant>,
 }
 
 impl NodeLife {
-    /// A node that is starting.
+    /// Creates the lifecycle of a node that is starting.
     pub(crate) fn new(settings: &NodeSettings) -> Self {
         let run = ChartRun::new(CHART.clone());
         Self {
             run,
             balancer_lag: settings.balancer_lag,
             grace: settings.grace,
-            since: None,
+            entered_at: None,
         }
     }
 
-    /// A configuration is in force.
+    /// Makes the node ready once a configuration is in force.
     pub(crate) fn configured<C: Clock>(&mut self, shared: &NodeShared<C>) {
         if self.run.expects("configured") {
             self.enter("configured", shared);
         }
     }
 
-    /// The process was asked to stop; asked again, it waits for less.
+    /// Begins a graceful stop; each further call skips the wait of the current stage.
     pub(crate) fn stop<C: Clock>(&mut self, shared: &NodeShared<C>) {
         if self.run.expects("stop") {
             self.enter("stop", shared);
         }
     }
 
-    /// Goes on when the time has come.
+    /// Enters the next stage of the stop when its time is over or no request is left.
     pub(crate) fn tick<C: Clock>(&mut self, shared: &NodeShared<C>) {
-        let Some(since) = self.since else { return };
-        let passed = shared.clock.now().saturating_duration_since(since);
-        if self.run.state() == "announcing" && passed >= self.balancer_lag {
+        let Some(entered_at) = self.entered_at else {
+            return;
+        };
+        let elapsed = shared.clock.now().saturating_duration_since(entered_at);
+        if self.run.state() == "announcing" && elapsed >= self.balancer_lag {
             self.enter("balancer_lag_over", shared);
         } else if self.run.state() == "draining" && shared.is_idle() {
             self.enter("idle", shared);
-        } else if self.run.state() == "draining" && passed >= self.grace {
+        } else if self.run.state() == "draining" && elapsed >= self.grace {
             self.enter("grace_over", shared);
         }
     }
 
+    /// Applies an event, publishes the new state, and closes the dispatcher and connections where it says so.
     fn enter<C: Clock>(&mut self, event: &str, shared: &NodeShared<C>) {
-        self.since = Some(shared.clock.now());
+        self.entered_at = Some(shared.clock.now());
         let view = enter_state(&mut self.run, event, shared.open_requests(), &shared.log);
         let closing = view.closing;
         shared.life.store(Arc::new(view));
@@ -74,18 +77,18 @@
         }
     }
 
-    /// Whether the node takes leave of its peers.
+    /// Returns whether the node is stopping, which it announces to its peers.
     pub(crate) fn is_stopping(&self) -> bool {
         matches!(self.run.state(), "announcing" | "draining" | "stopped")
     }
 
-    /// Whether the process may end.
+    /// Returns whether the node has stopped, so that the process may exit.
     pub(crate) fn is_over(&self) -> bool {
         self.run.is_ended()
     }
 }
 
-/// Goes on in the chart of a node's life, tells so, and gives back what the others may see of it.
+/// Applies an event to the lifecycle chart, logs the new state, and returns the view to be published.
 pub(crate) fn enter_state(
     run: &mut ChartRun,
     event: &str,
--- a/crates/plumgate-node/src/link.rs
+++ b/crates/plumgate-node/src/link.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers and to the platform, driven by whoever uses them.
+//! HTTP/1 client connections that are driven by the task that uses them, without a task of their own.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -15,10 +15,10 @@
 
 use crate::http::{OutgoingRequest, open_call_stream, open_stream};
 
-/// Bytes that are read of a server at once: whole small answers, and many events.
+/// Size of the read buffer in bytes: holds a whole small answer, or many stream events.
 const READ_BUFFER: usize = 16 * 1024;
 
-/// Why a request got no answer.
+/// Failure of a request on a connection.
 #[derive(Debug, Display)]
 pub enum LinkError {
     /// the connection was closed before the request left
@@ -29,45 +29,45 @@
 
 impl std::error::Error for LinkError {}
 
-/// One connection.
+/// HTTP/1 connection for one request at a time.
 ///
-/// Whoever uses it drives it too. Dropping it closes it at once, which is how a server learns
+/// Its methods also drive the connection. Dropping it closes the connection at once, which tells the server
 /// that the caller is gone.
 pub struct HttpLink {
     sender: SendRequest<Full<Bytes>>,
-    carry: Option<Connection<FuturesIo<Async<TcpStream>>, Full<Bytes>>>,
+    driver: Option<Connection<FuturesIo<Async<TcpStream>>, Full<Bytes>>>,
 }
 
 impl HttpLink {
-    /// Opens a connection.
+    /// Connects to an address.
     pub async fn open(address: SocketAddr) -> std::io::Result<Self> {
-        Self::over(open_stream(address).await?).await
+        Self::handshake(open_stream(address).await?).await
     }
 
-    /// Opens a connection for calls that must not arrive once they were given up, after a time at most.
-    pub async fn open_for_calls(address: SocketAddr, most: Duration) -> std::io::Result<Self> {
-        Self::over(open_call_stream(address, most).await?).await
+    /// Connects to an address for calls that must not arrive later than `max_delay` after they were abandoned.
+    pub async fn open_for_calls(address: SocketAddr, max_delay: Duration) -> std::io::Result<Self> {
+        Self::handshake(open_call_stream(address, max_delay).await?).await
     }
 
-    async fn over(stream: Async<TcpStream>) -> std::io::Result<Self> {
-        let (sender, carry) = Builder::new()
+    async fn handshake(stream: Async<TcpStream>) -> std::io::Result<Self> {
+        let (sender, driver) = Builder::new()
             .max_buf_size(READ_BUFFER)
             .handshake(FuturesIo::new(stream))
             .await
             .map_err(std::io::Error::other)?;
         Ok(Self {
             sender,
-            carry: Some(carry),
+            driver: Some(driver),
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn exchange(
         &mut self,
         request: OutgoingRequest,
     ) -> Result<Response<Incoming>, LinkError> {
         let sending = self.sender.try_send_request(request);
-        future::or(sending, drive(&mut self.carry))
+        future::or(sending, drive(&mut self.driver))
             .await
             .map_err(|mut error| match error.take_message() {
                 Some(_) => LinkError::Unsent,
@@ -75,28 +75,28 @@
             })
     }
 
-    /// Waits for the next piece of an answer.
+    /// Waits for the next frame of a response body; `None` at its end.
     pub async fn frame(
         &mut self,
         body: &mut Incoming,
     ) -> Option<Result<Frame<Bytes>, hyper::Error>> {
-        future::or(body.frame(), drive(&mut self.carry)).await
+        future::or(body.frame(), drive(&mut self.driver)).await
     }
 
-    /// Whether the connection can take another request, as far as is known here.
+    /// Returns whether the connection can take another request, as far as this side knows.
     pub async fn is_usable(&mut self) -> bool {
-        // A turn of the connection shows a close or bytes that nobody asked for.
-        future::poll_once(drive::<()>(&mut self.carry)).await;
-        self.carry.is_some() && self.sender.is_ready()
+        // Polling the connection once detects a close by the server, or bytes that no request asked for.
+        future::poll_once(drive::<()>(&mut self.driver)).await;
+        self.driver.is_some() && self.sender.is_ready()
     }
 }
 
-/// Drives a connection for as long as something else is waited for.
-async fn drive<T>(carry: &mut Option<Connection<FuturesIo<Async<TcpStream>>, Full<Bytes>>>) -> T {
-    if let Some(connection) = carry {
-        // How a connection ends shows in the request that it carried.
+/// Drives a connection; never completes, so it runs for as long as the future that it races against.
+async fn drive<T>(driver: &mut Option<Connection<FuturesIo<Async<TcpStream>>, Full<Bytes>>>) -> T {
+    if let Some(connection) = driver {
+        // A failure of the connection is reported by the request on it.
         let _ = connection.await;
-        *carry = None;
+        *driver = None;
     }
     future::pending().await
 }
--- a/crates/plumgate-node/src/log.rs
+++ b/crates/plumgate-node/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: one line of key=value pairs for each event.
+//! Event log: one line of `key=value` pairs for each event.
 
 use std::fmt::{Display, Write};
 use std::sync::Arc;
@@ -10,10 +10,10 @@
 use crate::errors::{Error, Result};
 use crate::log_sink::BoundedSink;
 
-/// Where a node's events go.
+/// Handle to the log of a node's events.
 pub type EventLog = Arc<Logger>;
 
-/// A log that writes lines to standard error, from a level on.
+/// Creates a log that writes events of a level or above to standard error.
 pub fn stderr_log(level: LevelFilter) -> Result<EventLog> {
     let formatter = PatternFormatter::new(pattern!(
         "time={date}T{time}.{millisecond} level={level} {payload}{eol}"
@@ -26,13 +26,13 @@
     sink_log(Arc::new(sink), level)
 }
 
-/// A log that writes lines to standard output without ever waiting for its reader.
+/// Creates a log that writes to standard output and never blocks on its reader.
 pub fn stdout_log(level: LevelFilter) -> Result<EventLog> {
     let sink = BoundedSink::start(std::io::stdout())?;
     sink_log(Arc::new(sink), level)
 }
 
-/// A log that gives its lines to a sink.
+/// Creates a log that writes events of a level or above to a sink.
 pub fn sink_log(sink: Arc<dyn Sink>, level: LevelFilter) -> Result<EventLog> {
     let mut builder = Logger::builder();
     builder
@@ -46,21 +46,21 @@
     Error::Log(error.to_string())
 }
 
-/// One event, built up pair by pair.
+/// Builder of the line for one event.
 #[derive(Clone, Debug)]
 pub struct LogLine {
     text: String,
 }
 
 impl LogLine {
-    /// A line for an event.
+    /// Starts a line with the name of the event.
     pub fn new(event: &str) -> Self {
         Self {
             text: format!("event={event}"),
         }
     }
 
-    /// The same with one more pair; values with spaces or quotes are quoted.
+    /// Appends a pair. A value is quoted if it is empty or has a space, a quote, `=` or a line break.
     pub fn with(mut self, key: &str, value: impl Display) -> Self {
         let value = value.to_string();
         let plain = !value.is_empty() && !value.contains([' ', '"', '=', '\n']);
@@ -73,7 +73,7 @@
         self
     }
 
-    /// The same with one more pair, where there is a value.
+    /// Appends a pair if there is a value.
     pub fn with_some(self, key: &str, value: Option<impl Display>) -> Self {
         match value {
             Some(value) => self.with(key, value),
@@ -81,22 +81,22 @@
         }
     }
 
-    /// The line as text of a page for operators.
+    /// Returns the line with a line break, for the text pages that operators read.
     pub fn text(self) -> String {
         self.text + "\n"
     }
 
-    /// Writes the line as an ordinary event.
+    /// Logs the line at level info.
     pub fn info(self, log: &EventLog) {
         self.write(log, Level::Info);
     }
 
-    /// Writes the line as an event that an operator should look at.
+    /// Logs the line at level warn, for events that need an operator's attention.
     pub fn warn(self, log: &EventLog) {
         self.write(log, Level::Warn);
     }
 
-    /// Writes the line as a detail.
+    /// Logs the line at level debug.
     pub fn debug(self, log: &EventLog) {
         self.write(log, Level::Debug);
     }
--- a/crates/plumgate-node/src/log_sink.rs
+++ b/crates/plumgate-node/src/log_sink.rs
@@ -1,5 +1,5 @@
-//! A sink of log lines that neither blocks nor floods: a thread of its own writes them, and what
-//! is too much is counted and summed up in a line of its own.
+//! Log sink that never blocks its callers and limits the volume: a separate thread writes the lines, and lines
+//! beyond the limits are dropped, counted, and reported in one summary line.
 
 use std::fmt::Write as _;
 use std::io::Write;
@@ -14,41 +14,41 @@
 
 use crate::errors::{Error, Result};
 
-/// Lines that wait for the writer: about a second of full load.
-const LINES_WAITING: usize = 1024;
-/// Span over which the volume is bounded.
-const VOLUME_SPAN: Duration = Duration::from_secs(1);
-/// Lines of ordinary events in a span: about two for each of some 200 requests. Warnings are
-/// written beyond it.
-const LINES_MOST: u32 = 500;
-/// Bytes that are written in one call at most.
-const BATCH_BYTES: usize = 32 * 1024;
-
-/// What was written in the present span.
-struct VolumeSpan {
+/// Capacity of the queue to the writer thread in lines: about one second of full load.
+const QUEUE_CAPACITY: usize = 1024;
+/// Period over which the number of lines is limited.
+const RATE_PERIOD: Duration = Duration::from_secs(1);
+/// Limit of lines in a period: about two for each of some 200 requests. Lines of level warn and above count
+/// towards it, but are written beyond it.
+const MAX_PERIOD_LINES: u32 = 500;
+/// Size in bytes from which on no further line is added to a write.
+const MAX_BATCH_BYTES: usize = 32 * 1024;
+
+/// Counters of the current rate period.
+struct RatePeriod {
     started: Instant,
     lines: u32,
     left_out: u64,
 }
 
-/// A sink that hands its lines to a thread.
+/// Log sink that passes its lines to a writer thread through a bounded queue.
 pub struct BoundedSink {
     lines: Sender<String>,
-    span: Mutex<VolumeSpan>,
+    period: Mutex<RatePeriod>,
     overflowed: AtomicU64,
 }
 
 impl BoundedSink {
-    /// A sink that writes to a writer, which may stall for as long as it likes.
+    /// Starts the writer thread. The writer may block for any time; errors if the thread can't be started.
     pub fn start<W: Write + Send + 'static>(writer: W) -> Result<Self> {
-        let (lines, waiting) = async_channel::bounded(LINES_WAITING);
+        let (lines, queue) = async_channel::bounded(QUEUE_CAPACITY);
         std::thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_lines(writer, &waiting))
+            .spawn(move || write_lines(writer, &queue))
             .map_err(Error::Thread)?;
         Ok(Self {
             lines,
-            span: Mutex::new(VolumeSpan {
+            period: Mutex::new(RatePeriod {
                 started: Instant::now(),
                 lines: 0,
                 left_out: 0,
@@ -57,29 +57,31 @@
         })
     }
 
-    /// Whether one more ordinary line may be written now; sums up what was left out before.
+    /// Counts a line and returns whether to write it. At the start of a period it first reports the lines that
+    /// were dropped before.
     fn admit(&self, level: Level) -> bool {
         let now = Instant::now();
-        let mut span = self.span.lock().unwrap_or_else(PoisonError::into_inner);
-        if now.saturating_duration_since(span.started) >= VOLUME_SPAN {
-            let left_out = span.left_out + self.overflowed.swap(0, Ordering::Relaxed);
+        let mut period = self.period.lock().unwrap_or_else(PoisonError::into_inner);
+        if now.saturating_duration_since(period.started) >= RATE_PERIOD {
+            let left_out = period.left_out + self.overflowed.swap(0, Ordering::Relaxed);
             if left_out > 0 {
                 self.send(format!(
                     "{} level=warn event=log_left_out lines={left_out}\n",
                     time_field()
                 ));
             }
-            *span = VolumeSpan {
+            *period = RatePeriod {
                 started: now,
                 lines: 0,
                 left_out: 0,
             };
         }
-        span.lines += 1;
-        if span.lines <= LINES_MOST || LevelFilter::MoreSevereEqual(Level::Warn).test(level) {
+        period.lines += 1;
+        if period.lines <= MAX_PERIOD_LINES || LevelFilter::MoreSevereEqual(Level::Warn).test(level)
+        {
             return true;
         }
-        span.left_out += 1;
+        period.left_out += 1;
         false
     }
 
@@ -102,13 +104,13 @@
         LevelFilter::All
     }
 
-    /// The logger filters; the sink takes whatever it is given.
+    /// Does nothing: the logger filters by level, and the sink writes all lines that it receives.
     fn set_level_filter(&self, _: LevelFilter) {}
 
-    /// The form of a line is fixed.
+    /// Does nothing: the format of a line is fixed.
     fn set_formatter(&self, _: Box<dyn Formatter>) {}
 
-    /// Nothing here reports errors: a line that can't be written is counted.
+    /// Does nothing: a line that can't be queued is counted instead of being reported as an error.
     fn set_error_handler(&self, _: ErrorHandler) {}
 }
 
@@ -130,14 +132,14 @@
     }
 }
 
-fn write_lines<W: Write>(mut writer: W, waiting: &Receiver<String>) {
-    while let Ok(first) = waiting.recv_blocking() {
+fn write_lines<W: Write>(mut writer: W, queue: &Receiver<String>) {
+    while let Ok(first) = queue.recv_blocking() {
         let mut batch = first;
-        while batch.len() < BATCH_BYTES {
-            let Ok(line) = waiting.try_recv() else { break };
+        while batch.len() < MAX_BATCH_BYTES {
+            let Ok(line) = queue.try_recv() else { break };
             batch.push_str(&line);
         }
-        // Whoever read the log is gone; there is nobody to tell.
+        // An error means that the log's reader is gone, so there is nowhere to report it.
         let _ = writer.write_all(batch.as_bytes());
         let _ = writer.flush();
     }
--- a/crates/plumgate-node/src/metrics.rs
+++ b/crates/plumgate-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a node counts, for operators.
+//! Prometheus metrics of a node. The fields of the label types are the labels' names.
 
 use std::time::Duration;
 
@@ -9,48 +9,48 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of the buckets for times, in seconds.
+/// Upper bounds of the histogram buckets in seconds.
 const TIME_BUCKETS: [f64; 12] = [
     0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 1.2, 2.5, 5.0, 15.0, 60.0,
 ];
 
-/// How a request ended, by class.
+/// Labels of an ended request.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct OutcomeLabels {
     /// The class of the request.
     pub(crate) class: String,
     /// The rank at which it was served.
     pub(crate) tier: u32,
-    /// Its outcome.
+    /// The outcome of the request.
     pub(crate) outcome: &'static str,
-    /// Whether its first token came within its target.
+    /// `yes` if its first token arrived within the class's target, else `no`.
     pub(crate) in_time: &'static str,
 }
 
-/// The class of a request.
+/// Label for the class of a request.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct ClassLabels {
     /// The class of the request.
     pub(crate) class: String,
 }
 
-/// Why something happened.
+/// Label for the reason of an event.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct ReasonLabels {
     /// The reason.
     pub(crate) reason: &'static str,
 }
 
-/// A rank and where its requests are.
+/// Labels of the load of a rank.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct RankLabels {
     /// The rank.
     pub(crate) tier: u32,
-    /// Whether the requests wait or run.
+    /// `waiting` or `running`.
     pub(crate) state: &'static str,
 }
 
-/// All metrics of a node.
+/// Metrics of a node and the registry that exports them.
 #[derive(Debug)]
 pub(crate) struct NodeMetrics {
     registry: Registry,
@@ -58,13 +58,13 @@
     pub(crate) requests: Family<OutcomeLabels, Counter>,
     /// Requests refused as not run, by reason.
     pub(crate) refusals: Family<ReasonLabels, Counter>,
-    /// Attempts that were followed by another or by a failure, by reason.
+    /// Attempts that failed, whether or not another one followed, by reason.
     pub(crate) failed_attempts: Family<ReasonLabels, Counter>,
-    /// Time from arrival to the first byte of the answer.
+    /// Time from the arrival of a request to the first byte of its answer, in seconds.
     pub(crate) first_byte: Family<ClassLabels, Histogram>,
     /// Tokens relayed to callers.
     pub(crate) tokens: Counter,
-    /// Tokens that were generated for nobody.
+    /// Tokens that were generated but not delivered to a caller.
     pub(crate) wasted_tokens: Counter,
     /// Requests that wait or run.
     pub(crate) load: Family<RankLabels, Gauge>,
@@ -76,14 +76,14 @@
     pub(crate) peer_bytes_sent: Counter,
     /// Bytes received from peers.
     pub(crate) peer_bytes_received: Counter,
-    /// Messages of peers that were refused.
+    /// Messages from peers that were refused, by reason.
     pub(crate) peer_refused: Family<ReasonLabels, Counter>,
     /// Calls to the platform that got no usable answer.
     pub(crate) platform_failures: Counter,
 }
 
 impl NodeMetrics {
-    /// Metrics that count from nothing.
+    /// Creates the metrics, all at 0, and registers them.
     pub(crate) fn new() -> Self {
         let mut registry = Registry::with_prefix("plumgate");
         let time_histogram = || Histogram::new(TIME_BUCKETS);
@@ -151,7 +151,7 @@
         );
     }
 
-    /// A request ended.
+    /// Counts a request that ended.
     pub(crate) fn count_request(
         &self,
         class: &str,
@@ -169,7 +169,7 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// The first byte of an answer went to its caller.
+    /// Records the time to the first byte of an answer.
     pub(crate) fn observe_first_byte(&self, class: &str, after: Duration) {
         let labels = ClassLabels {
             class: class.to_owned(),
@@ -179,10 +179,10 @@
             .observe(after.as_secs_f64());
     }
 
-    /// The text of the metrics page.
+    /// Encodes the metrics in the Prometheus text format.
     pub(crate) fn page(&self) -> String {
         let mut page = String::new();
-        // Writing to a string does not fail; an empty page would show that it did.
+        // Writing to a string does not fail; if it did, the page would be empty.
         let _ = text::encode(&mut page, &self.registry);
         page
     }
--- a/crates/plumgate-node/src/node.rs
+++ b/crates/plumgate-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts the threads of a node and stops them again.
+//! Start and stop of a node: its listeners, its traffic threads and its control thread.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -30,25 +30,25 @@
 use crate::settings::NodeSettings;
 use crate::shared::{ControlEvent, NodeShared};
 
-/// Bytes that the head of a request may have.
-const HEAD_BYTES_MOST: usize = 64 * 1024;
-/// Header lines that a request may have.
-const HEADERS_MOST: usize = 100;
-/// Peer messages that wait for the control thread.
-const EVENTS_WAITING: usize = 1024;
+/// Largest head of a request in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Largest number of header lines in a request.
+const MAX_HEADERS: usize = 100;
+/// Capacity of the queue of events to the control thread, most of them peer messages.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
 
-/// The addresses that a node listens on.
+/// Addresses that a node listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeAddresses {
-    /// For callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Listener for operators.
     pub operators: SocketAddr,
-    /// For the other nodes.
+    /// Listener for the other nodes.
     pub peers: SocketAddr,
 }
 
-/// A running node.
+/// Running node: its threads and the means to stop them.
 pub struct Node {
     addresses: NodeAddresses,
     control: Sender<ControlEvent>,
@@ -56,9 +56,9 @@
 }
 
 impl Node {
-    /// Binds all addresses and starts the threads.
+    /// Binds all addresses and starts the threads; errors if either fails.
     pub fn start<C: Clock>(settings: NodeSettings, clock: C, log: EventLog) -> Result<Self> {
-        let (control, events) = async_channel::bounded(EVENTS_WAITING);
+        let (control, events) = async_channel::bounded(EVENT_QUEUE_CAPACITY);
         let callers = bind(settings.listen)?;
         let operators = bind(settings.admin_listen)?;
         let inbox = PeerInbox::listen(settings.peer_listen, control.clone())?;
@@ -81,10 +81,10 @@
             control.clone(),
         ));
         log_start(&shared, addresses);
-        let caller_side = accept_loop(shared.clone(), callers, serve_caller);
-        shared.executor.spawn(caller_side).detach();
-        let operator_side = accept_loop(shared.clone(), operators, serve_operator);
-        shared.executor.spawn(operator_side).detach();
+        let caller_task = accept_loop(shared.clone(), callers, serve_caller);
+        shared.executor.spawn(caller_task).detach();
+        let operator_task = accept_loop(shared.clone(), operators, serve_operator);
+        shared.executor.spawn(operator_task).detach();
         let threads = start_threads(&shared, events, inbox)?;
         Ok(Self {
             addresses,
@@ -93,18 +93,18 @@
         })
     }
 
-    /// The addresses that were bound.
+    /// Returns the bound addresses.
     pub fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
 
-    /// Asks the node to stop; asked again, it waits for less.
+    /// Begins a graceful stop; each further call skips the wait of the current stage.
     pub fn stop(&self) {
-        // A control thread that is gone has stopped already.
+        // Sending fails if the control thread has already exited, and then the node has stopped.
         let _ = self.control.try_send(ControlEvent::Stop);
     }
 
-    /// A way to ask the node to stop from elsewhere.
+    /// Returns a function that does the same as [`Node::stop`], for use by another thread.
     pub fn stopper(&self) -> impl Fn() + Send + 'static {
         let control = self.control.clone();
         move || {
@@ -115,7 +115,7 @@
     /// Waits until the node has stopped.
     pub fn join(self) {
         for thread in self.threads {
-            // A thread that panicked has said so on standard error.
+            // The panic hook has already printed the panic of a thread on standard error.
             let _ = thread.join();
         }
     }
@@ -125,8 +125,8 @@
     Async::<TcpListener>::bind(address).map_err(|error| Error::Listen(address, error))
 }
 
-pub(crate) fn local_address(listener: &Async<TcpListener>, asked: SocketAddr) -> SocketAddr {
-    listener.get_ref().local_addr().unwrap_or(asked)
+pub(crate) fn local_address(listener: &Async<TcpListener>, requested: SocketAddr) -> SocketAddr {
+    listener.get_ref().local_addr().unwrap_or(requested)
 }
 
 fn log_start<C: Clock>(shared: &NodeShared<C>, addresses: NodeAddresses) {
@@ -150,8 +150,8 @@
         let executor = shared.executor.clone();
         let stopped = stopped.clone();
         let work = move || {
-            // This way the thread waits for its sockets itself; another one would have to be
-            // woken for every token.
+            // `async_io::block_on` makes this thread poll its sockets itself. Otherwise the reactor's thread
+            // would have to wake it for every token.
             let _ = async_io::block_on(executor.run(stopped.recv()));
         };
         threads.push(spawn_thread(format!("traffic-{number}"), work)?);
@@ -159,7 +159,7 @@
     let shared = shared.clone();
     let control = move || {
         run_control(shared, events, inbox);
-        // The traffic threads end when the control thread does.
+        // Closes the channel, which ends the traffic threads together with the control thread.
         drop(running);
     };
     threads.push(spawn_thread("control".to_owned(), control)?);
@@ -198,7 +198,7 @@
     future::block_on(executor.run(control.run()));
 }
 
-/// Accepts connections for as long as the node runs.
+/// Accepts connections while the node runs, and serves each in a task of its own.
 async fn accept_loop<C, S, F>(shared: Arc<NodeShared<C>>, listener: Async<TcpListener>, serve: S)
 where
     C: Clock,
@@ -208,10 +208,10 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let carried = serve_connection(shared.clone(), stream, serve);
-                shared.executor.spawn(carried).detach();
+                let task = serve_connection(shared.clone(), stream, serve);
+                shared.executor.spawn(task).detach();
             }
-            // Out of file handles, most likely: the next connections wait until some close.
+            // Most likely the process is out of file descriptors: new connections wait until others close.
             Err(_) => {
                 shared
                     .clock
@@ -228,7 +228,7 @@
     S: Fn(Arc<NodeShared<C>>, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
     F: Future<Output = Response<AnswerBody>> + Send + 'static,
 {
-    // Small pieces of a stream must not wait for each other.
+    // Nagle's algorithm would delay the small writes of a stream.
     let _ = stream.get_ref().set_nodelay(true);
     let _open = shared.open_connection();
     let service = service_fn(|request| {
@@ -238,8 +238,8 @@
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(shared.settings.header_timeout)
-        .max_buf_size(HEAD_BYTES_MOST)
-        .max_headers(HEADERS_MOST)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS)
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closing = shared.closing.listen();
@@ -253,7 +253,7 @@
             return;
         }
     }
-    // The request in flight is answered whole; then the connection closes.
+    // The request in flight is answered completely before the connection closes.
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
--- a/crates/plumgate-node/src/orders.rs
+++ b/crates/plumgate-node/src/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to engines: holds the leases that this node wants, looks at the engines and orders
-//! what the inventory says.
+//! Orders to engines to load and unload models. The node takes the lease of each model that it is chosen for,
+//! polls the engines, and orders what the inventory says.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,89 +23,90 @@
 use crate::platform::{PlatformClient, TableRow, WriteAnswer, WriteCondition};
 use crate::shared::NodeShared;
 
-/// The platform's table with the leases.
+/// Name of the platform's table with the leases.
 const LEASE_TABLE: &str = "leases";
-/// Time between two looks at the engines of a held lease.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
-/// Largest answer of an engine that is read.
-const LARGEST_ANSWER: usize = 1024 * 1024;
+/// Interval between two polls of the engines while the lease is held, and timeout of a poll.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Largest answer of an engine in bytes that is read.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// What came of a call that an order-giver made.
+/// Result of a call to the platform or an engine.
 pub(crate) enum OrderEvent {
     /// The platform answered about a lease.
     Lease(PoolId, LeaseAnswer),
-    /// An engine told its models.
+    /// An engine reported its models.
     Models(PoolId, ServerId, LoadedModels),
 }
 
-/// One model of the data centre, with its lease.
-struct ModelCare {
+/// Lease, planner and poll time of one model of the data centre.
+struct ModelState {
     lease: LeaseHolder,
     planner: PlacementPlanner,
     fencing: Option<FencingNumber>,
-    next_look: Option<Instant>,
+    next_poll: Option<Instant>,
 }
 
-/// All leases and plans of one node.
+/// Controller of the models of this node's data centre: holds their leases and sends orders to engines.
 pub(crate) struct OrderGiver<C> {
     shared: Arc<NodeShared<C>>,
     holder: String,
-    ends: Sender<OrderEvent>,
-    models: BTreeMap<PoolId, ModelCare>,
+    events: Sender<OrderEvent>,
+    models: BTreeMap<PoolId, ModelState>,
 }
 
-/// Work for the control thread's executor.
+/// Task for the control thread's executor.
 pub(crate) type OrderTask = std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
 impl<C: Clock> OrderGiver<C> {
-    /// An order-giver that holds nothing.
-    pub(crate) fn new(shared: Arc<NodeShared<C>>, ends: Sender<OrderEvent>) -> Self {
-        // A process that was replaced under the same name is another holder.
+    /// Creates a controller that holds no lease.
+    pub(crate) fn new(shared: Arc<NodeShared<C>>, events: Sender<OrderEvent>) -> Self {
+        // The incarnation makes a restarted process under the same node name a different holder.
         let holder = format!("{}/{}", shared.settings.node, shared.incarnation);
         Self {
             shared,
             holder,
-            ends,
+            events,
             models: BTreeMap::new(),
         }
     }
 
-    /// What is due now, as tasks to be run.
+    /// Returns the tasks that are due now, for the caller to spawn.
     pub(crate) fn tick(&mut self, members: &MemberTable, stopping: bool) -> Vec<OrderTask> {
         let Some(config) = self.shared.config.load_full() else {
             return Vec::new();
         };
-        self.take_care_of(&config);
+        self.update_models(&config);
         let now = self.shared.clock.now();
-        let distrusts = members.distrusts_itself(now);
+        let is_stale = members.distrusts_itself(now);
         let names: Vec<PoolId> = self.models.keys().cloned().collect();
         let mut tasks = Vec::new();
         for model in names {
             let chosen = members.is_chosen(&format!("lease:{model}"), 1);
-            let wanted = chosen && !stopping && !distrusts;
+            let wanted = chosen && !stopping && !is_stale;
             tasks.extend(self.tick_model(&model, wanted, &config, now));
         }
         tasks
     }
 
-    /// Follows the inventory: one lease for each model of this data centre.
-    fn take_care_of(&mut self, config: &FleetConfig) {
+    /// Adds and removes models after the inventory: one lease for each model of this data centre.
+    fn update_models(&mut self, config: &FleetConfig) {
         let own = &self.shared.settings.data_centre;
         let servers = config.inventory.servers.values();
         let engines = servers.filter(|s| s.kind == ServerKind::Engine && s.data_centre == *own);
         let models: BTreeSet<PoolId> = engines.map(|server| server.pool.clone()).collect();
         self.models.retain(|model, _| models.contains(model));
         for model in models {
-            let care = || ModelCare {
+            let state = || ModelState {
                 lease: LeaseHolder::new(self.holder.clone()),
                 planner: PlacementPlanner::new(own.clone(), model.clone()),
                 fencing: None,
-                next_look: None,
+                next_poll: None,
             };
-            self.models.entry(model.clone()).or_insert_with(care);
+            self.models.entry(model.clone()).or_insert_with(state);
         }
     }
 
+    /// Returns the tasks of one model: its lease, polls of its engines, and the next order.
     fn tick_model(
         &mut self,
         model: &PoolId,
@@ -114,43 +115,43 @@
         now: Instant,
     ) -> Vec<OrderTask> {
         let mut tasks = Vec::new();
-        let Some(care) = self.models.get_mut(model) else {
+        let Some(state) = self.models.get_mut(model) else {
             return tasks;
         };
-        if let Some(action) = care.lease.tick(wanted, now) {
-            tasks.push(self.ask_platform(model, action));
+        if let Some(action) = state.lease.tick(wanted, now) {
+            tasks.push(self.lease_task(model, action));
         }
-        self.note_lease(model, now);
-        let Some(care) = self.models.get_mut(model) else {
+        self.record_lease(model, now);
+        let Some(state) = self.models.get_mut(model) else {
             return tasks;
         };
-        if care.fencing.is_none() {
+        if state.fencing.is_none() {
             return tasks;
         }
-        if care.next_look.is_none_or(|due| now >= due) {
-            care.next_look = Some(now + LOOK_PAUSE);
-            let servers: Vec<Server> = care.planner.servers(config).cloned().collect();
+        if state.next_poll.is_none_or(|due| now >= due) {
+            state.next_poll = Some(now + POLL_INTERVAL);
+            let servers: Vec<Server> = state.planner.servers(config).cloned().collect();
             tasks.extend(
                 servers
                     .into_iter()
-                    .map(|server| self.look_at(model, server)),
+                    .map(|server| self.poll_task(model, server)),
             );
         }
-        tasks.extend(self.give_order(model, config, now));
+        tasks.extend(self.issue_order(model, config, now));
         tasks
     }
 
-    /// Notices when the lease was taken or is over.
-    fn note_lease(&mut self, model: &PoolId, now: Instant) {
-        let Some(care) = self.models.get_mut(model) else {
+    /// Records and logs that the lease was acquired or lost.
+    fn record_lease(&mut self, model: &PoolId, now: Instant) {
+        let Some(state) = self.models.get_mut(model) else {
             return;
         };
-        let fencing = care.lease.fencing(now);
-        if fencing == care.fencing {
+        let fencing = state.lease.fencing(now);
+        if fencing == state.fencing {
             return;
         }
-        care.fencing = fencing;
-        care.planner.begin();
+        state.fencing = fencing;
+        state.planner.begin();
         LogLine::new("lease")
             .with("model", model)
             .with("held", fencing.is_some())
@@ -158,40 +159,41 @@
             .info(&self.shared.log);
     }
 
-    fn give_order(
+    /// Returns the next order as a task, if the lease is held and an order is due.
+    fn issue_order(
         &mut self,
         model: &PoolId,
         config: &FleetConfig,
         now: Instant,
     ) -> Option<OrderTask> {
-        let care = self.models.get_mut(model)?;
-        let settled = care.lease.settled_fencing(now);
-        let fencing = care.lease.fencing(now)?;
-        // Until the orders of an earlier holder are over, only engines that check the number
-        // get any: another one might carry out an old order after this one.
+        let state = self.models.get_mut(model)?;
+        let settled = state.lease.settled_fencing(now);
+        let fencing = state.lease.fencing(now)?;
+        // While orders of an earlier holder may still be running, orders go out only if all engines check the
+        // fencing number: an engine that doesn't could execute an old order after this one.
         if settled.is_none()
-            && care
+            && state
                 .planner
                 .servers(config)
                 .any(|server| !server.checks_fencing)
         {
             return None;
         }
-        let order = care.planner.next_order(config, now)?;
+        let order = state.planner.next_order(config, now)?;
         let server = config.inventory.servers.get(&order.server)?;
         log_order(&order, fencing, &self.shared);
-        Some(self.send_order(model, server, &order))
+        Some(self.order_task(model, server, &order))
     }
 
-    /// Sends an order, if the lease still holds when it is about to leave.
-    fn send_order(&self, model: &PoolId, server: &Server, order: &PlacementOrder) -> OrderTask {
+    /// Returns a task that sends an order, or one that does nothing if the lease is no longer held.
+    fn order_task(&self, model: &PoolId, server: &Server, order: &PlacementOrder) -> OrderTask {
         let shared = self.shared.clone();
         let address = server.address;
         let now = shared.clock.now();
         let fencing = self
             .models
             .get(model)
-            .and_then(|care| care.lease.fencing(now));
+            .and_then(|state| state.lease.fencing(now));
         let Some(fencing) = fencing else {
             return Box::pin(async {});
         };
@@ -204,8 +206,8 @@
                 &address.to_string(),
                 body.to_string(),
             );
-            let sending = fetch_once(address, request, LARGEST_ANSWER);
-            let answer = shared.until(now + LONGEST_ORDER, sending).await;
+            let exchange = fetch_once(address, request, MAX_ANSWER_BYTES);
+            let answer = shared.until(now + LONGEST_ORDER, exchange).await;
             let status = answer
                 .and_then(Result::ok)
                 .map(|(status, _, _)| status.as_u16());
@@ -218,45 +220,46 @@
         })
     }
 
-    fn look_at(&self, model: &PoolId, server: Server) -> OrderTask {
+    /// Returns a task that polls the models of an engine; a failed poll yields no event.
+    fn poll_task(&self, model: &PoolId, server: Server) -> OrderTask {
         let shared = self.shared.clone();
-        let (model, ends) = (model.clone(), self.ends.clone());
+        let (model, events) = (model.clone(), self.events.clone());
         Box::pin(async move {
             let address = server.address;
             let request = request(Method::GET, "/orders", &address.to_string(), String::new());
-            let deadline = shared.clock.now() + LOOK_PAUSE;
+            let deadline = shared.clock.now() + POLL_INTERVAL;
             let answer = shared
-                .until(deadline, fetch_once(address, request, LARGEST_ANSWER))
+                .until(deadline, fetch_once(address, request, MAX_ANSWER_BYTES))
                 .await;
             if let Some(Ok((StatusCode::OK, _, body))) = answer
-                && let Ok(state) = serde_json::from_slice::<EngineState>(&body)
+                && let Ok(report) = serde_json::from_slice::<EngineReport>(&body)
             {
-                // The loop that listens ends only when the node does.
-                let _ = ends
-                    .send(OrderEvent::Models(model, server.id, state.models()))
+                // The receiver is dropped only when the node stops.
+                let _ = events
+                    .send(OrderEvent::Models(model, server.id, report.models()))
                     .await;
             }
         })
     }
 
-    fn ask_platform(&self, model: &PoolId, action: LeaseAction) -> OrderTask {
+    fn lease_task(&self, model: &PoolId, action: LeaseAction) -> OrderTask {
         let platform = self.shared.platform.clone();
         let row = format!("{}.{model}", self.shared.settings.data_centre);
-        let (model, ends) = (model.clone(), self.ends.clone());
+        let (model, events) = (model.clone(), self.events.clone());
         Box::pin(async move {
-            let answer = ask_lease(&platform, &row, action).await;
-            let _ = ends.send(OrderEvent::Lease(model, answer)).await;
+            let answer = run_lease_action(&platform, &row, action).await;
+            let _ = events.send(OrderEvent::Lease(model, answer)).await;
         })
     }
 
-    /// Takes in what came of a call; what follows is to be run.
+    /// Applies the result of a call and returns the follow-up task, if any.
     pub(crate) fn apply(&mut self, event: OrderEvent) -> Option<OrderTask> {
         let now = self.shared.clock.now();
         match event {
             OrderEvent::Lease(model, answer) => {
                 let action = self.models.get_mut(&model)?.lease.apply(answer, now);
-                self.note_lease(&model, now);
-                Some(self.ask_platform(&model, action?))
+                self.record_lease(&model, now);
+                Some(self.lease_task(&model, action?))
             }
             OrderEvent::Models(model, server, models) => {
                 self.models
@@ -269,13 +272,13 @@
     }
 }
 
-/// What an engine says of its models.
+/// Answer of an engine to `GET /orders`: its models and whether each is loaded.
 #[derive(Deserialize)]
-struct EngineState {
+struct EngineReport {
     models: BTreeMap<String, bool>,
 }
 
-impl EngineState {
+impl EngineReport {
     fn models(self) -> LoadedModels {
         self.models
             .into_iter()
@@ -294,16 +297,17 @@
         .info(&shared.log);
 }
 
-async fn ask_lease<C: Clock>(
+/// Reads or writes the row of a lease, as the action says.
+async fn run_lease_action<C: Clock>(
     platform: &PlatformClient<C>,
     row: &str,
     action: LeaseAction,
 ) -> LeaseAnswer {
-    let told =
+    let row_answer =
         |row: Option<TableRow<LeaseRow>>| LeaseAnswer::Row(row.map(|r| (r.value, r.version)));
     match action {
         LeaseAction::Read => match platform.read_row(LEASE_TABLE, row).await {
-            Ok(found) => told(found),
+            Ok(found) => row_answer(found),
             Err(_) => LeaseAnswer::Unanswered,
         },
         LeaseAction::Put(value, version) => {
@@ -313,7 +317,7 @@
                 .await
             {
                 WriteAnswer::Written(version) => LeaseAnswer::Written(version),
-                WriteAnswer::Conflict(found) => told(found),
+                WriteAnswer::Conflict(found) => row_answer(found),
                 WriteAnswer::Refused | WriteAnswer::Unanswered => LeaseAnswer::Unanswered,
             }
         }
--- a/crates/plumgate-node/src/peers.rs
+++ b/crates/plumgate-node/src/peers.rs
@@ -1,7 +1,7 @@
-//! Links to the other nodes, over nng.
+//! Messaging between nodes over nng.
 //!
-//! Each node pulls messages on one socket and pushes to each peer over another. A message
-//! that can't go out at once is dropped: the next round of gossip says the same or better.
+//! Each node receives on one pull socket and sends to each peer over a push socket. A message that can't be
+//! queued at once is dropped: the next gossip round sends the same or newer state.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,27 +16,27 @@
 use crate::metrics::NodeMetrics;
 use crate::shared::ControlEvent;
 
-/// Messages that wait for a peer that can't be reached.
-const MESSAGES_WAITING: i32 = 4;
-/// How long a link is used. One that went silent takes messages and loses them without any
-/// sign, since nothing comes back on it; a new one after this time bounds the loss.
+/// Capacity of the send queue to a peer in messages, which fills while the peer is unreachable.
+const SEND_QUEUE_CAPACITY: i32 = 4;
+/// Time after which a link is replaced. Nothing is received on a push socket, so a dead connection accepts and
+/// loses messages without an error; replacing it bounds that loss.
 const LINK_LIFETIME: Duration = Duration::from_secs(10);
-/// Longest pause between two tries to reach a peer.
-const RECONNECT_LONGEST: Duration = Duration::from_secs(2);
-/// Shortest pause between two tries to reach a peer.
-const RECONNECT_SHORTEST: Duration = Duration::from_millis(100);
+/// Longest pause between two attempts to connect to a peer.
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_secs(2);
+/// Shortest pause between two attempts to connect to a peer.
+const MIN_RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
-/// The socket on which a node hears its peers.
+/// Pull socket on which a node receives messages from its peers.
 pub(crate) struct PeerInbox {
-    /// Dropping the socket ends the listening.
+    /// Dropping the socket closes the listener.
     _socket: Socket,
-    /// Dropping the last handle cancels the receive that is under way.
+    /// Dropping the last handle cancels the pending receive.
     _receive: Aio,
     address: SocketAddr,
 }
 
 impl PeerInbox {
-    /// Listens on an address and gives what comes to the control thread.
+    /// Listens on an address and passes received bytes to the control thread.
     pub(crate) fn listen(address: SocketAddr, events: Sender<ControlEvent>) -> Result<Self> {
         let failed = |error| Error::PeerListen(address, error);
         let socket = Socket::new(Protocol::Pull0).map_err(failed)?;
@@ -44,15 +44,15 @@
             .set_opt::<RecvMaxSize>(LARGEST_MESSAGE)
             .map_err(failed)?;
         socket.listen(&url(address)).map_err(failed)?;
-        let receiving = socket.clone();
+        let receive_socket = socket.clone();
         let aio = Aio::new(move |aio, result| {
             if let AioResult::Recv(Ok(message)) = result {
-                // A full channel means that this node is too slow; older gossip is worth less.
+                // If the channel is full, the node is overloaded and the message is dropped: gossip is repeated.
                 let _ = events.try_send(ControlEvent::PeerBytes(message.as_slice().to_vec()));
             } else if let AioResult::Recv(Err(nng::Error::Closed | nng::Error::Canceled)) = result {
                 return;
             }
-            let _ = receiving.recv_async(&aio);
+            let _ = receive_socket.recv_async(&aio);
         })
         .map_err(failed)?;
         socket.recv_async(&aio).map_err(failed)?;
@@ -63,8 +63,8 @@
         })
     }
 
-    /// The address that peers are told. It is the one that was asked for: what the library
-    /// reports as bound has the bytes of its port the wrong way round.
+    /// Returns the address to announce to peers. It is the requested one: the bound address that nng reports
+    /// has the bytes of its port swapped.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
@@ -74,13 +74,13 @@
     format!("tcp://{address}")
 }
 
-/// A socket to one peer.
+/// Push socket to one peer.
 struct PeerLink {
     socket: Socket,
-    opened: Instant,
+    opened_at: Instant,
 }
 
-/// All sockets to peers.
+/// Push sockets to the peers, and the key and sequence number for outgoing messages.
 pub(crate) struct PeerLinks {
     key: PeerKey,
     node: String,
@@ -90,7 +90,7 @@
 }
 
 impl PeerLinks {
-    /// Links of a node that has sent nothing yet.
+    /// Creates the links of a node that has sent nothing yet.
     pub(crate) fn new(key: PeerKey, node: String, incarnation: u64) -> Self {
         Self {
             key,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Sends one message to some peers; how many bytes went out.
+    /// Seals one message, queues it to the peers and returns the bytes queued. Failures are not reported.
     pub(crate) fn send(
         &mut self,
         addresses: &[String],
@@ -111,7 +111,7 @@
         metrics: &NodeMetrics,
     ) -> u64 {
         self.links
-            .retain(|_, link| now.saturating_duration_since(link.opened) < LINK_LIFETIME);
+            .retain(|_, link| now.saturating_duration_since(link.opened_at) < LINK_LIFETIME);
         self.sequence += 1;
         let envelope = PeerEnvelope {
             sender: self.node.clone(),
@@ -145,7 +145,7 @@
                 address.to_owned(),
                 PeerLink {
                     socket,
-                    opened: now,
+                    opened_at: now,
                 },
             );
         }
@@ -153,7 +153,7 @@
         link.socket.try_send(bytes).map_err(|(_, error)| error)
     }
 
-    /// Opens a message that came.
+    /// Verifies and decodes a received message.
     pub(crate) fn open(&self, bytes: &[u8]) -> plumgate::Result<PeerEnvelope> {
         self.key.open(bytes)
     }
@@ -161,9 +161,9 @@
 
 fn open_link(address: &str) -> std::result::Result<Socket, nng::Error> {
     let socket = Socket::new(Protocol::Push0)?;
-    socket.set_opt::<SendBufferSize>(MESSAGES_WAITING)?;
-    socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_SHORTEST))?;
-    socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_LONGEST))?;
+    socket.set_opt::<SendBufferSize>(SEND_QUEUE_CAPACITY)?;
+    socket.set_opt::<ReconnectMinTime>(Some(MIN_RECONNECT_PAUSE))?;
+    socket.set_opt::<ReconnectMaxTime>(Some(MAX_RECONNECT_PAUSE))?;
     socket.dial_async(&url(address))?;
     Ok(socket)
 }
--- a/crates/plumgate-node/src/platform.rs
+++ b/crates/plumgate-node/src/platform.rs
@@ -1,6 +1,6 @@
-//! The client of the platform: its table, object store and list of VMs.
+//! Client of the platform: tables, object store and list of VMs.
 //!
-//! The platform speaks HTTP. A row is `/table/{table}/{row}`, written under `If-None-Match: *`
+//! The platform's interface is HTTP. A row is `/table/{table}/{row}`, written under `If-None-Match: *`
 //! or `If-Match: "{version}"`; an object is `/objects/{name}`; the list is `/vms`.
 
 use std::net::SocketAddr;
@@ -17,69 +17,69 @@
 use crate::clock::Clock;
 use crate::http::{OutgoingRequest, fetch_once};
 
-/// How long the platform may take to answer.
+/// Timeout of a call to the platform.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest answer that is read.
-const LARGEST_ANSWER: usize = 64 * 1024 * 1024;
-/// Header that says how long a row is kept, in milliseconds.
+/// Largest answer in bytes that is read.
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Header with the time in milliseconds for which a row or an object is stored.
 pub const ROW_LIFETIME: &str = "x-ttl-ms";
 
-/// The platform's table with the configuration.
+/// Name of the platform's table with the configuration.
 pub const CONFIG_TABLE: &str = "config";
-/// The row of the newest version of the configuration.
+/// Name of the row with the newest version of the configuration.
 pub const CONFIG_HEAD: &str = "head";
 
-/// A row with its version.
+/// Row with its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableRow<T> {
     /// The version, which changes with each write.
     pub version: RowVersion,
-    /// What stands in the row.
+    /// The value of the row.
     pub value: T,
 }
 
-/// On what a write depends.
+/// Condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteCondition {
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
     /// The row still has this version.
     Version(RowVersion),
 }
 
 impl WriteCondition {
-    /// The condition for a row that was read, or found missing.
+    /// Creates the condition that a row is unchanged since it was read with this version, or as missing (`None`).
     pub fn new(version: Option<RowVersion>) -> Self {
         version.map_or(Self::Absent, Self::Version)
     }
 }
 
-/// How a write ended.
+/// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteAnswer<T> {
-    /// It took effect and gave the row this version.
+    /// The write took effect, and the row has this version.
     Written(RowVersion),
-    /// The condition did not hold; the row stands as told.
+    /// The condition did not hold; the row is as given, or missing.
     Conflict(Option<TableRow<T>>),
-    /// It surely had no effect: the platform refused it or could not be reached.
+    /// The write had no effect: the platform refused it.
     Refused,
-    /// No answer came: it may have had its effect.
+    /// No usable answer arrived: the write may have taken effect.
     Unanswered,
 }
 
-/// What a read found; `Err` where the platform did not answer or made no sense.
+/// Result of a read: `None` if it does not exist, `Err` if the platform gave no usable answer.
 pub type ReadAnswer<T> = Result<Option<T>, ReadFailure>;
 
-/// A read without a usable answer.
+/// Failure of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadFailure {
-    /// The platform could not be reached, refused, or did not answer in time.
+    /// The platform was unreachable, refused the read, or did not answer in time.
     Unavailable,
-    /// The answer made no sense.
+    /// The answer could not be parsed.
     Malformed,
 }
 
-/// One VM on the platform's list.
+/// VM on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// The name of the VM.
@@ -88,13 +88,13 @@
     pub role: VmRole,
     /// Its data centre.
     pub data_centre: String,
-    /// Where it is reached: for an entry VM, its address for peers.
+    /// Its network address; for an entry VM the one for peers.
     pub address: String,
-    /// Whether it is about to be taken away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
@@ -104,18 +104,18 @@
     Server,
 }
 
-/// A client of the platform.
+/// Client of the platform. Each call uses a connection of its own.
 #[derive(Clone, Debug)]
 pub struct PlatformClient<C> {
     address: SocketAddr,
     clock: C,
 }
 
-/// An answer as it came over the wire.
+/// Status, headers and body of an answer.
 type RawAnswer = (StatusCode, HeaderMap, Bytes);
 
 impl<C: Clock> PlatformClient<C> {
-    /// A client of the platform at an address.
+    /// Creates a client of the platform at an address.
     pub fn new(address: SocketAddr, clock: C) -> Self {
         Self { address, clock }
     }
@@ -160,7 +160,7 @@
             Some((StatusCode::OK | StatusCode::CREATED, _, bytes)) => read_written(&bytes),
             Some((StatusCode::PRECONDITION_FAILED, _, bytes)) => read_conflict(&bytes),
             Some((StatusCode::TOO_MANY_REQUESTS, _, _)) => WriteAnswer::Refused,
-            // Any other answer may come from something in between, after the write had its effect.
+            // Any other answer may come from a proxy, after the write took effect.
             _ => WriteAnswer::Unanswered,
         }
     }
@@ -170,7 +170,7 @@
         self.read(&format!("/objects/{name}")).await
     }
 
-    /// Writes an object; whether it surely is there now.
+    /// Writes an object; returns whether the platform confirmed it.
     pub async fn write_object(&self, name: &str, body: Bytes, lifetime: Option<Duration>) -> bool {
         let mut request = self.request(Method::PUT, &format!("/objects/{name}"), body);
         if let Some(lifetime) = lifetime {
@@ -183,7 +183,7 @@
             .is_some_and(|(status, _, _)| status.is_success())
     }
 
-    /// Reads the list of VMs, which lags.
+    /// Reads the list of VMs, which lags behind the real state.
     pub async fn list_vms(&self) -> Result<Vec<ListedVm>, ReadFailure> {
         let bytes = self.read("/vms").await?.ok_or(ReadFailure::Malformed)?;
         parse(&bytes)
@@ -203,7 +203,7 @@
     fn request(&self, method: Method, path: &str, body: Bytes) -> OutgoingRequest {
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
-        // Names of rows and objects are digests or checked names, so the path always parses.
+        // Names of rows and objects are digests or validated names, so the path always parses.
         *request.uri_mut() = path.parse().unwrap_or_default();
         if let Ok(host) = self.address.to_string().parse() {
             request.headers_mut().insert(header::HOST, host);
@@ -212,7 +212,11 @@
     }
 
     async fn exchange(&self, request: OutgoingRequest) -> Option<RawAnswer> {
-        let answer = async { fetch_once(self.address, request, LARGEST_ANSWER).await.ok() };
+        let answer = async {
+            fetch_once(self.address, request, MAX_ANSWER_BYTES)
+                .await
+                .ok()
+        };
         let timeout = async {
             self.clock.sleep(ANSWER_TIMEOUT).await;
             None
@@ -225,7 +229,7 @@
     serde_json::from_slice(bytes).map_err(|_| ReadFailure::Malformed)
 }
 
-/// What the platform says of a write that took effect.
+/// Body of the answer to a write that took effect.
 #[derive(Deserialize)]
 struct WrittenRow {
     version: RowVersion,
--- a/crates/plumgate-node/src/settings.rs
+++ b/crates/plumgate-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one node.
+//! Settings of one node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use plumgate::ids::{DataCentreId, NodeId};
 use plumgate::route::RoutePolicy;
 
-/// Bytes of a request's body that a node takes in.
-const BODY_BYTES_MOST: usize = 8 * 1024 * 1024;
+/// Default for the largest body of a request in bytes.
+const DEFAULT_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// All that a node must be told.
+/// Settings of a node, with builder methods for those that have defaults.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// The name of the VM.
@@ -23,32 +23,32 @@
     pub admin_listen: SocketAddr,
     /// The address for the other nodes.
     pub peer_listen: SocketAddr,
-    /// Where the platform's table, object store and VM list are.
+    /// The address of the platform's tables, object store and VM list.
     pub platform: SocketAddr,
-    /// Peer addresses of other nodes, to start with.
+    /// Peer addresses of other nodes, from which the node learns of the rest.
     pub peers: Vec<SocketAddr>,
     /// The secret that all nodes share.
     pub peer_key: String,
-    /// Threads that carry traffic.
+    /// Number of threads that serve traffic; at least one runs.
     pub traffic_threads: usize,
-    /// How long the balancer may go on sending after readiness was withdrawn.
+    /// Time for which the balancer may still send requests after readiness was withdrawn.
     pub balancer_lag: Duration,
-    /// How long requests in flight may go on after that.
+    /// Time after that in which requests in flight may finish.
     pub grace: Duration,
-    /// How long a caller may take to send its headers.
+    /// Time in which a caller must send the headers of a request, and the same again for its body.
     pub header_timeout: Duration,
-    /// Largest body of a request in bytes.
+    /// The largest body of a request in bytes.
     pub body_bytes: usize,
-    /// Seed of all random choices.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How a server is chosen.
+    /// The policy by which a server is chosen.
     pub route_policy: RoutePolicy,
-    /// In which order requests are served.
+    /// The policy by which queued requests are ordered.
     pub queue_policy: QueuePolicy,
 }
 
 impl NodeSettings {
-    /// Settings with the defaults for all that may be left out.
+    /// Creates settings with defaults: ports for operators and peers chosen by the system, no peers, no key.
     pub fn new(
         node: impl Into<NodeId>,
         data_centre: impl Into<DataCentreId>,
@@ -69,57 +69,57 @@
             balancer_lag: Duration::from_secs(5),
             grace: Duration::from_secs(60),
             header_timeout: Duration::from_secs(10),
-            body_bytes: BODY_BYTES_MOST,
+            body_bytes: DEFAULT_BODY_BYTES,
             seed: 0,
             route_policy: RoutePolicy::default(),
             queue_policy: QueuePolicy::default(),
         }
     }
 
-    /// The same with an address for operators.
+    /// Sets the address for operators.
     pub fn with_admin_listen(mut self, address: SocketAddr) -> Self {
         self.admin_listen = address;
         self
     }
 
-    /// The same with an address for the other nodes.
+    /// Sets the address for the other nodes.
     pub fn with_peer_listen(mut self, address: SocketAddr) -> Self {
         self.peer_listen = address;
         self
     }
 
-    /// The same with the peer addresses of other nodes.
+    /// Sets the peer addresses of other nodes.
     pub fn with_peers(mut self, peers: Vec<SocketAddr>) -> Self {
         self.peers = peers;
         self
     }
 
-    /// The same with the secret that all nodes share.
+    /// Sets the secret that all nodes share.
     pub fn with_peer_key(mut self, key: impl Into<String>) -> Self {
         self.peer_key = key.into();
         self
     }
 
-    /// The same with a number of traffic threads.
+    /// Sets the number of traffic threads.
     pub fn with_traffic_threads(mut self, threads: usize) -> Self {
         self.traffic_threads = threads;
         self
     }
 
-    /// The same with the times of a graceful stop.
+    /// Sets the times of a graceful stop.
     pub fn with_stop_times(mut self, balancer_lag: Duration, grace: Duration) -> Self {
         self.balancer_lag = balancer_lag;
         self.grace = grace;
         self
     }
 
-    /// The same with a seed.
+    /// Sets the seed of all random choices.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// The same with other policies, to compare with.
+    /// Sets the policies for routes and the queue, so that they can be compared with baselines.
     pub fn with_policies(mut self, route: RoutePolicy, queue: QueuePolicy) -> Self {
         self.route_policy = route;
         self.queue_policy = queue;
--- a/crates/plumgate-node/src/shared.rs
+++ b/crates/plumgate-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads and the control thread of a node share.
+//! State shared by the traffic threads and the control thread of a node.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::future::Future;
@@ -25,49 +25,49 @@
 use crate::platform::PlatformClient;
 use crate::settings::NodeSettings;
 
-/// What the dispatcher decided about one request.
+/// Decision of the dispatcher about one request.
 #[derive(Debug)]
 pub(crate) enum Verdict {
-    /// Send it to a server.
+    /// Send the request to a server.
     Start(RouteChoice),
-    /// Refuse it as not run.
+    /// Refuse the request as not run; the caller may retry after the time.
     Refuse(RefusalReason, Duration),
-    /// Cancel the running attempt and wait again.
+    /// Cancel the running attempt and wait for another decision.
     Preempt,
 }
 
-/// What the traffic threads tell the control thread.
+/// Event for the control thread.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
-    /// Bytes came from a peer.
+    /// A message arrived from a peer, still sealed.
     PeerBytes(Vec<u8>),
-    /// A higher tier needs room that only other nodes can make.
+    /// A request of this rank needs a slot in the pool, and only other nodes have requests to preempt.
     AskForRoom(PoolId, TierRank),
-    /// The process was asked to stop.
+    /// The node is to stop gracefully.
     Stop,
 }
 
-/// What the control thread publishes about the other nodes.
+/// Membership as published by the control thread.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberView {
-    /// The nodes that are alive, this one included.
+    /// The live nodes, this one included.
     pub(crate) nodes: BTreeSet<String>,
-    /// The version that each node has in force, and its data centre.
+    /// The data centre of each node, and the version of the configuration in force on it.
     pub(crate) versions: BTreeMap<String, (String, u64)>,
 }
 
-/// How far a node has come in its life.
+/// Lifecycle state of a node as published by the control thread.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LifeView {
-    /// The state in `charts/node.toml`.
+    /// The name of the state in `charts/node.toml`.
     pub(crate) state: String,
-    /// Whether the balancer should send callers here.
+    /// Whether the balancer should send requests to this node.
     pub(crate) ready: bool,
-    /// Whether connections are to be closed after their current request.
+    /// Whether connections close after their current request.
     pub(crate) closing: bool,
 }
 
-/// All that is shared.
+/// Shared state of a node.
 pub(crate) struct NodeShared<C> {
     /// The settings.
     pub(crate) settings: NodeSettings,
@@ -79,21 +79,21 @@
     pub(crate) metrics: NodeMetrics,
     /// The configuration in force.
     pub(crate) config: ArcSwapOption<FleetConfig>,
-    /// The other nodes.
+    /// The membership.
     pub(crate) members: ArcSwap<MemberView>,
-    /// How far the node has come in its life.
+    /// The lifecycle state of the node.
     pub(crate) life: ArcSwap<LifeView>,
     /// Connections to backend servers.
     pub(crate) backends: BackendPool,
     /// The client of the platform.
     pub(crate) platform: PlatformClient<C>,
-    /// Runs the tasks of the traffic threads.
+    /// The executor that the traffic threads run.
     pub(crate) executor: Arc<Executor<'static>>,
-    /// Wakes the control thread.
+    /// The queue of events to the control thread.
     pub(crate) control: Sender<ControlEvent>,
-    /// Tells connections to close after their current request.
+    /// Notifies connections to close after their current request.
     pub(crate) closing: Event,
-    /// The start of the process in milliseconds of the Unix epoch.
+    /// The incarnation of the node: its start time in milliseconds of the Unix epoch.
     pub(crate) incarnation: u64,
     dispatcher: Mutex<Dispatcher>,
     waiters: Mutex<HashMap<RequestId, Sender<Verdict>>>,
@@ -103,7 +103,7 @@
 }
 
 impl<C: Clock> NodeShared<C> {
-    /// The shared part of a node that has no configuration yet.
+    /// Creates the state of a node that is starting and has no configuration.
     pub(crate) fn new(
         settings: NodeSettings,
         clock: C,
@@ -138,21 +138,21 @@
         }
     }
 
-    /// An id that no other request of any node or incarnation has.
+    /// Creates an id that is unique among all nodes and incarnations.
     pub(crate) fn new_request_id(&self) -> RequestId {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.settings.node, self.incarnation).into()
     }
 
-    /// The dispatcher, for one short step. A panic while it was held is a fault of the program
-    /// in one request; the others go on with what it left.
+    /// Locks the dispatcher; hold the guard only briefly. A poisoned lock is used all the same: a panic is a bug
+    /// met by one request, and the other requests go on with the state that it left.
     pub(crate) fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatcher
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Registers a request and hands it to the dispatcher; verdicts come through the channel.
+    /// Registers a request and submits it to the dispatcher; decisions arrive on the returned channel.
     pub(crate) fn submit(&self, ticket: RequestTicket) -> Receiver<Verdict> {
         let (sender, receiver) = async_channel::unbounded();
         self.waiters().insert(ticket.id.clone(), sender);
@@ -161,7 +161,7 @@
         receiver
     }
 
-    /// Puts a request back after a failed attempt; whether it was taken.
+    /// Submits a request again after a failed attempt; returns whether the dispatcher accepted it.
     pub(crate) fn resubmit(
         &self,
         ticket: RequestTicket,
@@ -171,18 +171,18 @@
         let actions = self
             .dispatcher()
             .resubmit(ticket, avoid, paid, self.clock.now());
-        let taken = actions.is_some();
+        let is_accepted = actions.is_some();
         self.carry_out(actions.unwrap_or_default());
-        taken
+        is_accepted
     }
 
-    /// An attempt ended.
+    /// Reports the end of an attempt to the dispatcher.
     pub(crate) fn finish(&self, request: &RequestId, end: AttemptEnd) {
         let actions = self.dispatcher().finish(request, end, self.clock.now());
         self.carry_out(actions);
     }
 
-    /// A request is over: nothing is told to it any more.
+    /// Removes a request that is over: it receives no further decisions.
     pub(crate) fn forget(&self, request: &RequestId) {
         self.waiters().remove(request);
         let withdrawn = self.dispatcher().withdraw(request);
@@ -190,7 +190,7 @@
         self.finish(request, AttemptEnd::GivenUp);
     }
 
-    /// Tells each request what was decided about it.
+    /// Applies the dispatcher's actions: sends decisions to their requests and logs them.
     pub(crate) fn carry_out(&self, actions: Vec<DispatchAction>) {
         for action in actions {
             match action {
@@ -204,7 +204,7 @@
                     reason,
                     retry_after,
                 } => {
-                    self.tell(&request, Verdict::Refuse(reason, retry_after));
+                    self.send_decision(&request, Verdict::Refuse(reason, retry_after));
                 }
                 DispatchAction::Preempt {
                     request,
@@ -216,10 +216,10 @@
                         .with("server", server)
                         .with("for", &for_request)
                         .info(&self.log);
-                    self.tell(&request, Verdict::Preempt);
+                    self.send_decision(&request, Verdict::Preempt);
                 }
                 DispatchAction::AskForRoom { pool, rank } => {
-                    // The control thread may be gone when the process stops; then nobody asks.
+                    // Sending fails if the control thread has exited, since the process is stopping.
                     let _ = self.control.try_send(ControlEvent::AskForRoom(pool, rank));
                 }
             }
@@ -252,14 +252,15 @@
                     .map_or(0, |config| config.version),
             )
             .info(&self.log);
-        self.tell(&ticket.id, Verdict::Start(choice));
+        self.send_decision(&ticket.id, Verdict::Start(choice));
     }
 
-    fn tell(&self, request: &RequestId, verdict: Verdict) {
+    /// Sends a decision to the request that waits for it.
+    fn send_decision(&self, request: &RequestId, verdict: Verdict) {
         let waiter = self.waiters().get(request).cloned();
-        let told = waiter.is_some_and(|waiter| waiter.try_send(verdict).is_ok());
-        if !told {
-            // The caller went away at the same moment: its slot must not stay taken.
+        let delivered = waiter.is_some_and(|waiter| waiter.try_send(verdict).is_ok());
+        if !delivered {
+            // The caller disconnected at the same time: its slot must be released.
             let _ = self
                 .dispatcher()
                 .finish(request, AttemptEnd::GivenUp, self.clock.now());
@@ -275,12 +276,12 @@
         self.open_requests.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// The caller of a request got its last byte, or went away.
+    /// Counts down when the caller of a request has its last byte, or disconnected.
     pub(crate) fn close_request(&self) {
         self.open_requests.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// How many requests callers wait for.
+    /// Returns the number of requests that callers wait for.
     pub(crate) fn open_requests(&self) -> u64 {
         self.open_requests.load(Ordering::SeqCst)
     }
@@ -293,25 +294,25 @@
         }
     }
 
-    /// Whether nobody waits for anything any more.
+    /// Returns whether no requests and no connections are open.
     pub(crate) fn is_idle(&self) -> bool {
         self.open_requests() == 0 && self.open_connections.load(Ordering::SeqCst) == 0
     }
 
-    /// Runs something, but no longer than until a time; `None` where it took longer.
+    /// Runs a future with a deadline; `None` if it did not complete by then.
     pub(crate) async fn until<T>(&self, at: Instant, work: impl Future<Output = T>) -> Option<T> {
         crate::clock::until(&self.clock, at, work).await
     }
 
-    /// Opens a connection to a backend server, carried by the traffic threads.
+    /// Opens a connection to a backend server, driven by the traffic threads; `None` on failure.
     pub(crate) async fn connect(&self, address: SocketAddr) -> Option<crate::http::OpenConnection> {
-        let (connection, carry) = crate::http::open_connection(address).await.ok()?;
-        self.executor.spawn(carry).detach();
+        let (connection, driver) = crate::http::open_connection(address).await.ok()?;
+        self.executor.spawn(driver).detach();
         Some(connection)
     }
 }
 
-/// Counts one open connection for as long as it lives.
+/// Guard that counts one open connection until it is dropped.
 pub(crate) struct ConnectionGuard<C> {
     shared: Arc<NodeShared<C>>,
 }
--- a/crates/plumgate-node/src/status.rs
+++ b/crates/plumgate-node/src/status.rs
@@ -1,4 +1,4 @@
-//! The status page of a node, as nodes write it and operators' tools read it.
+//! Status page of a node: its types, for nodes and operators' tools, and a client to read pages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,37 +14,37 @@
 
 use crate::http::fetch_once;
 
-/// How long a node may take to answer.
+/// Timeout for a node's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest page that is read.
-const LARGEST_PAGE: usize = 16 * 1024 * 1024;
+/// Largest page in bytes that is read.
+const MAX_PAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// What one node says of itself and of the others.
+/// Status of a node, with its view of other nodes and the servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// The node.
     pub node: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Its state in `charts/node.toml`.
+    /// The name of its state in `charts/node.toml`.
     pub state: String,
     /// The version of the configuration in force on it.
     pub config: ConfigVersion,
-    /// Waiting requests by rank.
+    /// Number of waiting requests by rank.
     pub waiting: BTreeMap<TierRank, usize>,
-    /// Running requests by rank.
+    /// Number of running requests by rank.
     pub running: BTreeMap<TierRank, usize>,
-    /// Requests that callers wait for.
+    /// Number of requests that callers wait for.
     pub open_requests: u64,
-    /// Servers that refuse new connections.
+    /// Servers with an open circuit breaker: connections to them failed.
     pub open_circuits: Vec<String>,
-    /// All nodes that it knows to be alive, itself included.
+    /// The nodes that it considers live, itself included.
     pub nodes: Vec<MemberStatus>,
-    /// The backend servers as it sees them.
+    /// The backend servers of the inventory.
     pub servers: Vec<ServerStatus>,
 }
 
-/// What a node knows of another, or of itself.
+/// Status of a node as another node, or the node itself, knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The node.
@@ -55,7 +55,7 @@
     pub config: ConfigVersion,
 }
 
-/// What a node knows of a backend server.
+/// Status of a backend server as a node knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerStatus {
     /// The server.
@@ -64,23 +64,23 @@
     pub pool: String,
     /// Its data centre.
     pub data_centre: String,
-    /// How many requests it works on at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// This node's requests on it.
+    /// Number of this node's requests in flight on it.
     pub own_in_flight: u32,
-    /// Other nodes' requests on it, as far as they told.
+    /// Number of other nodes' requests in flight on it, as far as they reported them.
     pub peers_in_flight: u32,
-    /// Who says that it is leaving.
+    /// The sources that report it as leaving.
     pub leaving: Vec<String>,
 }
 
-/// Reads the status page of the node behind an operators' address, if it answers.
+/// Fetches the status page of a node from its operators' address; `None` on any failure.
 pub async fn fetch_status(address: SocketAddr) -> Option<NodeStatus> {
     let body = fetch_body(address, "/status").await?;
     serde_json::from_slice(&body).ok()
 }
 
-/// Reads a page of text of the node behind an operators' address, if it answers.
+/// Fetches a text page of a node from its operators' address; `None` on any failure.
 pub async fn fetch_page(address: SocketAddr, path: &str) -> Option<String> {
     let body = fetch_body(address, path).await?;
     String::from_utf8(body.to_vec()).ok()
@@ -93,7 +93,7 @@
         Timer::after(ANSWER_TIMEOUT).await;
         None
     };
-    let answer = async { fetch_once(address, request, LARGEST_PAGE).await.ok() };
+    let answer = async { fetch_once(address, request, MAX_PAGE_BYTES).await.ok() };
     let (status, _, body) = future::or(answer, timeout).await?;
     (status == StatusCode::OK).then_some(body)
 }
--- a/crates/plumgated/src/flags.rs
+++ b/crates/plumgated/src/flags.rs
@@ -1,4 +1,4 @@
-//! The flags of the daemon, each with its environment variable.
+//! Command-line flags of the daemon, each with its environment variable.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -10,14 +10,14 @@
 use plumgate_node::NodeSettings;
 use spdlog::{Level, LevelFilter};
 
-/// Shortest secret of the nodes in bytes.
-const SHORTEST_KEY: usize = 16;
-/// Most threads that carry traffic.
-const THREADS_MOST: u64 = 64;
-/// Longest time of any setting in milliseconds: one day.
-const LONGEST_MS: u64 = 86_400_000;
+/// Shortest shared secret of the nodes in bytes.
+const MIN_KEY_BYTES: usize = 16;
+/// Largest number of traffic threads.
+const MAX_THREADS: u64 = 64;
+/// Largest duration of any setting in milliseconds: one day.
+const MAX_DURATION_MS: u64 = 86_400_000;
 
-/// The words for how much is logged.
+/// Names of the log levels, each with the filter for events of that level and above.
 pub(crate) const LOG_LEVELS: [(&str, LevelFilter); 4] = [
     ("debug", LevelFilter::MoreSevereEqual(Level::Debug)),
     ("info", LevelFilter::MoreSevereEqual(Level::Info)),
@@ -25,15 +25,15 @@
     ("error", LevelFilter::MoreSevereEqual(Level::Error)),
 ];
 
-/// The settings of the process.
+/// Settings of the process.
 pub(crate) struct DaemonSettings {
     /// The settings of the node.
     pub(crate) node: NodeSettings,
-    /// From which level on events are logged.
+    /// The filter for the events to log.
     pub(crate) log_level: LevelFilter,
 }
 
-/// One flag: its name, its environment variable, its default and its help.
+/// Specification of a flag: name, environment variable, default (`None` if required) and help text.
 struct FlagSpec {
     name: &'static str,
     variable: &'static str,
@@ -89,7 +89,7 @@
         "traffic-threads",
         "PLUMGATE_TRAFFIC_THREADS",
         Some("2"),
-        "Threads that carry traffic",
+        "Number of threads that serve traffic",
     ),
     flag(
         "log-level",
@@ -101,25 +101,25 @@
         "balancer-lag-ms",
         "PLUMGATE_BALANCER_LAG_MS",
         Some("5000"),
-        "How long the balancer may go on sending while the node stops",
+        "Time for which the balancer may still send requests while the node stops, in milliseconds",
     ),
     flag(
         "grace-ms",
         "PLUMGATE_GRACE_MS",
         Some("60000"),
-        "How long requests in flight may go on after that",
+        "Time after that in which requests in flight may finish, in milliseconds",
     ),
     flag(
         "header-timeout-ms",
         "PLUMGATE_HEADER_TIMEOUT_MS",
         Some("10000"),
-        "How long a caller may take to send a request",
+        "Time in which a caller must send the headers of a request, and again its body, in milliseconds",
     ),
     flag(
         "body-bytes",
         "PLUMGATE_BODY_BYTES",
         Some("8388608"),
-        "Largest body of a request",
+        "Largest body of a request in bytes",
     ),
     flag(
         "seed",
@@ -155,7 +155,7 @@
     }
 }
 
-/// The command line.
+/// Builds the command line from the flags.
 pub(crate) fn command() -> Command {
     let args = FLAGS.iter().map(|spec| {
         let arg = Arg::new(spec.name)
@@ -173,7 +173,7 @@
         .args(args)
 }
 
-/// Reads all settings; the findings about them come back together.
+/// Reads all settings. The error lists the findings of all flags, not only the first.
 pub(crate) fn read_settings(matches: &ArgMatches) -> Result<DaemonSettings, FindingList> {
     let mut reader = SettingReader {
         matches,
@@ -190,7 +190,7 @@
         .with_peer_listen(peer_listen)
         .with_peers(reader.addresses("peers"))
         .with_peer_key(reader.secret("peer-key"))
-        .with_traffic_threads(reader.number("traffic-threads", 1, THREADS_MOST) as usize)
+        .with_traffic_threads(reader.number("traffic-threads", 1, MAX_THREADS) as usize)
         .with_stop_times(
             reader.milliseconds("balancer-lag-ms"),
             reader.milliseconds("grace-ms"),
@@ -210,7 +210,7 @@
     }
 }
 
-/// Reads settings one by one and keeps what is wrong with them.
+/// Reader of settings that collects findings and goes on with a substitute value.
 struct SettingReader<'a> {
     matches: &'a ArgMatches,
     findings: FindingList,
@@ -247,15 +247,15 @@
     }
 
     fn address(&mut self, name: &str) -> SocketAddr {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let substitute = SocketAddr::from(([127, 0, 0, 1], 0));
         let text = self.required(name);
         if text.is_empty() {
-            return any;
+            return substitute;
         }
-        self.parse_address(name, &text).unwrap_or(any)
+        self.parse_address(name, &text).unwrap_or(substitute)
     }
 
-    /// The other nodes must know the port, so that the system can't choose one.
+    /// Reads an address whose port must be given: the other nodes need it, so the system must not choose one.
     fn peer_address(&mut self, name: &str) -> SocketAddr {
         let address = self.address(name);
         if address.port() == 0 && !self.text(name).is_empty() {
@@ -285,29 +285,29 @@
 
     fn secret(&mut self, name: &str) -> String {
         let text = self.required(name);
-        if !text.is_empty() && text.len() < SHORTEST_KEY {
-            self.report(name, format!("has fewer than {SHORTEST_KEY} bytes"));
+        if !text.is_empty() && text.len() < MIN_KEY_BYTES {
+            self.report(name, format!("has fewer than {MIN_KEY_BYTES} bytes"));
         }
         text
     }
 
-    fn number(&mut self, name: &str, least: u64, most: u64) -> u64 {
+    fn number(&mut self, name: &str, min: u64, max: u64) -> u64 {
         let text = self.text(name);
         let number = text
             .parse::<u64>()
             .ok()
-            .filter(|number| (least..=most).contains(number));
+            .filter(|number| (min..=max).contains(number));
         number.unwrap_or_else(|| {
             self.report(
                 name,
-                format!("\"{text}\" is not a number from {least} to {most}"),
+                format!("\"{text}\" is not a number from {min} to {max}"),
             );
-            least
+            min
         })
     }
 
     fn milliseconds(&mut self, name: &str) -> Duration {
-        Duration::from_millis(self.number(name, 0, LONGEST_MS))
+        Duration::from_millis(self.number(name, 0, MAX_DURATION_MS))
     }
 
     fn seed(&mut self) -> u64 {
--- a/crates/plumgated/src/gateway.rs
+++ b/crates/plumgated/src/gateway.rs
@@ -1,4 +1,4 @@
-//! `plumgated gateway`: a node on the users' platform, whose settings file it follows.
+//! `plumgated gateway`: runs a node on the users' platform and reloads its settings file when it changes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -20,26 +20,26 @@
 use crate::flags::LOG_LEVELS;
 use crate::{EXIT_SETTINGS, EXIT_START};
 
-/// Time between two looks whether the settings file has changed without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
-/// Time for the last lines of the log to be written before the process ends.
-const LOG_RESERVE: Duration = Duration::from_millis(50);
+/// Interval at which the settings file is checked for changes that no signal announced.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Time for the log's thread to write the last lines before the process exits.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(50);
 
-/// The words for ways to choose a server.
+/// Names of the placement policies; the first is the default.
 const POLICIES: [(&str, PlacementPolicy); 3] = [
     ("predicted-cost", PlacementPolicy::PredictedCost),
     ("least-in-flight", PlacementPolicy::LeastInFlight),
     ("random", PlacementPolicy::Random),
 ];
 
-/// The command line.
+/// Builds the subcommand.
 pub(crate) fn command() -> Command {
     let settings = Arg::new("settings")
         .long("settings")
         .env("PLUMGATE_SETTINGS")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("File with the settings that the platform lays");
+        .help("Settings file that the platform writes");
     let metrics_port = Arg::new("metrics-port")
         .long("metrics-port")
         .env("PLUMGATE_METRICS_PORT")
@@ -49,32 +49,32 @@
         .long("placement")
         .env("PLUMGATE_PLACEMENT")
         .default_value(POLICIES[0].0)
-        .value_parser(PossibleValuesParser::new(POLICIES.map(|(word, _)| word)))
-        .help("How servers are chosen; all but the first are baselines");
+        .value_parser(PossibleValuesParser::new(POLICIES.map(|(name, _)| name)))
+        .help("Policy for choosing servers; all but the first are baselines");
     let without = Arg::new("without")
         .long("without")
         .env("PLUMGATE_WITHOUT")
         .value_delimiter(',')
         .action(ArgAction::Append)
         .value_parser(value_parser!(PolicyPart))
-        .help("Mechanisms of the policy to switch off, for measuring what they are worth");
+        .help("Parts of the policy to switch off, for measuring their effect");
     let log_level = Arg::new("gateway-log-level")
         .long("log-level")
         .env("PLUMGATE_LOG_LEVEL")
         .default_value("info")
-        .value_parser(PossibleValuesParser::new(LOG_LEVELS.map(|(word, _)| word)))
-        .help("From which level on events are logged");
+        .value_parser(PossibleValuesParser::new(LOG_LEVELS.map(|(name, _)| name)))
+        .help("Lowest level of the events to log");
     Command::new("gateway")
         .about("Relays whole requests on the users' platform")
         .args([settings, metrics_port, policy, without, log_level])
 }
 
-/// Runs a gateway node until it is asked to stop.
+/// Runs a gateway node until it has stopped.
 pub(crate) fn run(matches: &ArgMatches) -> ExitCode {
     let Some(path) = matches.get_one::<PathBuf>("settings") else {
         return ExitCode::from(EXIT_SETTINGS);
     };
-    let settings = match load(path) {
+    let settings = match load_settings(path) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("plumgated: {error}");
@@ -83,16 +83,16 @@
     };
     match start(settings, matches) {
         Ok((node, log)) => {
-            let steering = steer(node.handle(), path.clone(), log);
+            let watcher = watch_signals_and_settings(node.handle(), path.clone(), log);
             let spawned = std::thread::Builder::new()
                 .name("signals".to_owned())
-                .spawn(move || async_io::block_on(steering));
+                .spawn(move || async_io::block_on(watcher));
             if let Err(error) = spawned {
-                eprintln!("plumgated: signals can't be listened for: {error}");
+                eprintln!("plumgated: can't start the thread for signals: {error}");
                 return ExitCode::from(EXIT_START);
             }
             node.join();
-            std::thread::sleep(LOG_RESERVE);
+            std::thread::sleep(LOG_FLUSH_TIME);
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -106,9 +106,9 @@
     settings: PlatformSettings,
     matches: &ArgMatches,
 ) -> plumgate_node::Result<(GatewayNode, EventLog)> {
-    let word = |name: &str| matches.get_one::<String>(name).map(String::as_str);
-    let policy = choice(&POLICIES, word("placement")).unwrap_or_default();
-    let level = choice(&LOG_LEVELS, word("gateway-log-level")).unwrap_or(LevelFilter::All);
+    let value = |name: &str| matches.get_one::<String>(name).map(String::as_str);
+    let policy = choice(&POLICIES, value("placement")).unwrap_or_default();
+    let level = choice(&LOG_LEVELS, value("gateway-log-level")).unwrap_or(LevelFilter::All);
     let seed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -135,53 +135,53 @@
     Ok((node, log))
 }
 
-fn choice<T: Copy>(choices: &[(&str, T)], word: Option<&str>) -> Option<T> {
-    let found = choices.iter().find(|(name, _)| Some(*name) == word);
+fn choice<T: Copy>(choices: &[(&str, T)], name: Option<&str>) -> Option<T> {
+    let found = choices.iter().find(|(word, _)| Some(*word) == name);
     found.map(|(_, value)| *value)
 }
 
-fn load(path: &Path) -> Result<PlatformSettings, String> {
+fn load_settings(path: &Path) -> Result<PlatformSettings, String> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| format!("{} can't be read: {error}", path.display()))?;
     read_settings(&text).map_err(|findings| findings.to_string())
 }
 
-/// What makes the process look at its settings or end.
-enum Woken {
+/// Reason for which [`watch_signals_and_settings`] wakes up.
+enum WakeReason {
     Signal(Option<std::io::Result<Signal>>),
-    Look,
+    Poll,
 }
 
-/// Hands signals and changes of the settings file on to the node.
-async fn steer(handle: GatewayHandle, path: PathBuf, log: EventLog) {
+/// Stops the node on SIGTERM and SIGINT, and reloads its settings on SIGHUP or when the file has changed.
+async fn watch_signals_and_settings(handle: GatewayHandle, path: PathBuf, log: EventLog) {
     let Ok(mut signals) = Signals::new([Signal::Term, Signal::Int, Signal::Hup]) else {
         LogLine::new("signals_unheard").warn(&log);
         return;
     };
-    let mut known = std::fs::read(&path).unwrap_or_default();
+    let mut current = std::fs::read(&path).unwrap_or_default();
     loop {
-        let signal = async { Woken::Signal(signals.next().await) };
-        let look = async {
-            Timer::after(SETTINGS_LOOK).await;
-            Woken::Look
+        let signal = async { WakeReason::Signal(signals.next().await) };
+        let poll = async {
+            Timer::after(SETTINGS_POLL_INTERVAL).await;
+            WakeReason::Poll
         };
-        match future::or(signal, look).await {
-            Woken::Signal(Some(Ok(Signal::Hup))) => {
-                known = std::fs::read(&path).unwrap_or_default();
+        match future::or(signal, poll).await {
+            WakeReason::Signal(Some(Ok(Signal::Hup))) => {
+                current = std::fs::read(&path).unwrap_or_default();
                 reload(&handle, &path, &log);
             }
-            Woken::Signal(Some(Ok(signal))) => {
+            WakeReason::Signal(Some(Ok(signal))) => {
                 LogLine::new("signal")
                     .with("signal", format!("{signal:?}"))
                     .info(&log);
                 handle.stop();
             }
-            Woken::Signal(Some(Err(_))) => {}
-            Woken::Signal(None) => return,
-            Woken::Look => {
+            WakeReason::Signal(Some(Err(_))) => {}
+            WakeReason::Signal(None) => return,
+            WakeReason::Poll => {
                 let text = std::fs::read(&path).unwrap_or_default();
-                if text != known {
-                    known = text;
+                if text != current {
+                    current = text;
                     reload(&handle, &path, &log);
                 }
             }
@@ -189,9 +189,9 @@
     }
 }
 
-/// Settings that make no sense leave those in force as they are.
+/// Reloads the settings; invalid settings are logged, and those in force stay.
 fn reload(handle: &GatewayHandle, path: &Path, log: &EventLog) {
-    match load(path) {
+    match load_settings(path) {
         Ok(settings) => handle.reload(settings.options.bounds),
         Err(error) => LogLine::new("reload_refused")
             .with("error", error)
--- a/crates/plumgated/src/main.rs
+++ b/crates/plumgated/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads its settings, starts a node, and stops it gracefully.
+//! Daemon: reads its settings, starts a node, and stops it gracefully on a signal.
 
 #![forbid(unsafe_code)]
 
@@ -12,9 +12,9 @@
 use plumgate_node::log::stderr_log;
 use plumgate_node::{Node, SystemClock};
 
-/// Exit code when a setting is wrong; nothing was started.
+/// Exit code if a setting is invalid; nothing was started.
 pub(crate) const EXIT_SETTINGS: u8 = 2;
-/// Exit code when the node could not be started.
+/// Exit code if the node could not be started.
 pub(crate) const EXIT_START: u8 = 1;
 
 fn main() -> ExitCode {
@@ -42,22 +42,23 @@
     }
 }
 
+/// Runs until the node has stopped.
 fn run(node: Node) -> ExitCode {
     let stop = node.stopper();
-    let listening = std::thread::Builder::new()
+    let thread = std::thread::Builder::new()
         .name("signals".to_owned())
         .spawn(move || {
             futures_lite::future::block_on(stop_on_signals(stop));
         });
-    if let Err(error) = listening {
-        eprintln!("plumgated: signals can't be listened for: {error}");
+    if let Err(error) = thread {
+        eprintln!("plumgated: can't start the thread for signals: {error}");
         return ExitCode::from(EXIT_START);
     }
     node.join();
     ExitCode::SUCCESS
 }
 
-/// Each signal asks the node to stop; the second one shortens what the first one began.
+/// Stops the node on SIGTERM or SIGINT; each further signal skips the wait of the current stage of the stop.
 async fn stop_on_signals(stop: impl Fn()) {
     let Ok(mut signals) = Signals::new([Signal::Term, Signal::Int]) else {
         return;
