--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use plumgate::duty::{
-    AgreedClock, DutyIdentity, DutySeat, DutyTimes, FollowLoad, HolderEvent, OrderBook,
-    ReportTimes, SeatMoment, SeatOptions, UsageBook, UsageCounts, WindowId,
+    AgreedClock, CoordinatorOptions, DutyCoordinator, DutyIdentity, DutyMoment, DutyTimes,
+    FollowLoad, HolderEvent, OrderTracker, ReportTimes, UsageCounts, UsageTable, WindowId,
 };
 use plumgate::gateway::{ClockScope, LoadExchange};
 use plumgate::ids::{DataCentreId, PoolId};
@@ -30,12 +30,12 @@
 pub(crate) struct DutyState<C, W> {
     pub(super) shared: Arc<GatewayShared<C, W>>,
     pub(super) options: DutyOptions,
-    pub(super) seat: RefCell<DutySeat>,
-    pub(super) orders: RefCell<OrderBook>,
+    pub(super) coordinator: RefCell<DutyCoordinator>,
+    pub(super) orders: RefCell<OrderTracker>,
     /// Scaling policy of each pool, which says how many servers the pool should have.
     pub(super) policies: RefCell<BTreeMap<PoolId, FollowLoad>>,
     clock: RefCell<AgreedClock>,
-    usage_table: RefCell<UsageBook>,
+    usage_table: RefCell<UsageTable>,
     /// Data centres whose usage a report has to contain.
     data_centres: RefCell<Vec<DataCentreId>>,
     /// Whether this node should hold the duties.
@@ -57,18 +57,18 @@
             node: shared.options.node.clone(),
             incarnation,
         };
-        let seat = DutySeat::new(SeatOptions {
+        let coordinator = DutyCoordinator::new(CoordinatorOptions {
             own,
             lease: DutyTimes::new(options.lease, CALL_TIMEOUT),
             reports,
         });
         let data_centre = shared.options.data_centre.clone();
         Some(Self {
-            seat: RefCell::new(seat),
-            orders: RefCell::new(OrderBook::new()),
+            coordinator: RefCell::new(coordinator),
+            orders: RefCell::new(OrderTracker::new()),
             policies: RefCell::default(),
             clock: RefCell::new(AgreedClock::new()),
-            usage_table: RefCell::new(UsageBook::new(data_centre.clone(), incarnation, reports)),
+            usage_table: RefCell::new(UsageTable::new(data_centre.clone(), incarnation, reports)),
             data_centres: RefCell::new(vec![data_centre]),
             // Without peers no other node can hold the duties.
             should_hold: Cell::new(shared.options.peer_listen.is_none()),
@@ -79,10 +79,10 @@
     }
 
     /// Returns the current time on the clocks that duties use; `None` before the time of day is known.
-    pub(crate) fn moment(&self) -> Option<SeatMoment> {
+    pub(crate) fn moment(&self) -> Option<DutyMoment> {
         let boot = self.shared.clock.boot_time();
         let unix = self.clock.borrow().now(boot)?;
-        Some(SeatMoment { boot, unix })
+        Some(DutyMoment { boot, unix })
     }
 
     /// Returns whether this node should hold the duties now.
@@ -206,8 +206,8 @@
     }
 
     fn page(&self) -> String {
-        let seat = self.seat.borrow();
-        let holder = seat.holder();
+        let coordinator = self.coordinator.borrow();
+        let holder = coordinator.holder();
         let now = self.shared.clock.boot_time();
         let row = holder.seen_row();
         let mut page = LogLine::new("duties")
@@ -216,15 +216,17 @@
             .with_some("holder", row.map(|row| &row.holder.node))
             .with_some(
                 "number",
-                seat.credential(now).map(|credential| credential.number),
+                coordinator
+                    .credential(now)
+                    .map(|credential| credential.number),
             )
             .with("era", holder.era())
             .text();
-        for end in seat.desk().ends() {
+        for end in coordinator.reporter().outcomes() {
             let line = LogLine::new("window").with("window", end.window);
             page += &line.with("result", end.result).text();
         }
-        for (window, state) in seat.desk().open_windows() {
+        for (window, state) in coordinator.reporter().open_windows() {
             let line = LogLine::new("window").with("window", window);
             page += &line.with("result", state.as_str()).text();
         }
@@ -251,7 +253,7 @@
                 } => {
                     if !is_continued {
                         // Orders that other holders sent in the meantime are unknown here.
-                        *self.orders.borrow_mut() = OrderBook::new();
+                        *self.orders.borrow_mut() = OrderTracker::new();
                     }
                     let before = before.as_ref().map(|before| before.node.clone());
                     LogLine::new("duty_taken")
@@ -259,7 +261,10 @@
                         .with("era", era)
                         .with_some("before", before)
                         .with("continued", is_continued)
-                        .with("passed", self.seat.borrow().desk().contents().passed)
+                        .with(
+                            "passed",
+                            self.coordinator.borrow().reporter().contents().passed,
+                        )
                         .info(&self.shared.log);
                     self.shared.metrics.duty_number.set(gauge(*number));
                 }
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -39,7 +39,7 @@
                 continue;
             };
             let counts = |window| self.counts(window);
-            let call = self.seat.borrow_mut().tick(counts, moment);
+            let call = self.coordinator.borrow_mut().tick(counts, moment);
             let Some(call) = call else {
                 self.log_windows();
                 continue;
@@ -52,7 +52,7 @@
             note_source_call(&self.shared, CallTopic::Duties, cause, answer.is_ok());
             let answer = self.resolve_answer(answer);
             let now = self.shared.clock.boot_time();
-            let events = self.seat.borrow_mut().apply(answer, now);
+            let events = self.coordinator.borrow_mut().apply(answer, now);
             self.log_events(&events);
         }
     }
@@ -73,7 +73,7 @@
     }
 
     fn log_windows(&self) {
-        for end in self.seat.borrow_mut().desk_mut().take_ends() {
+        for end in self.coordinator.borrow_mut().reporter_mut().take_outcomes() {
             LogLine::new("usage_window")
                 .with("window", end.window)
                 .with("result", end.result)
@@ -110,7 +110,7 @@
     async fn send_report<P: DutyParty>(&self, party: &mut P) -> bool {
         let next = || {
             let moment = self.moment()?;
-            self.seat.borrow().next_report(moment)
+            self.coordinator.borrow().next_report(moment)
         };
         if next().is_none() {
             return true;
@@ -136,8 +136,8 @@
         match sent {
             Ok(()) => {
                 if let Some(moment) = self.moment() {
-                    let mut seat = self.seat.borrow_mut();
-                    seat.note_sent(report.window, moment.unix);
+                    let mut coordinator = self.coordinator.borrow_mut();
+                    coordinator.record_sent(report.window, moment.unix);
                 }
                 true
             }
@@ -154,7 +154,7 @@
                 return;
             }
             let now = self.shared.clock.boot_time();
-            let credential = self.seat.borrow().credential(now);
+            let credential = self.coordinator.borrow().credential(now);
             let Some(credential) = credential.filter(|_| self.should_hold()) else {
                 return;
             };
@@ -190,7 +190,7 @@
         };
         // A node without a current view of the load must not order servers: some may have left or filled up
         // unnoticed.
-        if self.seat.borrow().credential(boot).is_none() || !self.shared.allows_ready() {
+        if self.coordinator.borrow().credential(boot).is_none() || !self.shared.allows_ready() {
             return Vec::new();
         }
         let mut orders = Vec::new();
@@ -254,8 +254,8 @@
             data_centre: data_centre.clone(),
             kind,
         };
-        let mut book = self.orders.borrow_mut();
-        let dry = book.clone();
+        let mut tracker = self.orders.borrow_mut();
+        let dry = tracker.clone();
         let is_dry = |data_centre: &DataCentreId, kind| dry.is_dry(&subject(data_centre, kind));
         let mut policies = self.policies.borrow_mut();
         let policy = policies
@@ -270,7 +270,7 @@
                 ServerKind::Reclaimable => site.reclaimable,
             };
             let subject = subject(&data_centre, kind);
-            if let Some(order) = book.next(&subject, count, present, scaling.boot, now) {
+            if let Some(order) = tracker.next(&subject, count, present, scaling.boot, now) {
                 orders.push((count < present, order));
             }
         }
--- a/crates/plumgate/src/duty/seat.rs
+++ b/crates/plumgate/src/duty/coordinator.rs
@@ -4,14 +4,14 @@
 
 use super::agreed_clock::UnixMillis;
 use super::holder::{DutyHolder, DutyTimes, HolderEvent};
-use super::report_desk::{ReportDesk, ReportTimes, WindowId};
 use super::row::{DutyAnswer, DutyCall, DutyContents, DutyCredential, DutyIdentity};
 use super::usage::{UsageCounts, UsageReport};
+use super::usage_reporter::{ReportTimes, UsageReporter, WindowId};
 use crate::store_version::StoreEra;
 
 /// Options of the duties on one node.
 #[derive(Clone, Debug)]
-pub struct SeatOptions {
+pub struct CoordinatorOptions {
     /// Identity of this node.
     pub own: DutyIdentity,
     /// Durations of the lease.
@@ -22,7 +22,7 @@
 
 /// One moment on the two clocks that the duties use.
 #[derive(Clone, Copy, Debug)]
-pub struct SeatMoment {
+pub struct DutyMoment {
     /// Time since the VM started, suspension included.
     pub boot: Duration,
     /// Time of day that the nodes agree on.
@@ -31,17 +31,17 @@
 
 /// Combines the lease and the usage reports of one node.
 #[derive(Debug)]
-pub struct DutySeat {
+pub struct DutyCoordinator {
     holder: DutyHolder,
-    desk: ReportDesk,
+    reporter: UsageReporter,
 }
 
-impl DutySeat {
+impl DutyCoordinator {
     /// Creates the state of a node that does not hold the lease.
-    pub fn new(options: SeatOptions) -> Self {
+    pub fn new(options: CoordinatorOptions) -> Self {
         Self {
             holder: DutyHolder::new(options.own, options.lease),
-            desk: ReportDesk::new(options.reports),
+            reporter: UsageReporter::new(options.reports),
         }
     }
 
@@ -51,13 +51,13 @@
     }
 
     /// Returns the state of the reports.
-    pub fn desk(&self) -> &ReportDesk {
-        &self.desk
+    pub fn reporter(&self) -> &UsageReporter {
+        &self.reporter
     }
 
     /// Returns the state of the reports for draining what is to be logged.
-    pub fn desk_mut(&mut self) -> &mut ReportDesk {
-        &mut self.desk
+    pub fn reporter_mut(&mut self) -> &mut UsageReporter {
+        &mut self.reporter
     }
 
     /// Returns the next call to the store, if one is due. Only a node that should hold the duties calls this.
@@ -65,16 +65,16 @@
     pub fn tick(
         &mut self,
         counts: impl FnMut(WindowId) -> (UsageCounts, bool),
-        moment: SeatMoment,
+        moment: DutyMoment,
     ) -> Option<DutyCall> {
         if self.holder.credential(moment.boot).is_some() {
-            self.desk.freeze(moment.unix, counts);
+            self.reporter.freeze(moment.unix, counts);
         }
-        let times = self.desk.times();
+        let times = self.reporter.times();
         let inherit = |contents: &DutyContents, is_broken: bool| {
-            ReportDesk::inherit(times, contents, is_broken, moment.unix)
+            UsageReporter::inherit(times, contents, is_broken, moment.unix)
         };
-        let contents = self.desk.contents();
+        let contents = self.reporter.contents();
         self.holder.tick(&contents, inherit, moment.boot)
     }
 
@@ -100,7 +100,7 @@
             } = event
                 && let Some(contents) = self.holder.confirmed()
             {
-                self.desk.restore(contents);
+                self.reporter.restore(contents);
             }
         }
         events
@@ -112,14 +112,17 @@
     }
 
     /// Returns the next report that may be sent now, with the credential for it.
-    pub fn next_report(&self, moment: SeatMoment) -> Option<(DutyCredential, UsageReport)> {
+    pub fn next_report(&self, moment: DutyMoment) -> Option<(DutyCredential, UsageReport)> {
         let credential = self.credential(moment.boot)?;
         let recorded = self.holder.confirmed()?;
-        Some((credential, self.desk.next(recorded, moment.unix)?))
+        Some((
+            credential,
+            self.reporter.next_report(recorded, moment.unix)?,
+        ))
     }
 
     /// Records that the duty API accepted the report for a window.
-    pub fn note_sent(&mut self, window: WindowId, unix: UnixMillis) {
-        self.desk.note_sent(window, unix);
+    pub fn record_sent(&mut self, window: WindowId, unix: UnixMillis) {
+        self.reporter.record_sent(window, unix);
     }
 }
--- a/crates/plumgate/src/duty/mod.rs
+++ b/crates/plumgate/src/duty/mod.rs
@@ -6,18 +6,18 @@
 //! been sent.
 
 mod agreed_clock;
+mod coordinator;
 mod holder;
-mod order_book;
-mod report_desk;
+mod order_tracker;
 mod row;
 mod scale;
-mod seat;
 mod usage;
+mod usage_reporter;
 
 pub use agreed_clock::{AgreedClock, ClockNews, UnixMillis};
+pub use coordinator::{CoordinatorOptions, DutyCoordinator, DutyMoment};
 pub use holder::{DutyHolder, DutyTimes, HolderEvent};
-pub use order_book::OrderBook;
-pub use report_desk::{ReportDesk, ReportTimes, WindowEnd, WindowId, WindowState};
+pub use order_tracker::OrderTracker;
 pub use row::{
     DutyAnswer, DutyCall, DutyContents, DutyCredential, DutyIdentity, DutyRow, DutyWrite, UsageNote,
 };
@@ -25,5 +25,5 @@
     FollowLoad, FollowOptions, PoolLoad, PoolScaling, PriceMillis, ScaleOrder, ScalePolicy,
     ScaleSubject, ServerKind, SiteLoad, StandStill, WantedServers,
 };
-pub use seat::{DutySeat, SeatMoment, SeatOptions};
-pub use usage::{UsageBook, UsageCounts, UsageNews, UsageReport, UsageTally, workspace_key};
+pub use usage::{UsageCounts, UsageNews, UsageReport, UsageTable, UsageTally, workspace_key};
+pub use usage_reporter::{ReportTimes, UsageReporter, WindowId, WindowOutcome, WindowState};
--- a/crates/plumgate/src/duty/order_book.rs
+++ b/crates/plumgate/src/duty/order_tracker.rs
@@ -35,7 +35,7 @@
 
 /// Tracks what was ordered and decides which orders are due.
 #[derive(Clone, Debug, Default)]
-pub struct OrderBook {
+pub struct OrderTracker {
     /// Time of the first call of `next`.
     started_at: Option<Instant>,
     ordered: BTreeMap<ScaleSubject, LastOrder>,
@@ -49,7 +49,7 @@
     }
 }
 
-impl OrderBook {
+impl OrderTracker {
     /// Creates a tracker without orders.
     pub fn new() -> Self {
         Self::default()
--- a/crates/plumgate/src/duty/row.rs
+++ b/crates/plumgate/src/duty/row.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::report_desk::WindowId;
+use super::usage_reporter::WindowId;
 use crate::errors::{Error, Result};
 use crate::ids::{FencingNumber, NodeId};
 use crate::store_version::{StoreEra, StoreVersion};
--- a/crates/plumgate/src/duty/usage.rs
+++ b/crates/plumgate/src/duty/usage.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::agreed_clock::UnixMillis;
-use super::report_desk::{ReportTimes, WindowId};
+use super::usage_reporter::{ReportTimes, WindowId};
 use crate::ids::{DataCentreId, NodeId};
 
 /// Maximum number of counts in one message. A count takes about 8 bytes, and the message has to fit into one
@@ -135,7 +135,7 @@
 
 /// Usage counts known to one node.
 #[derive(Debug)]
-pub struct UsageBook {
+pub struct UsageTable {
     own_data_centre: DataCentreId,
     incarnation: u64,
     times: ReportTimes,
@@ -144,7 +144,7 @@
     queue: SendQueue,
 }
 
-impl UsageBook {
+impl UsageTable {
     /// Creates an empty table for a node of a data centre.
     pub fn new(own_data_centre: DataCentreId, incarnation: u64, times: ReportTimes) -> Self {
         Self {
--- a/crates/plumgate/src/duty/report_desk.rs
+++ b/crates/plumgate/src/duty/usage_reporter.rs
@@ -63,7 +63,7 @@
 
 /// Outcome of a closed window, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WindowEnd {
+pub struct WindowOutcome {
     /// Number of the window.
     pub window: WindowId,
     /// Outcome: `sent` or `too_late`.
@@ -79,23 +79,23 @@
 
 /// Tracks which reports are due and which may have been sent.
 #[derive(Clone, Debug)]
-pub struct ReportDesk {
+pub struct UsageReporter {
     times: ReportTimes,
     passed: WindowId,
     open: BTreeMap<WindowId, OpenReport>,
-    ends: Vec<WindowEnd>,
-    new_ends: Vec<WindowEnd>,
+    outcomes: Vec<WindowOutcome>,
+    new_outcomes: Vec<WindowOutcome>,
 }
 
-impl ReportDesk {
+impl UsageReporter {
     /// Creates the state without any window.
     pub fn new(times: ReportTimes) -> Self {
         Self {
             times,
             passed: 0,
             open: BTreeMap::new(),
-            ends: Vec::new(),
-            new_ends: Vec::new(),
+            outcomes: Vec::new(),
+            new_outcomes: Vec::new(),
         }
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Returns the first report to be sent among those recorded in the store, as given by `recorded`.
-    pub fn next(&self, recorded: &DutyContents, unix: UnixMillis) -> Option<UsageReport> {
+    pub fn next_report(&self, recorded: &DutyContents, unix: UnixMillis) -> Option<UsageReport> {
         let mut open = self.open.iter();
         let (window, report) = open.find(|(window, report)| {
             let is_noted = recorded.notes.iter().any(|note| note.window == **window);
@@ -185,7 +185,7 @@
     }
 
     /// Records that the duty API accepted the report for a window.
-    pub fn note_sent(&mut self, window: WindowId, unix: UnixMillis) {
+    pub fn record_sent(&mut self, window: WindowId, unix: UnixMillis) {
         if let Some(report) = self.open.get_mut(&window) {
             report.state = WindowState::Sent;
         }
@@ -223,22 +223,22 @@
 
     fn close(&mut self, window: WindowId, result: &'static str) {
         self.passed = window;
-        let end = WindowEnd { window, result };
-        self.new_ends.push(end);
-        self.ends.push(end);
-        if self.ends.len() > MAX_OUTCOMES {
-            self.ends.remove(0);
+        let outcome = WindowOutcome { window, result };
+        self.new_outcomes.push(outcome);
+        self.outcomes.push(outcome);
+        if self.outcomes.len() > MAX_OUTCOMES {
+            self.outcomes.remove(0);
         }
     }
 
     /// Takes the outcomes of the windows closed since the last call.
-    pub fn take_ends(&mut self) -> Vec<WindowEnd> {
-        std::mem::take(&mut self.new_ends)
+    pub fn take_outcomes(&mut self) -> Vec<WindowOutcome> {
+        std::mem::take(&mut self.new_outcomes)
     }
 
     /// Returns the outcomes of the last closed windows.
-    pub fn ends(&self) -> &[WindowEnd] {
-        &self.ends
+    pub fn outcomes(&self) -> &[WindowOutcome] {
+        &self.outcomes
     }
 
     /// Iterates over the windows whose counts are fixed and that are not closed yet.
--- a/crates/plumgate/tests/duty_model/mod.rs
+++ b/crates/plumgate/tests/duty_model/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use plumgate::duty::{
-    DutyAnswer, DutyCall, DutyCredential, DutyIdentity, DutyRow, DutySeat, DutyTimes, DutyWrite,
-    ReportTimes, SeatMoment, SeatOptions, UsageCounts, UsageReport, WindowId,
+    CoordinatorOptions, DutyAnswer, DutyCall, DutyCoordinator, DutyCredential, DutyIdentity,
+    DutyMoment, DutyRow, DutyTimes, DutyWrite, ReportTimes, UsageCounts, UsageReport, WindowId,
 };
 use plumgate::{StoreEra, StoreVersion};
 
@@ -131,7 +131,7 @@
 
 struct ModelNode {
     machine: usize,
-    seat: DutySeat,
+    coordinator: DutyCoordinator,
     wanted: bool,
     down_until: u64,
     suspended_until: u64,
@@ -222,8 +222,8 @@
     pub(crate) eras: u32,
 }
 
-fn seat(machine: usize, incarnation: u64, window: u64) -> DutySeat {
-    DutySeat::new(SeatOptions {
+fn coordinator(machine: usize, incarnation: u64, window: u64) -> DutyCoordinator {
+    DutyCoordinator::new(CoordinatorOptions {
         own: DutyIdentity {
             node: format!("node-{machine}").as_str().into(),
             incarnation,
@@ -247,7 +247,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = (0..nodes).map(|machine| ModelNode {
             machine,
-            seat: seat(machine, rng.u64(..), window),
+            coordinator: coordinator(machine, rng.u64(..), window),
             wanted: machine == 0 || rates.all_want,
             down_until: 0,
             suspended_until: 0,
@@ -297,7 +297,7 @@
     pub(crate) fn kill(&mut self, node: usize, time: u64) {
         let incarnation = self.rng.u64(..);
         let node = &mut self.nodes[node];
-        node.seat = seat(node.machine, incarnation, self.window);
+        node.coordinator = coordinator(node.machine, incarnation, self.window);
         node.down_until = self.now + time;
         node.store_call = None;
         node.party_call = None;
@@ -394,17 +394,17 @@
         let node = &mut self.nodes[at];
         if node.store_call.is_none() {
             let counts = |_| (UsageCounts::from([("lab".to_owned(), counts)]), is_whole);
-            if let Some(call) = node.seat.tick(counts, moment) {
+            if let Some(call) = node.coordinator.tick(counts, moment) {
                 self.send_store(at, call);
             }
         }
         if self.nodes[at].party_call.is_some() {
             return;
         }
-        if let Some((credential, report)) = self.nodes[at].seat.next_report(moment) {
+        if let Some((credential, report)) = self.nodes[at].coordinator.next_report(moment) {
             self.send_party(at, credential, Some(report));
         } else if self.rng.f64() < ORDER_SHARE
-            && let Some(credential) = self.nodes[at].seat.credential(moment.boot)
+            && let Some(credential) = self.nodes[at].coordinator.credential(moment.boot)
         {
             self.send_party(at, credential, None);
         }
@@ -454,7 +454,7 @@
         };
         let node = &mut self.nodes[at];
         node.store_call = None;
-        node.seat.apply(answer, Duration::from_millis(now));
+        node.coordinator.apply(answer, Duration::from_millis(now));
     }
 
     fn send_party(&mut self, at: usize, credential: DutyCredential, report: Option<UsageReport>) {
@@ -512,7 +512,7 @@
             .is_some_and(|(_, call)| call.arrived && call.answered_at.is_some_and(|at| now >= at));
         let node = &mut self.nodes[at];
         if let Some(window) = window.filter(|_| is_answered) {
-            node.seat.note_sent(window, moment(now).unix);
+            node.coordinator.record_sent(window, moment(now).unix);
         }
         if is_answered || now >= give_up_at {
             node.party_call = None;
@@ -520,8 +520,8 @@
     }
 }
 
-fn moment(now: u64) -> SeatMoment {
-    SeatMoment {
+fn moment(now: u64) -> DutyMoment {
+    DutyMoment {
         boot: Duration::from_millis(now),
         unix: START + now,
     }
--- a/crates/plumgate/tests/duty_scale.rs
+++ b/crates/plumgate/tests/duty_scale.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::duty::{
-    FollowLoad, FollowOptions, OrderBook, PoolLoad, PoolScaling, ScalePolicy, ScaleSubject,
+    FollowLoad, FollowOptions, OrderTracker, PoolLoad, PoolScaling, ScalePolicy, ScaleSubject,
     ServerKind, SiteLoad, StandStill,
 };
 use plumgate::ids::DataCentreId;
@@ -54,7 +54,7 @@
     start: Instant,
     servers: BTreeMap<(DataCentreId, ServerKind), SimServers>,
     dry_until: BTreeMap<DataCentreId, Instant>,
-    book: OrderBook,
+    tracker: OrderTracker,
     backlog: f64,
     /// Prompt tokens that came, and those that waited for more than a second.
     tokens: f64,
@@ -80,7 +80,7 @@
             start,
             servers: servers.collect(),
             dry_until: BTreeMap::new(),
-            book: OrderBook::new(),
+            tracker: OrderTracker::new(),
             backlog: 0.0,
             tokens: 0.0,
             late: 0.0,
@@ -160,24 +160,27 @@
             data_centre: site.clone(),
             kind,
         };
-        let book = self.book.clone();
-        let is_dry = |site: &DataCentreId, kind| book.is_dry(&subject(site, kind));
+        let tracker = self.tracker.clone();
+        let is_dry = |site: &DataCentreId, kind| tracker.is_dry(&subject(site, kind));
         for ((site, kind), count) in policy.wanted(scaling, load, &is_dry, now) {
             let present = self
                 .servers
                 .get(&(site.clone(), kind))
                 .map_or(0, |servers| servers.ready);
             let subject = subject(&site, kind);
-            let Some(order) = self.book.next(&subject, count, present, scaling.boot, now) else {
+            let Some(order) = self
+                .tracker
+                .next(&subject, count, present, scaling.boot, now)
+            else {
                 continue;
             };
             self.orders += 1;
             let is_gone = self.dry_until.get(&site).is_some_and(|until| now < *until);
             if kind == ServerKind::Reclaimable && is_gone {
-                self.book.note_dry(&subject, now);
+                self.tracker.note_dry(&subject, now);
                 continue;
             }
-            self.book.note_ordered(&order, now);
+            self.tracker.note_ordered(&order, now);
             let servers = self.servers.entry((site, kind)).or_default();
             let under_way: u32 = servers.booting.iter().map(|(_, count)| count).sum();
             servers.ordered = order.count;
@@ -276,21 +279,21 @@
 // Wanted numbers waver from look to look: servers are not given back and ordered again for that.
 #[test]
 fn numbers_that_waver_lead_to_no_orders() {
-    let mut book = OrderBook::new();
+    let mut tracker = OrderTracker::new();
     let subject = ScaleSubject {
         pool: "models".into(),
         data_centre: "a".into(),
         kind: ServerKind::Lasting,
     };
     let mut now = Instant::now();
-    let first = book.next(&subject, 20, 10, BOOT, now).expect("an order");
-    book.note_ordered(&first, now);
+    let first = tracker.next(&subject, 20, 10, BOOT, now).expect("an order");
+    tracker.note_ordered(&first, now);
     let mut orders = 0;
     for step in 0..100_u32 {
         now += STEP;
         let wanted = 20 - step % 3;
-        if let Some(order) = book.next(&subject, wanted, 20, BOOT, now) {
-            book.note_ordered(&order, now);
+        if let Some(order) = tracker.next(&subject, wanted, 20, BOOT, now) {
+            tracker.note_ordered(&order, now);
             orders += 1;
         }
     }
@@ -330,7 +333,7 @@
 // A thousand servers of a data centre are needed no more. They go in steps: all nodes have to learn of each in time.
 #[test]
 fn many_servers_are_given_back_in_steps() {
-    let mut book = OrderBook::new();
+    let mut tracker = OrderTracker::new();
     let subject = ScaleSubject {
         pool: "models".into(),
         data_centre: "a".into(),
@@ -340,9 +343,9 @@
     let mut present = 1_000;
     while present > 1 {
         now += STEP;
-        if let Some(order) = book.next(&subject, 1, present, BOOT, now) {
+        if let Some(order) = tracker.next(&subject, 1, present, BOOT, now) {
             assert!(present - order.count <= 60, "{present} to {}", order.count);
-            book.note_ordered(&order, now);
+            tracker.note_ordered(&order, now);
             present = order.count;
         }
     }
--- a/crates/plumgate/tests/duty_usage.rs
+++ b/crates/plumgate/tests/duty_usage.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use plumgate::duty::{
-    AgreedClock, ClockNews, ReportTimes, UsageBook, UsageCounts, UsageNews, UsageTally,
+    AgreedClock, ClockNews, ReportTimes, UsageCounts, UsageNews, UsageTable, UsageTally,
 };
 use plumgate::ids::{DataCentreId, NodeId};
 
@@ -20,7 +20,7 @@
 /// One node with what it counts.
 struct CountingNode {
     name: NodeId,
-    book: UsageBook,
+    table: UsageTable,
     tally: UsageTally,
 }
 
@@ -28,7 +28,7 @@
     fn new(name: &str, centre: &str, incarnation: u64) -> Self {
         Self {
             name: name.into(),
-            book: UsageBook::new(centre.into(), incarnation, times()),
+            table: UsageTable::new(centre.into(), incarnation, times()),
             tally: UsageTally::default(),
         }
     }
@@ -43,15 +43,15 @@
     fn tell(&mut self, from: u64) -> Vec<UsageNews> {
         let rounds = (0..10).flat_map(|round| {
             let boot = Duration::from_millis(from + round * 100);
-            self.book.own_news(&self.tally, DAY, boot)
+            self.table.own_news(&self.tally, DAY, boot)
         });
         rounds.collect()
     }
 }
 
-fn sum(book: &UsageBook, centres: &[DataCentreId]) -> (UsageCounts, bool) {
+fn sum(table: &UsageTable, centres: &[DataCentreId]) -> (UsageCounts, bool) {
     let window = times().window_at(DAY);
-    book.counts(window, ["lab", "clinic"].into_iter(), centres)
+    table.counts(window, ["lab", "clinic"].into_iter(), centres)
 }
 
 // A message comes twice, an older one comes after a newer one, and a node starts again and counts from nothing: no
@@ -66,17 +66,17 @@
     let late = node.tell(1_000);
     let boot = Duration::from_secs(2);
     for news in late.iter().chain(&early).chain(&late) {
-        collector.book.hear(&node.name, news.clone(), boot);
+        collector.table.hear(&node.name, news.clone(), boot);
     }
     let mut again = CountingNode::new("node", "a", 3);
     again.count("lab", 2);
     again.count("clinic", 1);
     for news in again.tell(0) {
-        collector.book.hear(&again.name, news, boot);
+        collector.table.hear(&again.name, news, boot);
     }
     collector.count("clinic", 4);
-    collector.book.add_up(&collector.tally, DAY, boot);
-    let (counts, _) = sum(&collector.book, &["a".into()]);
+    collector.table.add_up(&collector.tally, DAY, boot);
+    let (counts, _) = sum(&collector.table, &["a".into()]);
     let expected = [("lab".to_owned(), 12), ("clinic".to_owned(), 5)];
     assert_eq!(counts, UsageCounts::from(expected));
 }
@@ -91,19 +91,19 @@
     let mut node = CountingNode::new("node", "a", 3);
     node.count("lab", 9);
     for news in node.tell(0) {
-        first.book.hear(&node.name, news, boot);
+        first.table.hear(&node.name, news, boot);
     }
-    first.book.add_up(&first.tally, DAY, boot);
-    for news in first.book.centre_news(boot) {
-        foreign.book.hear(&first.name, news, boot);
+    first.table.add_up(&first.tally, DAY, boot);
+    for news in first.table.centre_news(boot) {
+        foreign.table.hear(&first.name, news, boot);
     }
     let mut second = CountingNode::new("second", "a", 4);
     second.count("lab", 1);
-    second.book.add_up(&second.tally, DAY, boot);
-    for news in foreign.book.centre_news(boot) {
-        second.book.hear(&foreign.name, news, boot);
+    second.table.add_up(&second.tally, DAY, boot);
+    for news in foreign.table.centre_news(boot) {
+        second.table.hear(&foreign.name, news, boot);
     }
-    let (counts, _) = sum(&second.book, &["a".into()]);
+    let (counts, _) = sum(&second.table, &["a".into()]);
     assert_eq!(counts.get("lab"), Some(&9));
 }
 
@@ -116,16 +116,16 @@
     let news = node.tell(0);
     let boot = Duration::from_secs(1);
     for news in news {
-        collector.book.hear(&node.name, news, boot);
+        collector.table.hear(&node.name, news, boot);
     }
     let end = times().end(times().window_at(DAY));
     let centres = ["a".into()];
-    collector.book.add_up(&collector.tally, end + 500, boot);
-    assert!(!sum(&collector.book, &centres).1);
+    collector.table.add_up(&collector.tally, end + 500, boot);
+    assert!(!sum(&collector.table, &centres).1);
     let later = boot + Duration::from_secs(9);
-    collector.book.add_up(&collector.tally, end + 2_000, later);
-    assert!(sum(&collector.book, &centres).1);
-    assert!(!sum(&collector.book, &["a".into(), "b".into()]).1);
+    collector.table.add_up(&collector.tally, end + 2_000, later);
+    assert!(sum(&collector.table, &centres).1);
+    assert!(!sum(&collector.table, &["a".into(), "b".into()]).1);
 }
 
 // What a node sends does not grow with windows that are over, and a round fits into one packet: 1,100 workspaces at
@@ -140,8 +140,8 @@
     for round in 0..300 {
         let boot = Duration::from_millis(round * 100);
         let mut tally = std::mem::take(&mut node.tally);
-        node.book.tick(&mut tally, DAY);
-        for news in node.book.own_news(&tally, DAY, boot) {
+        node.table.tick(&mut tally, DAY);
+        for news in node.table.own_news(&tally, DAY, boot) {
             let size = postcard_size(&news);
             assert!(size < 1_400, "{size}");
             bytes += size;
@@ -217,29 +217,29 @@
                 *truth.entry(times().window_at(unix)).or_default() += 1;
             }
             let mut tally = std::mem::take(&mut nodes[at].tally);
-            nodes[at].book.tick(&mut tally, unix);
+            nodes[at].table.tick(&mut tally, unix);
             let name = nodes[at].name.clone();
             let (news, to): (_, Vec<usize>) = if at < 3 {
-                nodes[at].book.add_up(&tally, unix, boot);
+                nodes[at].table.add_up(&tally, unix, boot);
                 (
-                    nodes[at].book.centre_news(boot),
+                    nodes[at].table.centre_news(boot),
                     (0..3).filter(|to| *to != at).collect(),
                 )
             } else {
-                (nodes[at].book.own_news(&tally, unix, boot), vec![at % 3])
+                (nodes[at].table.own_news(&tally, unix, boot), vec![at % 3])
             };
             nodes[at].tally = tally;
             for news in news {
                 for to in &to {
                     if rng.u8(0..20) > 0 {
-                        nodes[*to].book.hear(&name, news.clone(), boot);
+                        nodes[*to].table.hear(&name, news.clone(), boot);
                     }
                 }
             }
         }
         let window = times().window_at(unix.saturating_sub(5_000));
         if unix % 5_000 == 4_900 && round > 50 {
-            let (counts, _) = nodes[0].book.counts(
+            let (counts, _) = nodes[0].table.counts(
                 window,
                 ["lab", "clinic"].into_iter(),
                 &centres.map(DataCentreId::from),
@@ -291,7 +291,7 @@
         });
         rows.sum::<usize>() > 0
     };
-    assert!(!has_counts(&node.book.own_news(&node.tally, DAY, boot)));
-    node.book.tell_all();
-    assert!(has_counts(&node.book.own_news(&node.tally, DAY, boot)));
+    assert!(!has_counts(&node.table.own_news(&node.tally, DAY, boot)));
+    node.table.tell_all();
+    assert!(has_counts(&node.table.own_news(&node.tally, DAY, boot)));
 }
