--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -94,7 +94,7 @@
     pub(crate) fn update_clock(&self) {
         let boot = self.shared.clock.boot_time();
         let mut clock = self.clock.borrow_mut();
-        clock.note_own(self.shared.clock.unix_ms(), boot);
+        clock.record_own(self.shared.clock.unix_ms(), boot);
         if let Some(offset) = clock.offset() {
             self.shared.day_offset_ms.store(offset, Ordering::Relaxed);
         }
@@ -110,10 +110,10 @@
         self.update_clock();
         exchange
             .duty_messages()
-            .set_clock(self.clock.borrow().news(boot));
+            .set_clock(self.clock.borrow().report(boot));
         for message in exchange.duty_messages().take_usage() {
             let mut usage_table = self.usage_table.borrow_mut();
-            usage_table.hear(&message.node, message.report, message.received_at);
+            usage_table.receive(&message.node, message.report, message.received_at);
         }
         self.update_usage(exchange, is_collector);
         self.should_hold.set(exchange.should_hold_duties(now));
@@ -128,19 +128,24 @@
         for message in exchange.duty_messages().take_clocks() {
             match message.scope {
                 ClockScope::Member => {
-                    clock.hear(&message.node, &message.report, message.received_at)
+                    clock.receive(&message.node, &message.report, message.received_at)
                 }
                 ClockScope::DataCentre(nodes) => {
-                    clock.hear_centre(&message.node, &message.report, nodes, message.received_at);
+                    clock.receive_data_centre(
+                        &message.node,
+                        &message.report,
+                        nodes,
+                        message.received_at,
+                    );
                 }
                 ClockScope::Collector if !is_collector => {
-                    clock.follow(&message.report, message.received_at);
+                    clock.apply_agreed(&message.report, message.received_at);
                 }
                 ClockScope::Collector => {}
             }
         }
         if is_collector {
-            clock.agree(boot);
+            clock.update_agreed(boot);
         }
     }
 
@@ -152,13 +157,13 @@
         let mut usage_table = self.usage_table.borrow_mut();
         usage_table.tick(&mut tally, moment.unix);
         if exchange.duty_messages().take_has_new_receiver() {
-            usage_table.tell_all();
+            usage_table.resend_all();
         }
         let updates = if is_collector {
-            usage_table.add_up(&tally, moment.unix, moment.boot);
-            usage_table.centre_news(moment.boot)
+            usage_table.update_sums(&tally, moment.unix, moment.boot);
+            usage_table.data_centre_updates(moment.boot)
         } else {
-            usage_table.own_news(&tally, moment.unix, moment.boot)
+            usage_table.own_updates(&tally, moment.unix, moment.boot)
         };
         exchange.duty_messages().set_usage(updates);
     }
@@ -184,7 +189,7 @@
             let mut tally = self.shared.usage();
             let mut usage_table = self.usage_table.borrow_mut();
             usage_table.tick(&mut tally, moment.unix);
-            usage_table.add_up(&tally, moment.unix, moment.boot);
+            usage_table.update_sums(&tally, moment.unix, moment.boot);
         }
     }
 
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -190,7 +190,7 @@
             window: duties.window,
             late: duties.late,
         };
-        self.usage().note(workspace, times.window_at(unix));
+        self.usage().record(workspace, times.window_at(unix));
     }
 
     /// Returns whether the known state of the store is recent enough to accept callers.
--- a/crates/plumgate/src/duty/agreed_clock.rs
+++ b/crates/plumgate/src/duty/agreed_clock.rs
@@ -22,12 +22,12 @@
 
 /// Time of day as one node reports it to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClockNews {
+pub struct ClockReport {
     /// Time by the node's own clock alone.
     pub own: UnixMillis,
     /// Median of the node's data centre alone; only a collector has it. Collectors do not send the agreed time to
     /// each other as their sample, since the transit times of the messages would add up.
-    pub centre: Option<UnixMillis>,
+    pub data_centre: Option<UnixMillis>,
     /// Time agreed on with the other data centres.
     pub agreed: Option<UnixMillis>,
 }
@@ -46,7 +46,7 @@
     /// Offset of the node's own system time against its boot time, with jumps smoothed out.
     own: Option<f64>,
     own_at: Duration,
-    centre: Option<i64>,
+    data_centre: Option<i64>,
     agreed: Option<i64>,
     /// Samples of the other nodes of this data centre.
     members: HashMap<NodeId, ClockSample>,
@@ -61,7 +61,7 @@
     }
 
     /// Records the system time of this node; called at regular intervals.
-    pub fn note_own(&mut self, unix: UnixMillis, boot: Duration) {
+    pub fn record_own(&mut self, unix: UnixMillis, boot: Duration) {
         let offset = offset_of(unix, boot) as f64;
         let Some(own) = self.own else {
             self.own = Some(offset);
@@ -75,26 +75,32 @@
     }
 
     /// Records the report of another node of this data centre.
-    pub fn hear(&mut self, node: &NodeId, news: &ClockNews, boot: Duration) {
-        let sample = ClockSample::new(news.own, 1, boot);
+    pub fn receive(&mut self, node: &NodeId, report: &ClockReport, boot: Duration) {
+        let sample = ClockSample::new(report.own, 1, boot);
         self.members.insert(node.clone(), sample);
     }
 
     /// Records the report of the collector of another data centre, weighted by the number of its nodes.
-    pub fn hear_centre(&mut self, node: &NodeId, news: &ClockNews, nodes: usize, boot: Duration) {
-        let sample = ClockSample::new(news.centre.unwrap_or(news.own), nodes.max(1), boot);
+    pub fn receive_data_centre(
+        &mut self,
+        node: &NodeId,
+        report: &ClockReport,
+        nodes: usize,
+        boot: Duration,
+    ) {
+        let sample = ClockSample::new(report.data_centre.unwrap_or(report.own), nodes.max(1), boot);
         self.data_centres.insert(node.clone(), sample);
     }
 
     /// Applies the agreed time that this node's collector reported.
-    pub fn follow(&mut self, news: &ClockNews, boot: Duration) {
-        if let Some(agreed) = news.agreed {
+    pub fn apply_agreed(&mut self, report: &ClockReport, boot: Duration) {
+        if let Some(agreed) = report.agreed {
             self.agreed = Some(offset_of(agreed, boot));
         }
     }
 
     /// Recomputes the agreed time as the weighted median of the recent samples; only a collector does this.
-    pub fn agree(&mut self, boot: Duration) {
+    pub fn update_agreed(&mut self, boot: Duration) {
         let is_recent =
             |sample: &ClockSample| boot.saturating_sub(sample.received_at) < SAMPLE_LIFETIME;
         self.members.retain(|_, sample| is_recent(sample));
@@ -104,15 +110,17 @@
         let members: Vec<(i64, usize)> = members.collect();
         let data_centres = self.data_centres.values().map(ClockSample::weighted);
         let all: Vec<(i64, usize)> = members.iter().copied().chain(data_centres).collect();
-        self.centre = weighted_median(members);
+        self.data_centre = weighted_median(members);
         self.agreed = weighted_median(all).or(self.agreed);
     }
 
     /// Returns this node's report, or `None` before its own time is known.
-    pub fn news(&self, boot: Duration) -> Option<ClockNews> {
-        Some(ClockNews {
+    pub fn report(&self, boot: Duration) -> Option<ClockReport> {
+        Some(ClockReport {
             own: unix_at(self.own? as i64, boot),
-            centre: self.centre.map(|centre| unix_at(centre, boot)),
+            data_centre: self
+                .data_centre
+                .map(|data_centre| unix_at(data_centre, boot)),
             agreed: self.agreed.map(|agreed| unix_at(agreed, boot)),
         })
     }
--- a/crates/plumgate/src/duty/mod.rs
+++ b/crates/plumgate/src/duty/mod.rs
@@ -14,7 +14,7 @@
 mod usage;
 mod usage_reporter;
 
-pub use agreed_clock::{AgreedClock, ClockNews, UnixMillis};
+pub use agreed_clock::{AgreedClock, ClockReport, UnixMillis};
 pub use coordinator::{CoordinatorOptions, DutyCoordinator, DutyMoment};
 pub use holder::{DutyHolder, DutyTimes, HolderEvent};
 pub use order_tracker::OrderTracker;
@@ -25,5 +25,5 @@
     FollowLoad, FollowOptions, PoolLoad, PoolScaling, PriceMillis, ScaleOrder, ScalePolicy,
     ScaleSubject, ServerKind, SiteLoad, StandStill, WantedServers,
 };
-pub use usage::{UsageCounts, UsageNews, UsageReport, UsageTable, UsageTally, workspace_key};
+pub use usage::{UsageCounts, UsageReport, UsageTable, UsageTally, UsageUpdate, workspace_key};
 pub use usage_reporter::{ReportTimes, UsageReporter, WindowId, WindowOutcome, WindowState};
--- a/crates/plumgate/src/duty/usage.rs
+++ b/crates/plumgate/src/duty/usage.rs
@@ -62,7 +62,7 @@
 
 /// Message with usage counts from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum UsageNews {
+pub enum UsageUpdate {
     /// Counts of a node itself, for its collector.
     Own {
         /// Incarnation of the node.
@@ -70,23 +70,23 @@
         /// Time of day up to which the counts are complete; set in the last message of a transmission.
         as_of: Option<UnixMillis>,
         /// Counts by window.
-        rows: Vec<WindowRowNews>,
+        rows: Vec<WindowUpdate>,
     },
     /// Sums of a data centre, from one collector to another.
-    Centre {
+    DataCentre {
         /// Name of the data centre.
         data_centre: String,
         /// Time of day up to which the counts of all its nodes are included; set in the last message of a
         /// transmission.
         as_of: Option<UnixMillis>,
         /// Sums by window.
-        rows: Vec<WindowRowNews>,
+        rows: Vec<WindowUpdate>,
     },
 }
 
-/// Counts of one window in a [`UsageNews`].
+/// Counts of one window in a [`UsageUpdate`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WindowRowNews(pub(crate) WindowRow);
+pub struct WindowUpdate(pub(crate) WindowRow);
 
 /// Counts of this node itself. The traffic thread counts, and the control thread sends the counts.
 #[derive(Debug, Default)]
@@ -96,7 +96,7 @@
 
 impl UsageTally {
     /// Counts a request of a workspace that began at a backend server.
-    pub fn note(&mut self, workspace: &str, window: WindowId) {
+    pub fn record(&mut self, workspace: &str, window: WindowId) {
         let counts = self.windows.entry(window).or_default();
         *counts.entry(workspace_key(workspace)).or_default() += 1;
     }
@@ -166,9 +166,9 @@
     }
 
     /// Merges counts received from another node.
-    pub fn hear(&mut self, node: &NodeId, news: UsageNews, boot: Duration) {
-        match news {
-            UsageNews::Own {
+    pub fn receive(&mut self, node: &NodeId, update: UsageUpdate, boot: Duration) {
+        match update {
+            UsageUpdate::Own {
                 incarnation,
                 as_of,
                 rows,
@@ -179,7 +179,7 @@
                 member.as_of = member.as_of.max(as_of.unwrap_or_default());
                 member.received_at = boot;
             }
-            UsageNews::Centre {
+            UsageUpdate::DataCentre {
                 data_centre,
                 as_of,
                 rows,
@@ -196,13 +196,13 @@
 
     /// Sends all counts again at once, for a new receiver. The regular full transmission would come too late for
     /// the windows that a new holder reports first.
-    pub fn tell_all(&mut self) {
+    pub fn resend_all(&mut self) {
         self.queue.sent.clear();
         self.queue.next_at = Duration::ZERO;
     }
 
     /// Updates the sums of this data centre; only a collector does this, or a node that knows no other.
-    pub fn add_up(&mut self, tally: &UsageTally, unix: UnixMillis, boot: Duration) {
+    pub fn update_sums(&mut self, tally: &UsageTally, unix: UnixMillis, boot: Duration) {
         let oldest = self.oldest(unix);
         let mut sums: WindowCounts = tally.windows.clone();
         let mut as_of = unix.saturating_sub(COUNT_LAG);
@@ -251,12 +251,12 @@
     }
 
     /// Returns the messages with this node's counts for its collector in this round.
-    pub fn own_news(
+    pub fn own_updates(
         &mut self,
         tally: &UsageTally,
         unix: UnixMillis,
         boot: Duration,
-    ) -> Vec<UsageNews> {
+    ) -> Vec<UsageUpdate> {
         if self.queue.is_due(boot) {
             let entries = list_counts(None, &tally.windows);
             self.queue
@@ -266,7 +266,7 @@
         // Sums may remain in the queue from a time when this node was a collector.
         let parts = self.queue.next_parts().into_iter();
         let own = parts.filter(|(data_centre, ..)| data_centre.is_none());
-        let own = own.map(|(_, rows, as_of)| UsageNews::Own {
+        let own = own.map(|(_, rows, as_of)| UsageUpdate::Own {
             incarnation,
             as_of,
             rows,
@@ -275,7 +275,7 @@
     }
 
     /// Returns the messages with the sums of all known data centres for the other collectors in this round.
-    pub fn centre_news(&mut self, boot: Duration) -> Vec<UsageNews> {
+    pub fn data_centre_updates(&mut self, boot: Duration) -> Vec<UsageUpdate> {
         if self.queue.is_due(boot) {
             let mut entries = Vec::new();
             let mut as_of = BTreeMap::new();
@@ -287,7 +287,7 @@
         }
         let parts = self.queue.next_parts();
         let data_centres = parts.into_iter().filter_map(|(data_centre, rows, as_of)| {
-            Some(UsageNews::Centre {
+            Some(UsageUpdate::DataCentre {
                 data_centre: data_centre?.to_string(),
                 as_of,
                 rows,
@@ -346,7 +346,7 @@
 
 /// Part of a transmission: the data centre, the counts, and in the last part the time up to which they are
 /// complete.
-type SendPart = (Option<DataCentreId>, Vec<WindowRowNews>, Option<UnixMillis>);
+type SendPart = (Option<DataCentreId>, Vec<WindowUpdate>, Option<UnixMillis>);
 
 impl SendQueue {
     fn is_due(&self, boot: Duration) -> bool {
@@ -392,7 +392,7 @@
             };
             match rows.last_mut() {
                 Some(row) if row.0.window == window => row.0.counts.push((key, count)),
-                _ => rows.push(WindowRowNews(WindowRow {
+                _ => rows.push(WindowUpdate(WindowRow {
                     window,
                     counts: vec![(key, count)],
                 })),
@@ -423,8 +423,8 @@
     each.collect()
 }
 
-fn merge_rows(windows: &mut WindowCounts, rows: &[WindowRowNews]) {
-    for WindowRowNews(row) in rows {
+fn merge_rows(windows: &mut WindowCounts, rows: &[WindowUpdate]) {
+    for WindowUpdate(row) in rows {
         let known = windows.entry(row.window).or_default();
         for (key, count) in &row.counts {
             raise_count(known, *key, *count);
--- a/crates/plumgate/src/gateway/exchange/duty_messages.rs
+++ b/crates/plumgate/src/gateway/exchange/duty_messages.rs
@@ -5,7 +5,7 @@
 
 use super::load_exchange::ExchangeMoment;
 use super::messages::{PoolDemand, pool_key};
-use crate::duty::{ClockNews, UsageNews};
+use crate::duty::{ClockReport, UsageUpdate};
 use crate::ids::{DataCentreId, NodeId};
 
 /// Time without a message from a collector of another data centre after which this node no longer leaves the
@@ -24,7 +24,7 @@
     /// Nodes that the report covers.
     pub scope: ClockScope,
     /// The report.
-    pub report: ClockNews,
+    pub report: ClockReport,
     /// Time since the VM started, suspension included, at which the report was received.
     pub received_at: Duration,
 }
@@ -46,7 +46,7 @@
     /// Node that sent the report.
     pub node: NodeId,
     /// The report.
-    pub report: UsageNews,
+    pub report: UsageUpdate,
     /// Time since the VM started, suspension included, at which the report was received.
     pub received_at: Duration,
 }
@@ -58,10 +58,10 @@
 #[derive(Debug, Default)]
 pub struct DutyMessages {
     /// Report of the time of day that this node sends.
-    clock: Option<ClockNews>,
+    clock: Option<ClockReport>,
     received_clocks: Vec<ReceivedClock>,
     /// Usage reports that this node sends in this round.
-    outgoing_usage: Vec<UsageNews>,
+    outgoing_usage: Vec<UsageUpdate>,
     received_usage: Vec<ReceivedUsage>,
     /// Demand of this node's own requests.
     own_demand: Vec<PoolDemand>,
@@ -79,12 +79,12 @@
 
 impl DutyMessages {
     /// Sets the report of the time of day that this node sends from now on.
-    pub fn set_clock(&mut self, clock: Option<ClockNews>) {
+    pub fn set_clock(&mut self, clock: Option<ClockReport>) {
         self.clock = clock;
     }
 
     /// Returns the report of the time of day that this node sends.
-    pub(crate) fn clock(&self) -> Option<ClockNews> {
+    pub(crate) fn clock(&self) -> Option<ClockReport> {
         self.clock
     }
 
@@ -93,7 +93,7 @@
         &mut self,
         node: &NodeId,
         scope: ClockScope,
-        report: ClockNews,
+        report: ClockReport,
         moment: ExchangeMoment,
     ) {
         self.received_clocks.push(ReceivedClock {
@@ -111,12 +111,12 @@
 
     /// Sets the usage reports of the next round: a node sends them to its collector, a collector to the
     /// collectors of the other data centres.
-    pub fn set_usage(&mut self, reports: Vec<UsageNews>) {
+    pub fn set_usage(&mut self, reports: Vec<UsageUpdate>) {
         self.outgoing_usage = reports;
     }
 
     /// Takes the usage reports to send in this round.
-    pub(crate) fn take_outgoing_usage(&mut self) -> Vec<UsageNews> {
+    pub(crate) fn take_outgoing_usage(&mut self) -> Vec<UsageUpdate> {
         std::mem::take(&mut self.outgoing_usage)
     }
 
@@ -124,7 +124,7 @@
     pub(crate) fn receive_usage(
         &mut self,
         node: NodeId,
-        report: UsageNews,
+        report: UsageUpdate,
         moment: ExchangeMoment,
     ) {
         if self.received_usage.len() < MAX_USAGE_REPORTS {
--- a/crates/plumgate/src/gateway/exchange/messages.rs
+++ b/crates/plumgate/src/gateway/exchange/messages.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::nodes::NodeCapacity;
-use crate::duty::{ClockNews, UsageNews};
+use crate::duty::{ClockReport, UsageUpdate};
 use crate::gateway::servers::ServerEntry;
 use crate::gateway::sync::messages::{SyncRequest, SyncResponse};
 use crate::gateway::work::{ServerWork, URGENCY_LEVELS};
@@ -35,7 +35,7 @@
     /// Work that the whole fleet has in flight.
     Total(Vec<WorkEntry>),
     /// Usage report: requests that began at servers.
-    Usage(UsageNews),
+    Usage(UsageUpdate),
     /// A message about the statements of servers, sealed with one key or two.
     Statements(Vec<Vec<u8>>),
 }
@@ -104,7 +104,7 @@
     /// Demand of the requests that the body covers.
     pub(crate) demand: Vec<PoolDemand>,
     /// The sender's report of the time of day.
-    pub(crate) clock: Option<ClockNews>,
+    pub(crate) clock: Option<ClockReport>,
     /// The sender's sync request for the state of the store.
     pub(crate) sync_request: Option<SyncRequest>,
     /// Response to the last sync request of the receiver.
--- a/crates/plumgate/tests/duty_usage.rs
+++ b/crates/plumgate/tests/duty_usage.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use plumgate::duty::{
-    AgreedClock, ClockNews, ReportTimes, UsageCounts, UsageNews, UsageTable, UsageTally,
+    AgreedClock, ClockReport, ReportTimes, UsageCounts, UsageTable, UsageTally, UsageUpdate,
 };
 use plumgate::ids::{DataCentreId, NodeId};
 
@@ -35,15 +35,15 @@
 
     fn count(&mut self, workspace: &str, requests: u64) {
         for _ in 0..requests {
-            self.tally.note(workspace, times().window_at(DAY));
+            self.tally.record(workspace, times().window_at(DAY));
         }
     }
 
     /// All that it tells its collector in a second from a time on.
-    fn tell(&mut self, from: u64) -> Vec<UsageNews> {
+    fn tell(&mut self, from: u64) -> Vec<UsageUpdate> {
         let rounds = (0..10).flat_map(|round| {
             let boot = Duration::from_millis(from + round * 100);
-            self.table.own_news(&self.tally, DAY, boot)
+            self.table.own_updates(&self.tally, DAY, boot)
         });
         rounds.collect()
     }
@@ -66,16 +66,16 @@
     let late = node.tell(1_000);
     let boot = Duration::from_secs(2);
     for news in late.iter().chain(&early).chain(&late) {
-        collector.table.hear(&node.name, news.clone(), boot);
+        collector.table.receive(&node.name, news.clone(), boot);
     }
     let mut again = CountingNode::new("node", "a", 3);
     again.count("lab", 2);
     again.count("clinic", 1);
     for news in again.tell(0) {
-        collector.table.hear(&again.name, news, boot);
+        collector.table.receive(&again.name, news, boot);
     }
     collector.count("clinic", 4);
-    collector.table.add_up(&collector.tally, DAY, boot);
+    collector.table.update_sums(&collector.tally, DAY, boot);
     let (counts, _) = sum(&collector.table, &["a".into()]);
     let expected = [("lab".to_owned(), 12), ("clinic".to_owned(), 5)];
     assert_eq!(counts, UsageCounts::from(expected));
@@ -91,17 +91,17 @@
     let mut node = CountingNode::new("node", "a", 3);
     node.count("lab", 9);
     for news in node.tell(0) {
-        first.table.hear(&node.name, news, boot);
+        first.table.receive(&node.name, news, boot);
     }
-    first.table.add_up(&first.tally, DAY, boot);
-    for news in first.table.centre_news(boot) {
-        foreign.table.hear(&first.name, news, boot);
+    first.table.update_sums(&first.tally, DAY, boot);
+    for news in first.table.data_centre_updates(boot) {
+        foreign.table.receive(&first.name, news, boot);
     }
     let mut second = CountingNode::new("second", "a", 4);
     second.count("lab", 1);
-    second.table.add_up(&second.tally, DAY, boot);
-    for news in foreign.table.centre_news(boot) {
-        second.table.hear(&foreign.name, news, boot);
+    second.table.update_sums(&second.tally, DAY, boot);
+    for news in foreign.table.data_centre_updates(boot) {
+        second.table.receive(&foreign.name, news, boot);
     }
     let (counts, _) = sum(&second.table, &["a".into()]);
     assert_eq!(counts.get("lab"), Some(&9));
@@ -116,14 +116,18 @@
     let news = node.tell(0);
     let boot = Duration::from_secs(1);
     for news in news {
-        collector.table.hear(&node.name, news, boot);
+        collector.table.receive(&node.name, news, boot);
     }
     let end = times().end(times().window_at(DAY));
     let centres = ["a".into()];
-    collector.table.add_up(&collector.tally, end + 500, boot);
+    collector
+        .table
+        .update_sums(&collector.tally, end + 500, boot);
     assert!(!sum(&collector.table, &centres).1);
     let later = boot + Duration::from_secs(9);
-    collector.table.add_up(&collector.tally, end + 2_000, later);
+    collector
+        .table
+        .update_sums(&collector.tally, end + 2_000, later);
     assert!(sum(&collector.table, &centres).1);
     assert!(!sum(&collector.table, &["a".into(), "b".into()]).1);
 }
@@ -141,7 +145,7 @@
         let boot = Duration::from_millis(round * 100);
         let mut tally = std::mem::take(&mut node.tally);
         node.table.tick(&mut tally, DAY);
-        for news in node.table.own_news(&tally, DAY, boot) {
+        for news in node.table.own_updates(&tally, DAY, boot) {
             let size = postcard_size(&news);
             assert!(size < 1_400, "{size}");
             bytes += size;
@@ -151,7 +155,7 @@
     assert!(bytes / 30 < 8_000, "{} bytes a second", bytes / 30);
 }
 
-fn postcard_size(news: &UsageNews) -> usize {
+fn postcard_size(news: &UsageUpdate) -> usize {
     postcard::to_stdvec(news).map_or(0, |bytes| bytes.len())
 }
 
@@ -160,17 +164,17 @@
 fn agreed_time_stands_against_jumps() {
     let mut clock = AgreedClock::new();
     let boot = Duration::from_secs(100);
-    clock.note_own(DAY + 2_400, boot);
+    clock.record_own(DAY + 2_400, boot);
     for number in 0..12 {
         let jump = if number < 3 { 2_400 } else { number };
-        let news = ClockNews {
+        let news = ClockReport {
             own: DAY + jump,
-            centre: None,
+            data_centre: None,
             agreed: None,
         };
-        clock.hear(&format!("node-{number}").as_str().into(), &news, boot);
+        clock.receive(&format!("node-{number}").as_str().into(), &news, boot);
     }
-    clock.agree(boot);
+    clock.update_agreed(boot);
     let now = clock.now(boot).expect("a time");
     assert!(now.abs_diff(DAY) <= 12, "{now}");
     let later = boot + Duration::from_secs(4);
@@ -185,7 +189,7 @@
     for second in 0..20 {
         let jump = if (5..11).contains(&second) { 2_400 } else { 0 };
         let boot = Duration::from_secs(second);
-        clock.note_own(DAY + second * 1_000 + jump, boot);
+        clock.record_own(DAY + second * 1_000 + jump, boot);
         let now = clock.now(boot).expect("a time");
         assert!(now.abs_diff(DAY + second * 1_000) <= 4, "second {second}");
     }
@@ -213,26 +217,29 @@
         for at in 0..nodes.len() {
             for _ in 0..rng.u32(0..6) {
                 let workspace = if rng.bool() { "lab" } else { "clinic" };
-                nodes[at].tally.note(workspace, times().window_at(unix));
+                nodes[at].tally.record(workspace, times().window_at(unix));
                 *truth.entry(times().window_at(unix)).or_default() += 1;
             }
             let mut tally = std::mem::take(&mut nodes[at].tally);
             nodes[at].table.tick(&mut tally, unix);
             let name = nodes[at].name.clone();
             let (news, to): (_, Vec<usize>) = if at < 3 {
-                nodes[at].table.add_up(&tally, unix, boot);
+                nodes[at].table.update_sums(&tally, unix, boot);
                 (
-                    nodes[at].table.centre_news(boot),
+                    nodes[at].table.data_centre_updates(boot),
                     (0..3).filter(|to| *to != at).collect(),
                 )
             } else {
-                (nodes[at].table.own_news(&tally, unix, boot), vec![at % 3])
+                (
+                    nodes[at].table.own_updates(&tally, unix, boot),
+                    vec![at % 3],
+                )
             };
             nodes[at].tally = tally;
             for news in news {
                 for to in &to {
                     if rng.u8(0..20) > 0 {
-                        nodes[*to].table.hear(&name, news.clone(), boot);
+                        nodes[*to].table.receive(&name, news.clone(), boot);
                     }
                 }
             }
@@ -260,14 +267,14 @@
         let sent = Duration::from_millis(round * 100);
         let came = sent + Duration::from_millis(30);
         for clock in &mut clocks {
-            clock.note_own(DAY + round * 100, sent);
-            clock.agree(sent);
+            clock.record_own(DAY + round * 100, sent);
+            clock.update_agreed(sent);
         }
-        let news = clocks.each_ref().map(|clock| clock.news(sent));
+        let news = clocks.each_ref().map(|clock| clock.report(sent));
         for (at, clock) in clocks.iter_mut().enumerate() {
             for (from, news) in news.iter().enumerate().filter(|(from, _)| *from != at) {
                 let news = news.expect("a time");
-                clock.hear_centre(&names[from], &news, 25, came);
+                clock.receive_data_centre(&names[from], &news, 25, came);
             }
         }
     }
@@ -285,13 +292,13 @@
     node.count("lab", 4);
     assert!(!node.tell(0).is_empty());
     let boot = Duration::from_millis(1_100);
-    let has_counts = |news: &[UsageNews]| {
+    let has_counts = |news: &[UsageUpdate]| {
         let rows = news.iter().map(|news| match news {
-            UsageNews::Own { rows, .. } | UsageNews::Centre { rows, .. } => rows.len(),
+            UsageUpdate::Own { rows, .. } | UsageUpdate::DataCentre { rows, .. } => rows.len(),
         });
         rows.sum::<usize>() > 0
     };
-    assert!(!has_counts(&node.table.own_news(&node.tally, DAY, boot)));
-    node.table.tell_all();
-    assert!(has_counts(&node.table.own_news(&node.tally, DAY, boot)));
+    assert!(!has_counts(&node.table.own_updates(&node.tally, DAY, boot)));
+    node.table.resend_all();
+    assert!(has_counts(&node.table.own_updates(&node.tally, DAY, boot)));
 }
