--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -9,7 +9,7 @@
 
 use plumgate::duty::{
     AgreedClock, CoordinatorOptions, DutyCoordinator, DutyIdentity, DutyMoment, DutyTimes,
-    FollowLoad, HolderEvent, OrderTracker, ReportTimes, UsageCounts, UsageTable, WindowId,
+    HolderEvent, LoadScaling, OrderTracker, ReportTimes, UsageCounts, UsageTable, WindowId,
 };
 use plumgate::gateway::{ClockScope, LoadExchange};
 use plumgate::ids::{DataCentreId, PoolId};
@@ -33,7 +33,7 @@
     pub(super) coordinator: RefCell<DutyCoordinator>,
     pub(super) orders: RefCell<OrderTracker>,
     /// Scaling policy of each pool, which says how many servers the pool should have.
-    pub(super) policies: RefCell<BTreeMap<PoolId, FollowLoad>>,
+    pub(super) policies: RefCell<BTreeMap<PoolId, LoadScaling>>,
     clock: RefCell<AgreedClock>,
     usage_table: RefCell<UsageTable>,
     /// Data centres whose usage a report has to contain.
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::duty::{
-    DutyAnswer, DutyCall, FollowLoad, FollowOptions, PoolScaling, ScaleOrder, ScalePolicy,
+    DutyAnswer, DutyCall, LoadScaling, LoadScalingOptions, PoolScaling, ScaleOrder, ScalePolicy,
     ScaleSubject, ServerKind,
 };
 use plumgate::gateway::PolicyPart;
@@ -170,9 +170,11 @@
             self.count_call("order", &sent);
             let now = self.shared.clock.now();
             match sent {
-                Ok(()) => self.orders.borrow_mut().note_ordered(&order, now),
+                Ok(()) => self.orders.borrow_mut().record_ordered(&order, now),
                 Err(PartyError::NoneLeft) => {
-                    self.orders.borrow_mut().note_dry(&order.subject, now);
+                    self.orders
+                        .borrow_mut()
+                        .record_unavailable(&order.subject, now);
                 }
                 Err(_) => return,
             }
@@ -207,16 +209,16 @@
     }
 
     /// Creates a pool's scaling policy; without `ScaleByLoad` it has no headroom.
-    fn new_policy(&self) -> FollowLoad {
+    fn new_policy(&self) -> LoadScaling {
         if self.shared.options.switches.has(PolicyPart::ScaleByLoad) {
-            return FollowLoad::default();
+            return LoadScaling::default();
         }
-        let options = FollowOptions {
+        let options = LoadScalingOptions {
             headroom: 0.0,
-            bare_headroom: 0.0,
-            ..FollowOptions::default()
+            lasting_headroom: 0.0,
+            ..LoadScalingOptions::default()
         };
-        FollowLoad::new(options)
+        LoadScaling::new(options)
     }
 
     /// Feeds the load to the scaling policies while another node holds the duties, so that they are up to date
@@ -232,7 +234,7 @@
             let policy = policies
                 .entry(pool.clone())
                 .or_insert_with(|| self.new_policy());
-            if !policy.has_seen(now) {
+            if !policy.is_observed(now) {
                 let load = self.shared.loads().pool_load(pool, 0, now);
                 policy.observe(&load, now);
             }
@@ -255,19 +257,25 @@
             kind,
         };
         let mut tracker = self.orders.borrow_mut();
-        let dry = tracker.clone();
-        let is_dry = |data_centre: &DataCentreId, kind| dry.is_dry(&subject(data_centre, kind));
+        let last_orders = tracker.clone();
+        let is_unavailable = |data_centre: &DataCentreId, kind| {
+            last_orders.is_unavailable(&subject(data_centre, kind))
+        };
         let mut policies = self.policies.borrow_mut();
         let policy = policies
             .entry(pool.clone())
             .or_insert_with(|| self.new_policy());
-        let wanted = policy.wanted(scaling, &load, &is_dry, now);
+        let wanted = policy.wanted(scaling, &load, &is_unavailable, now);
         let mut orders = Vec::new();
         for ((data_centre, kind), count) in wanted {
-            let site = load.sites.get(&data_centre).copied().unwrap_or_default();
+            let counts = load
+                .data_centres
+                .get(&data_centre)
+                .copied()
+                .unwrap_or_default();
             let present = match kind {
-                ServerKind::Lasting => site.lasting,
-                ServerKind::Reclaimable => site.reclaimable,
+                ServerKind::Lasting => counts.lasting,
+                ServerKind::Reclaimable => counts.reclaimable,
             };
             let subject = subject(&data_centre, kind);
             if let Some(order) = tracker.next(&subject, count, present, scaling.boot, now) {
@@ -279,7 +287,7 @@
             LogLine::new("pool_load")
                 .with("pool", pool)
                 .with("tokens_per_second", load.tokens_per_second as u64)
-                .with("unread_tokens", load.unread_tokens as u64)
+                .with("unread_tokens", load.pending_prefill_tokens as u64)
                 .with("server_speed", load.server_speed as u64)
                 .with("need", format!("{:.1}", policy.mean_need(now)))
                 .with("peak_need", format!("{:.1}", policy.peak_need()))
--- a/crates/plumgate/src/duty/order_tracker.rs
+++ b/crates/plumgate/src/duty/order_tracker.rs
@@ -56,7 +56,7 @@
     }
 
     /// Tells whether none of these servers were available when they were last ordered.
-    pub fn is_dry(&self, subject: &ScaleSubject) -> bool {
+    pub fn is_unavailable(&self, subject: &ScaleSubject) -> bool {
         self.unavailable.contains_key(subject)
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Records an order that the duty API accepted.
-    pub fn note_ordered(&mut self, order: &ScaleOrder, now: Instant) {
+    pub fn record_ordered(&mut self, order: &ScaleOrder, now: Instant) {
         let ordered = LastOrder {
             count: order.count,
             at: now,
@@ -113,7 +113,7 @@
     }
 
     /// Records that no servers are available for a subject now.
-    pub fn note_dry(&mut self, subject: &ScaleSubject, now: Instant) {
+    pub fn record_unavailable(&mut self, subject: &ScaleSubject, now: Instant) {
         self.unavailable
             .insert(subject.clone(), now + UNAVAILABLE_PAUSE);
     }
--- a/crates/plumgate/src/duty/scale.rs
+++ b/crates/plumgate/src/duty/scale.rs
@@ -26,7 +26,7 @@
     /// reclaimable servers.
     pub reclaimable_price: Option<PriceMillis>,
     /// Price of one second of a server by data centre, in thousandths of a unit.
-    pub centre_prices: BTreeMap<DataCentreId, PriceMillis>,
+    pub data_centre_prices: BTreeMap<DataCentreId, PriceMillis>,
 }
 
 /// Kind of a backend server: whether the platform may reclaim it at any time.
@@ -70,7 +70,7 @@
 
 /// Numbers of servers of a pool in one data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SiteLoad {
+pub struct DataCentreServers {
     /// Number of lasting servers that accept work.
     pub lasting: u32,
     /// Number of reclaimable servers that accept work.
@@ -81,13 +81,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolLoad {
     /// Servers of the pool by data centre.
-    pub sites: BTreeMap<DataCentreId, SiteLoad>,
+    pub data_centres: BTreeMap<DataCentreId, DataCentreServers>,
     /// Prompt tokens that arrive per second, without those of shared prompt parts. A shared part is prefilled
     /// once and then cached; if it counted, a burst would order additional servers that have none of it in their
     /// caches.
     pub tokens_per_second: f64,
     /// Prompt tokens that wait for prefill.
-    pub unread_tokens: f64,
+    pub pending_prefill_tokens: f64,
     /// Prompt tokens that one server prefills per second.
     pub server_speed: f64,
     /// Prefill capacity that servers with a rate limit leave unused, as a number of servers.
@@ -97,8 +97,10 @@
 impl PoolLoad {
     /// Returns the number of servers that accept work.
     pub fn servers(&self) -> u32 {
-        let sites = self.sites.values();
-        sites.map(|site| site.lasting + site.reclaimable).sum()
+        let data_centres = self.data_centres.values();
+        data_centres
+            .map(|servers| servers.lasting + servers.reclaimable)
+            .sum()
     }
 
     /// Returns the number of servers required in addition to the need, to make up for the capacity that servers
@@ -108,7 +110,10 @@
     }
 
     fn reclaimable(&self) -> u32 {
-        self.sites.values().map(|site| site.reclaimable).sum()
+        self.data_centres
+            .values()
+            .map(|servers| servers.reclaimable)
+            .sum()
     }
 }
 
@@ -117,22 +122,22 @@
 
 /// Policy that decides how many servers a pool should have.
 pub trait ScalePolicy {
-    /// Returns the wanted numbers of servers. `is_dry` tells whether a kind of servers is not available
+    /// Returns the wanted numbers of servers. `is_unavailable` tells whether a kind of servers is not available
     /// in a data centre.
     fn wanted(
         &mut self,
         scaling: &PoolScaling,
         load: &PoolLoad,
-        is_dry: &dyn Fn(&DataCentreId, ServerKind) -> bool,
+        is_unavailable: &dyn Fn(&DataCentreId, ServerKind) -> bool,
         now: Instant,
     ) -> WantedServers;
 }
 
 /// Policy that orders no servers, as a baseline for comparisons.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StandStill;
+pub struct NoScaling;
 
-impl ScalePolicy for StandStill {
+impl ScalePolicy for NoScaling {
     fn wanted(
         &mut self,
         _: &PoolScaling,
@@ -155,8 +160,8 @@
 /// Policy that follows the load: reclaimable servers if they are cheaper, and lasting ones for the need that the
 /// present reclaimable ones do not cover.
 #[derive(Clone, Debug)]
-pub struct FollowLoad {
-    options: FollowOptions,
+pub struct LoadScaling {
+    options: LoadScalingOptions,
     /// Maximum number of servers seen during the first seconds of observation, which is the number set by the
     /// operator.
     initial_servers: u32,
@@ -168,34 +173,34 @@
 
 /// Options of the policy that follows the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FollowOptions {
+pub struct LoadScalingOptions {
     /// Total servers per server of need, if cheaper reclaimable ones make up the total. The excess is for steps
     /// of the load, for bursts within the boot time, and for prompt parts cached where they are needed.
     pub headroom: f64,
     /// Total servers per server of need, from which the present reclaimable ones are subtracted to get the number
     /// of lasting ones.
-    pub bare_headroom: f64,
+    pub lasting_headroom: f64,
     /// Minimum total with reclaimable servers, as a ratio to the initial number of servers: before any load is
     /// seen, the number set by the operator is the best estimate.
     pub floor: f64,
     /// Minimum of that total, as the same ratio.
-    pub bare_floor: f64,
+    pub lasting_floor: f64,
 }
 
-impl Default for FollowOptions {
+impl Default for LoadScalingOptions {
     fn default() -> Self {
         Self {
             headroom: 2.0,
-            bare_headroom: 2.0,
+            lasting_headroom: 2.0,
             floor: 1.3,
-            bare_floor: 0.8,
+            lasting_floor: 0.8,
         }
     }
 }
 
-impl FollowLoad {
+impl LoadScaling {
     /// Creates a policy that has not observed a pool yet.
-    pub fn new(options: FollowOptions) -> Self {
+    pub fn new(options: LoadScalingOptions) -> Self {
         Self {
             options,
             initial_servers: 0,
@@ -220,7 +225,7 @@
     }
 
     /// Tells whether the pool has been observed for long enough to order servers.
-    pub fn has_seen(&self, now: Instant) -> bool {
+    pub fn is_observed(&self, now: Instant) -> bool {
         let since = self.observed_since;
         since.is_some_and(|since| now.saturating_duration_since(since) > OBSERVATION_TIME)
     }
@@ -257,18 +262,18 @@
     }
 }
 
-impl Default for FollowLoad {
+impl Default for LoadScaling {
     fn default() -> Self {
-        Self::new(FollowOptions::default())
+        Self::new(LoadScalingOptions::default())
     }
 }
 
-impl ScalePolicy for FollowLoad {
+impl ScalePolicy for LoadScaling {
     fn wanted(
         &mut self,
         scaling: &PoolScaling,
         load: &PoolLoad,
-        is_dry: &dyn Fn(&DataCentreId, ServerKind) -> bool,
+        is_unavailable: &dyn Fn(&DataCentreId, ServerKind) -> bool,
         now: Instant,
     ) -> WantedServers {
         self.record_need(load, now);
@@ -276,7 +281,7 @@
         if !self.observe(load, now) {
             return wanted;
         }
-        let count = u32::try_from(load.sites.len()).unwrap_or(u32::MAX);
+        let count = u32::try_from(load.data_centres.len()).unwrap_or(u32::MAX);
         if count == 0 {
             return wanted;
         }
@@ -286,8 +291,8 @@
             self.total(self.peak_need(), options.headroom, options.floor) + load.extra_servers();
         let lasting_total = self.total(
             self.mean_need(now),
-            options.bare_headroom,
-            options.bare_floor,
+            options.lasting_headroom,
+            options.lasting_floor,
         ) + load.extra_servers();
         // Reclaimable servers that are still starting are not counted: until they serve, lasting ones stay.
         let lasting = if has_reclaimable {
@@ -297,29 +302,30 @@
         };
         let lasting_each = lasting.div_ceil(count).max(scaling.min).min(scaling.max);
         // Reclaimable servers that are unavailable in one data centre are ordered in the others.
-        let is_available = |site: &&DataCentreId| !is_dry(site, ServerKind::Reclaimable);
+        let is_available =
+            |data_centre: &&DataCentreId| !is_unavailable(data_centre, ServerKind::Reclaimable);
         let available_count =
-            u32::try_from(load.sites.keys().filter(is_available).count()).unwrap_or(count);
+            u32::try_from(load.data_centres.keys().filter(is_available).count()).unwrap_or(count);
         let share = |data_centre_count: u32| {
             total
                 .div_ceil(data_centre_count.max(1))
                 .min(scaling.max - scaling.min)
         };
-        for (site, servers) in &load.sites {
+        for (data_centre, servers) in &load.data_centres {
             // Reclaimable servers with cached prompt parts are not replaced by lasting ones with empty caches.
             let room = scaling.max - servers.reclaimable.min(scaling.max);
             let lasting = lasting_each.min(room.max(scaling.min));
-            wanted.insert((site.clone(), ServerKind::Lasting), lasting);
+            wanted.insert((data_centre.clone(), ServerKind::Lasting), lasting);
             if !has_reclaimable {
                 continue;
             }
-            let data_centre_count = if is_available(&site) {
+            let data_centre_count = if is_available(&data_centre) {
                 available_count
             } else {
                 count
             };
             let each = share(data_centre_count).min(scaling.max - lasting);
-            wanted.insert((site.clone(), ServerKind::Reclaimable), each);
+            wanted.insert((data_centre.clone(), ServerKind::Reclaimable), each);
         }
         wanted
     }
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -179,14 +179,14 @@
             .filter(|load| load.entry.pool == *pool);
         let mean_tokens = self.demand.mean(pool);
         for server in of_pool {
-            let site = load
-                .sites
+            let counts = load
+                .data_centres
                 .entry(server.entry.data_centre.clone())
                 .or_default();
             if server.accepts_work() {
                 match server.entry.kind {
-                    ServerKind::Lasting => site.lasting += 1,
-                    ServerKind::Reclaimable => site.reclaimable += 1,
+                    ServerKind::Lasting => counts.lasting += 1,
+                    ServerKind::Reclaimable => counts.reclaimable += 1,
                 }
                 if let Some(limit) = server.limit.filter(|_| mean_tokens > 0.0) {
                     let usable_share =
@@ -195,7 +195,7 @@
                 }
             }
             let unread = server.own.plus(&server.peers).pending_prefill;
-            load.unread_tokens += unread.iter().sum::<u64>() as f64;
+            load.pending_prefill_tokens += unread.iter().sum::<u64>() as f64;
         }
         load
     }
--- a/crates/plumgate/tests/duty_scale.rs
+++ b/crates/plumgate/tests/duty_scale.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::duty::{
-    FollowLoad, FollowOptions, OrderTracker, PoolLoad, PoolScaling, ScalePolicy, ScaleSubject,
-    ServerKind, SiteLoad, StandStill,
+    DataCentreServers, LoadScaling, LoadScalingOptions, NoScaling, OrderTracker, PoolLoad,
+    PoolScaling, ScalePolicy, ScaleSubject, ServerKind,
 };
 use plumgate::ids::DataCentreId;
 
@@ -26,18 +26,18 @@
         max: 60,
         boot: BOOT,
         reclaimable_price,
-        centre_prices: SITES.iter().map(|site| ((*site).into(), 1_000)).collect(),
+        data_centre_prices: SITES.iter().map(|site| ((*site).into(), 1_000)).collect(),
     }
 }
 
 /// A policy that keeps the operator's number, whatever the load.
-fn keeps_the_number() -> FollowLoad {
-    let options = FollowOptions {
+fn keeps_the_number() -> LoadScaling {
+    let options = LoadScalingOptions {
         floor: 1.0,
-        bare_floor: 0.6,
-        ..FollowOptions::default()
+        lasting_floor: 0.6,
+        ..LoadScalingOptions::default()
     };
-    FollowLoad::new(options)
+    LoadScaling::new(options)
 }
 
 /// Servers of one kind in one data centre.
@@ -92,7 +92,7 @@
     fn load(&self, tokens_per_second: f64) -> PoolLoad {
         let mut load = PoolLoad {
             tokens_per_second,
-            unread_tokens: self.backlog,
+            pending_prefill_tokens: self.backlog,
             server_speed: SPEED,
             ..PoolLoad::default()
         };
@@ -101,11 +101,11 @@
                 let servers = self.servers.get(&(site.into(), kind));
                 servers.map_or(0, |servers| servers.ready)
             };
-            let site_load = SiteLoad {
+            let site_load = DataCentreServers {
                 lasting: of_kind(ServerKind::Lasting),
                 reclaimable: of_kind(ServerKind::Reclaimable),
             };
-            load.sites.insert(site.into(), site_load);
+            load.data_centres.insert(site.into(), site_load);
         }
         load
     }
@@ -161,8 +161,9 @@
             kind,
         };
         let tracker = self.tracker.clone();
-        let is_dry = |site: &DataCentreId, kind| tracker.is_dry(&subject(site, kind));
-        for ((site, kind), count) in policy.wanted(scaling, load, &is_dry, now) {
+        let is_unavailable =
+            |site: &DataCentreId, kind| tracker.is_unavailable(&subject(site, kind));
+        for ((site, kind), count) in policy.wanted(scaling, load, &is_unavailable, now) {
             let present = self
                 .servers
                 .get(&(site.clone(), kind))
@@ -177,10 +178,10 @@
             self.orders += 1;
             let is_gone = self.dry_until.get(&site).is_some_and(|until| now < *until);
             if kind == ServerKind::Reclaimable && is_gone {
-                self.tracker.note_dry(&subject, now);
+                self.tracker.record_unavailable(&subject, now);
                 continue;
             }
-            self.tracker.note_ordered(&order, now);
+            self.tracker.record_ordered(&order, now);
             let servers = self.servers.entry((site, kind)).or_default();
             let under_way: u32 = servers.booting.iter().map(|(_, count)| count).sum();
             servers.ordered = order.count;
@@ -217,8 +218,8 @@
 #[test]
 fn load_is_followed_at_half_of_the_cost() {
     let limits = scaling(Some(180));
-    let still = play(&mut StandStill, &limits);
-    let followed = play(&mut FollowLoad::default(), &limits);
+    let still = play(&mut NoScaling, &limits);
+    let followed = play(&mut LoadScaling::default(), &limits);
     assert!(
         followed.cost < still.cost / 2.0,
         "{:.0} of {:.0}",
@@ -238,7 +239,7 @@
 #[test]
 fn lasting_servers_alone_follow_too() {
     let limits = scaling(None);
-    let pool = play(&mut FollowLoad::default(), &limits);
+    let pool = play(&mut LoadScaling::default(), &limits);
     assert!(
         pool.late / pool.tokens < 0.01,
         "{}",
@@ -259,11 +260,11 @@
     let mut load = PoolLoad::default();
     for (step, present) in [4, 16, 30].into_iter().enumerate() {
         for site in SITES {
-            let servers = SiteLoad {
+            let servers = DataCentreServers {
                 lasting: present,
                 reclaimable: 0,
             };
-            load.sites.insert(site.into(), servers);
+            load.data_centres.insert(site.into(), servers);
         }
         let at = now + Duration::from_secs(step as u64);
         assert!(policy.wanted(&limits, &load, &no_dry, at).is_empty());
@@ -287,13 +288,13 @@
     };
     let mut now = Instant::now();
     let first = tracker.next(&subject, 20, 10, BOOT, now).expect("an order");
-    tracker.note_ordered(&first, now);
+    tracker.record_ordered(&first, now);
     let mut orders = 0;
     for step in 0..100_u32 {
         now += STEP;
         let wanted = 20 - step % 3;
         if let Some(order) = tracker.next(&subject, wanted, 20, BOOT, now) {
-            tracker.note_ordered(&order, now);
+            tracker.record_ordered(&order, now);
             orders += 1;
         }
     }
@@ -309,11 +310,11 @@
     let now = Instant::now();
     let mut load = PoolLoad::default();
     for site in SITES {
-        let servers = SiteLoad {
+        let servers = DataCentreServers {
             lasting: 1,
             reclaimable: 29,
         };
-        load.sites.insert(site.into(), servers);
+        load.data_centres.insert(site.into(), servers);
     }
     let none_dry = |_: &DataCentreId, _| false;
     policy.wanted(&limits, &load, &none_dry, now);
@@ -345,7 +346,7 @@
         now += STEP;
         if let Some(order) = tracker.next(&subject, 1, present, BOOT, now) {
             assert!(present - order.count <= 60, "{present} to {}", order.count);
-            tracker.note_ordered(&order, now);
+            tracker.record_ordered(&order, now);
             present = order.count;
         }
     }
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use plumgate::duty::{FollowLoad, PoolLoad, PoolScaling, ScalePolicy, SiteLoad};
+use plumgate::duty::{DataCentreServers, LoadScaling, PoolLoad, PoolScaling, ScalePolicy};
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
     LimitObservation, LoadExchange, LoadTable, PlacementOptions, PlacementRequest, PromptPart,
@@ -70,13 +70,13 @@
 fn servers_are_ordered_for_what_limited_ones_leave() {
     let ordered = |limited: f64| {
         let mut now = Instant::now();
-        let mut policy = FollowLoad::default();
-        let site = SiteLoad {
+        let mut policy = LoadScaling::default();
+        let site = DataCentreServers {
             lasting: 6,
             reclaimable: 0,
         };
         let load = PoolLoad {
-            sites: [("hall-a".into(), site)].into(),
+            data_centres: [("hall-a".into(), site)].into(),
             tokens_per_second: 200_000.0,
             server_speed: 40_000.0,
             limited,
@@ -87,7 +87,7 @@
             max: 60,
             boot: Duration::from_secs(4),
             reclaimable_price: None,
-            centre_prices: [("hall-a".into(), 1_000)].into(),
+            data_centre_prices: [("hall-a".into(), 1_000)].into(),
         };
         let mut wanted = 0;
         for _ in 0..20 {
--- a/crates/plumgate/tests/server_notices.rs
+++ b/crates/plumgate/tests/server_notices.rs
@@ -124,7 +124,7 @@
     bench.hear(&server_entry("a"), leaving());
     let now = bench.now();
     let load = bench.table.pool_load(&"models".into(), 0, now);
-    let lasting: u32 = load.sites.values().map(|site| site.lasting).sum();
+    let lasting: u32 = load.data_centres.values().map(|site| site.lasting).sum();
     assert_eq!(lasting, 1);
 }
 
