--- a/crates/plumgate/src/duty/agreed_clock.rs
+++ b/crates/plumgate/src/duty/agreed_clock.rs
@@ -68,9 +68,9 @@
             self.own_at = boot;
             return;
         };
-        let passed = boot.saturating_sub(self.own_at).as_secs_f64();
-        let most = passed * SLEW_PER_SECOND;
-        self.own = Some(own + (offset - own).clamp(-most, most));
+        let elapsed = boot.saturating_sub(self.own_at).as_secs_f64();
+        let max_change = elapsed * SLEW_PER_SECOND;
+        self.own = Some(own + (offset - own).clamp(-max_change, max_change));
         self.own_at = boot;
     }
 
--- a/crates/plumgate/src/duty/holder.rs
+++ b/crates/plumgate/src/duty/holder.rs
@@ -219,7 +219,7 @@
         if !(is_free || is_own_chain || is_first) {
             return self.start_call(DutyCall::Read, now);
         }
-        let before = seen.version.number;
+        let expected_version = seen.version.number;
         let inherited = if is_own_chain {
             contents.clone()
         } else {
@@ -229,14 +229,14 @@
             let held = seen.row.as_ref().map_or(&empty, |row| &row.contents);
             inherit(held, is_broken || seen.row.is_none())
         };
-        self.write(None, inherited, before, now)
+        self.write(None, inherited, expected_version, now)
     }
 
     fn write(
         &mut self,
         number: Option<FencingNumber>,
         contents: DutyContents,
-        before: u64,
+        expected_version: u64,
         now: Duration,
     ) -> Option<DutyCall> {
         let row = DutyRow {
@@ -254,7 +254,13 @@
             row: row.clone(),
             asked: now,
         });
-        self.start_call(DutyCall::Write(DutyWrite { row, before }), now)
+        self.start_call(
+            DutyCall::Write(DutyWrite {
+                row,
+                expected_version,
+            }),
+            now,
+        )
     }
 
     fn start_call(&mut self, call: DutyCall, now: Duration) -> Option<DutyCall> {
--- a/crates/plumgate/src/duty/row.rs
+++ b/crates/plumgate/src/duty/row.rs
@@ -88,7 +88,7 @@
     /// Row to write.
     pub row: DutyRow,
     /// Version that the stored row must have; 0 if there must be no row.
-    pub before: u64,
+    pub expected_version: u64,
 }
 
 /// Call to the store.
--- a/crates/plumgate/src/duty/usage_reporter.rs
+++ b/crates/plumgate/src/duty/usage_reporter.rs
@@ -174,9 +174,9 @@
     pub fn next_report(&self, recorded: &DutyContents, unix: UnixMillis) -> Option<UsageReport> {
         let mut open = self.open.iter();
         let (window, report) = open.find(|(window, report)| {
-            let is_noted = recorded.notes.iter().any(|note| note.window == **window);
-            let is_wanted = unix < self.times.end(**window) + millis(self.times.late);
-            report.state == WindowState::Frozen && is_noted && is_wanted
+            let is_recorded = recorded.notes.iter().any(|note| note.window == **window);
+            let is_accepted = unix < self.times.end(**window) + millis(self.times.late);
+            report.state == WindowState::Frozen && is_recorded && is_accepted
         })?;
         Some(UsageReport {
             window: *window,
--- a/crates/plumgate/tests/duty_model/mod.rs
+++ b/crates/plumgate/tests/duty_model/mod.rs
@@ -90,7 +90,7 @@
 
     fn write(&mut self, write: &DutyWrite, now: u64) -> DutyAnswer {
         let version = self.image.row.as_ref().map_or(0, |(_, version)| *version);
-        let holds = version == write.before;
+        let holds = version == write.expected_version;
         if !holds {
             return DutyAnswer::Conflict(self.era);
         }
