--- a/crates/plumgate-node/src/control/gossip.rs
+++ b/crates/plumgate-node/src/control/gossip.rs
@@ -178,7 +178,10 @@
     /// Preempts a request for a peer and schedules a digest to that peer, which shows the free
     /// slot: the next gossip round may be too late for the request that waits there.
     pub(super) fn on_preempt_request(&mut self, sender: &str, pool: String, rank: TierRank) {
-        let action = self.shared.dispatcher().give_way(&pool.into(), rank);
+        let action = self
+            .shared
+            .dispatcher()
+            .preempt_for_peer(&pool.into(), rank);
         let Some(action) = action else { return };
         self.shared.carry_out(vec![action]);
         let address = self
--- a/crates/plumgate-node/src/relay.rs
+++ b/crates/plumgate-node/src/relay.rs
@@ -92,7 +92,7 @@
             move || {
                 let after = shared.clock.now().saturating_duration_since(arrived);
                 shared.metrics.observe_first_byte(&class, after);
-                shared.dispatcher().pin(&id);
+                shared.dispatcher().disable_preemption(&id);
             }
         };
         let mut sink = CallerSink::new(answers.clone(), on_first_byte);
--- a/crates/plumgate-node/src/shared.rs
+++ b/crates/plumgate-node/src/shared.rs
@@ -218,7 +218,7 @@
                         .info(&self.log);
                     self.send_decision(&request, Verdict::Preempt);
                 }
-                DispatchAction::AskForRoom { pool, rank } => {
+                DispatchAction::RequestPeerPreemption { pool, rank } => {
                     // Sending fails if the control thread has exited, since the process is stopping.
                     let _ = self.control.try_send(ControlEvent::AskForRoom(pool, rank));
                 }
--- a/crates/plumgate/src/dispatch/dispatcher.rs
+++ b/crates/plumgate/src/dispatch/dispatcher.rs
@@ -84,7 +84,7 @@
     /// request is idempotent, and it was not started by its tier's floor.
     preemptible: bool,
     /// Whether preemption of the request was requested.
-    giving_way: bool,
+    is_preempted: bool,
 }
 
 /// Queues and running requests of one node.
@@ -247,7 +247,7 @@
     fn check_predicted_wait(&self, ticket: &RequestTicket, now: Instant) -> Option<DispatchAction> {
         // A request is never refused while requests of a lower tier occupy slots that it could use:
         // those are preempted instead.
-        if self.holds_below(&ticket.pool, ticket.rank, now) {
+        if self.runs_below_rank(&ticket.pool, ticket.rank, now) {
             return None;
         }
         let wait = self.predicted_wait(ticket)?;
@@ -258,8 +258,9 @@
     }
 
     /// Returns whether requests of a lower tier run on this node or, by their reports, on other nodes.
-    fn holds_below(&self, pool: &PoolId, rank: TierRank, now: Instant) -> bool {
-        self.victims(pool, rank).next().is_some() || self.routes.peers_hold_below(pool, rank, now)
+    fn runs_below_rank(&self, pool: &PoolId, rank: TierRank, now: Instant) -> bool {
+        self.victims(pool, rank).next().is_some()
+            || self.routes.peers_run_below_rank(pool, rank, now)
     }
 
     /// Predicts how long a request waits behind those that are served first.
@@ -356,7 +357,7 @@
             server,
             started: now,
             preemptible,
-            giving_way: false,
+            is_preempted: false,
         };
         self.running.insert(request, running);
         DispatchAction::Start(Box::new(StartOrder {
--- a/crates/plumgate/src/dispatch/dispatcher/preempt.rs
+++ b/crates/plumgate/src/dispatch/dispatcher/preempt.rs
@@ -53,12 +53,12 @@
                 .map(|rank| queue.len_at_rank(rank))
                 .sum()
         });
-        let giving_way = self
+        let preempted = self
             .running
             .values()
-            .filter(|r| r.giving_way && r.ticket.pool == ticket.pool)
+            .filter(|r| r.is_preempted && r.ticket.pool == ticket.pool)
             .count();
-        if giving_way >= waiting {
+        if preempted >= waiting {
             return Vec::new();
         }
         // The victim is of the lowest tier, and within it the request that started last, so that the
@@ -69,7 +69,7 @@
             .map(|running| (running.ticket.id.clone(), running.server.clone()));
         if let Some((request, server)) = victim {
             if let Some(running) = self.running.get_mut(&request) {
-                running.giving_way = true;
+                running.is_preempted = true;
             }
             return vec![DispatchAction::Preempt {
                 request,
@@ -77,8 +77,11 @@
                 for_request: ticket.id.clone(),
             }];
         }
-        if self.routes.peers_hold_below(&ticket.pool, ticket.rank, now) {
-            return vec![DispatchAction::AskForRoom {
+        if self
+            .routes
+            .peers_run_below_rank(&ticket.pool, ticket.rank, now)
+        {
+            return vec![DispatchAction::RequestPeerPreemption {
                 pool: ticket.pool.clone(),
                 rank: ticket.rank,
             }];
@@ -89,13 +92,13 @@
     /// Preempts a request of a lower tier for a waiting request of another node.
     ///
     /// Returns `None` if no running request of the pool may be preempted for that rank.
-    pub fn give_way(&mut self, pool: &PoolId, rank: TierRank) -> Option<DispatchAction> {
+    pub fn preempt_for_peer(&mut self, pool: &PoolId, rank: TierRank) -> Option<DispatchAction> {
         let victim = self
             .victims(pool, rank)
             .max_by_key(|running| (running.ticket.rank, running.started))
             .map(|running| (running.ticket.id.clone(), running.server.clone()));
         let (request, server) = victim?;
-        self.running.get_mut(&request)?.giving_way = true;
+        self.running.get_mut(&request)?.is_preempted = true;
         let for_request = "peer".into();
         Some(DispatchAction::Preempt {
             request,
@@ -113,12 +116,12 @@
             running.ticket.pool == *pool
                 && running.ticket.rank > rank
                 && running.preemptible
-                && !running.giving_way
+                && !running.is_preempted
         })
     }
 
     /// Excludes a request from preemption, because its caller has received part of the answer.
-    pub fn pin(&mut self, request: &RequestId) {
+    pub fn disable_preemption(&mut self, request: &RequestId) {
         if let Some(running) = self.running.get_mut(request) {
             running.preemptible = false;
         }
--- a/crates/plumgate/src/dispatch/ticket.rs
+++ b/crates/plumgate/src/dispatch/ticket.rs
@@ -108,7 +108,7 @@
         for_request: RequestId,
     },
     /// Request the other nodes to preempt a request on servers of a pool.
-    AskForRoom {
+    RequestPeerPreemption {
         /// Pool whose servers need a free slot.
         pool: PoolId,
         /// Rank of the waiting request; only requests of lower tiers are preempted.
--- a/crates/plumgate/src/route/table.rs
+++ b/crates/plumgate/src/route/table.rs
@@ -371,7 +371,7 @@
     }
 
     /// Returns whether other nodes run requests of a lower tier on servers of the pool.
-    pub fn peers_hold_below(&self, pool: &PoolId, rank: TierRank, now: Instant) -> bool {
+    pub fn peers_run_below_rank(&self, pool: &PoolId, rank: TierRank, now: Instant) -> bool {
         let servers = self.pools.get(pool).into_iter().flatten();
         let mut estimates = servers.filter_map(|id| self.estimates.get(id));
         estimates.any(|estimate| estimate.peers_below(rank, now) > 0)
--- a/crates/plumgate/tests/dispatch.rs
+++ b/crates/plumgate/tests/dispatch.rs
@@ -16,7 +16,7 @@
     let mut bench = Bench::new(1, 1);
     let (first, actions) = bench.submit("note");
     assert_eq!(started(&actions).len(), 1);
-    bench.dispatcher.pin(&first);
+    bench.dispatcher.disable_preemption(&first);
     let (late, _) = bench.submit("dossier");
     let (middle, _) = bench.submit("note");
     bench.now += Duration::from_millis(10);
@@ -76,7 +76,7 @@
 fn request_whose_caller_has_bytes_does_not_give_way() {
     let mut bench = Bench::new(1, 1);
     let (dossier, _) = bench.submit("dossier");
-    bench.dispatcher.pin(&dossier);
+    bench.dispatcher.disable_preemption(&dossier);
     let (_, actions) = bench.submit("caption");
     assert!(preempted(&actions).is_empty());
 }
@@ -121,8 +121,12 @@
         .apply_peer(&"other".into(), &loads, now);
     let (_, actions) = bench.submit("caption");
     assert!(refused(&actions).is_empty());
-    let asks =
-        |action: &DispatchAction| matches!(action, DispatchAction::AskForRoom { rank: 1, .. });
+    let asks = |action: &DispatchAction| {
+        matches!(
+            action,
+            DispatchAction::RequestPeerPreemption { rank: 1, .. }
+        )
+    };
     assert!(actions.iter().any(asks), "{actions:?}");
 }
 
