--- a/crates/plumgate-node/src/callers.rs
+++ b/crates/plumgate-node/src/callers.rs
@@ -338,7 +338,7 @@
             idempotent,
             arrived,
             due: arrived + class.target,
-            give_up: arrived + patience,
+            expires_at: arrived + patience,
             expected_tokens: class.expected_tokens,
             prefix: None,
             avoid: Vec::new(),
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -166,7 +166,7 @@
         idempotent: true,
         arrived: now,
         due: now + Duration::from_secs(1),
-        give_up: now + Duration::from_secs(60),
+        expires_at: now + Duration::from_secs(60),
         expected_tokens: 400,
         prefix: Some(number % 1000),
         avoid: Vec::new(),
--- a/crates/plumgate/src/dispatch/dispatcher.rs
+++ b/crates/plumgate/src/dispatch/dispatcher.rs
@@ -251,7 +251,7 @@
             return None;
         }
         let wait = self.predicted_wait(ticket)?;
-        if now + wait <= ticket.give_up {
+        if now + wait <= ticket.expires_at {
             return None;
         }
         Some(self.refuse(ticket, RefusalReason::WaitTooLong, wait))
@@ -414,7 +414,7 @@
             return None;
         }
         ticket.avoid.extend(avoid);
-        if self.stopping || ticket.give_up <= now {
+        if self.stopping || ticket.expires_at <= now {
             return None;
         }
         let pool = ticket.pool.clone();
--- a/crates/plumgate/src/dispatch/queue.rs
+++ b/crates/plumgate/src/dispatch/queue.rs
@@ -121,10 +121,10 @@
                     sort_by_fair_share(&mut heads, running);
                 }
                 for rank in self.ranks.keys() {
-                    let mut more = Vec::new();
-                    self.push_heads(*rank, false, &mut more);
-                    sort_by_fair_share(&mut more, running);
-                    heads.extend(more);
+                    let mut rank_heads = Vec::new();
+                    self.push_heads(*rank, false, &mut rank_heads);
+                    sort_by_fair_share(&mut rank_heads, running);
+                    heads.extend(rank_heads);
                 }
             }
         }
@@ -191,7 +191,7 @@
     pub(crate) fn remove_expired(&mut self, now: Instant) -> Vec<RequestTicket> {
         let expired = self
             .iter()
-            .filter(|(_, _, _, ticket)| ticket.give_up <= now);
+            .filter(|(_, _, _, ticket)| ticket.expires_at <= now);
         let keys: Vec<_> = expired
             .map(|(rank, name, key, _)| (rank, name.clone(), key))
             .collect();
@@ -213,7 +213,7 @@
 
     /// Returns when the next request expires.
     pub(crate) fn next_expiry(&self) -> Option<Instant> {
-        self.iter().map(|(_, _, _, ticket)| ticket.give_up).min()
+        self.iter().map(|(_, _, _, ticket)| ticket.expires_at).min()
     }
 
     fn iter(&self) -> impl Iterator<Item = (TierRank, &WorkspaceId, QueueKey, &RequestTicket)> {
@@ -249,8 +249,8 @@
 /// Sorts heads by fair share, then by deadline: first come workspaces whose number of running requests
 /// is at or below the mean over the heads.
 fn sort_by_fair_share(heads: &mut [QueueHead], running: &BTreeMap<WorkspaceId, usize>) {
-    let held = |head: &QueueHead| running.get(&head.workspace).copied().unwrap_or(0);
-    let total: usize = heads.iter().map(held).sum();
+    let running_of = |head: &QueueHead| running.get(&head.workspace).copied().unwrap_or(0);
+    let total: usize = heads.iter().map(running_of).sum();
     let count = heads.len().max(1);
-    heads.sort_by_key(|head| (held(head) * count > total, head.key));
+    heads.sort_by_key(|head| (running_of(head) * count > total, head.key));
 }
--- a/crates/plumgate/src/dispatch/ticket.rs
+++ b/crates/plumgate/src/dispatch/ticket.rs
@@ -26,7 +26,7 @@
     /// Deadline for the first token.
     pub due: Instant,
     /// Time at which the request is refused if it still waits for a server.
-    pub give_up: Instant,
+    pub expires_at: Instant,
     /// Expected number of tokens in the answer.
     pub expected_tokens: u32,
     /// Digest of the workspace and the start of the prompt.
--- a/crates/plumgate/src/lib.rs
+++ b/crates/plumgate/src/lib.rs
@@ -41,7 +41,7 @@
 //!     idempotent: true,
 //!     arrived: now,
 //!     due: now + Duration::from_secs(1),
-//!     give_up: now + Duration::from_secs(5),
+//!     expires_at: now + Duration::from_secs(5),
 //!     expected_tokens: 40,
 //!     prefix: None,
 //!     avoid: Vec::new(),
--- a/crates/plumgate/tests/support/mod.rs
+++ b/crates/plumgate/tests/support/mod.rs
@@ -122,7 +122,7 @@
             idempotent: class != "receipt",
             arrived: self.now,
             due: self.now + Duration::from_millis(target),
-            give_up: self.now + Duration::from_millis(patience),
+            expires_at: self.now + Duration::from_millis(patience),
             expected_tokens: 10,
             prefix: None,
             avoid: Vec::new(),
