--- a/crates/plumgate-node/src/relay.rs
+++ b/crates/plumgate-node/src/relay.rs
@@ -11,7 +11,7 @@
 use plumgate::RunOutcome;
 use plumgate::attempt::{AttemptEvent, AttemptRun};
 use plumgate::config::{Server, ServerKind};
-use plumgate::dispatch::{AttemptEnd, RefusalReason};
+use plumgate::dispatch::{AttemptOutcome, RefusalReason};
 use plumgate::retry::may_run_again;
 use plumgate::route::RouteChoice;
 
@@ -163,7 +163,7 @@
             && let Some(step) = self.claim().await
         {
             self.shared
-                .finish(&self.request.ticket.id, AttemptEnd::GivenUp);
+                .finish(&self.request.ticket.id, AttemptOutcome::Abandoned);
             return step;
         }
         let result = self.run_attempt(&server, sink).await;
@@ -206,7 +206,7 @@
                 self.shared.metrics.tokens.inc_by(tokens.into());
                 self.shared.finish(
                     id,
-                    AttemptEnd::Answered {
+                    AttemptOutcome::Answered {
                         to_first,
                         to_end,
                         tokens,
@@ -215,18 +215,18 @@
                 return NextStep::Finish;
             }
             AttemptResult::CallerGone => {
-                self.shared.finish(id, AttemptEnd::GivenUp);
+                self.shared.finish(id, AttemptOutcome::Abandoned);
                 return NextStep::Abandon;
             }
-            AttemptResult::ConnectFailed => (AttemptEnd::ConnectionFailed, "connect_failed"),
-            AttemptResult::Refused { leaving } => (AttemptEnd::Refused { leaving }, "refused"),
+            AttemptResult::ConnectFailed => (AttemptOutcome::ConnectionFailed, "connect_failed"),
+            AttemptResult::Refused { leaving } => (AttemptOutcome::Refused { leaving }, "refused"),
             AttemptResult::InDoubt {
                 blames_server: true,
-            } => (AttemptEnd::ConnectionFailed, "broken"),
+            } => (AttemptOutcome::ConnectionFailed, "broken"),
             AttemptResult::InDoubt {
                 blames_server: false,
-            } => (AttemptEnd::GivenUp, "in_doubt"),
-            AttemptResult::Preempted => (AttemptEnd::GivenUp, "preempted"),
+            } => (AttemptOutcome::Abandoned, "in_doubt"),
+            AttemptResult::Preempted => (AttemptOutcome::Abandoned, "preempted"),
         };
         let labels = crate::metrics::ReasonLabels { reason };
         self.shared
--- a/crates/plumgate-node/src/relay/keyed.rs
+++ b/crates/plumgate-node/src/relay/keyed.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 use plumgate::RunOutcome;
 use plumgate::claim::{ClaimRun, claim_row_name};
-use plumgate::dispatch::AttemptEnd;
+use plumgate::dispatch::AttemptOutcome;
 
 use super::{CLAIM_RETRY_AFTER, MAX_RUN_TIME, NextStep, RequestRelay, STORE_WAIT};
 use crate::answer::WholeAnswer;
@@ -50,7 +50,7 @@
                 line.with("end", "taken")
                     .with("claimer", &row.claimer)
                     .info(&self.shared.log);
-                self.shared.finish(&ticket.id, AttemptEnd::GivenUp);
+                self.shared.finish(&ticket.id, AttemptOutcome::Abandoned);
                 Some(self.await_other_answer(&name, row).await)
             }
             ClaimOutcome::Mismatched => {
--- a/crates/plumgate-node/src/shared.rs
+++ b/crates/plumgate-node/src/shared.rs
@@ -13,7 +13,7 @@
 use event_listener::Event;
 use plumgate::config::FleetConfig;
 use plumgate::dispatch::{
-    AttemptEnd, DispatchAction, Dispatcher, RefusalReason, RequestTicket, StartOrder,
+    AttemptOutcome, DispatchAction, Dispatcher, RefusalReason, RequestTicket, StartOrder,
 };
 use plumgate::ids::{PoolId, RequestId, ServerId, TierRank};
 use plumgate::route::RouteChoice;
@@ -177,7 +177,7 @@
     }
 
     /// Reports the end of an attempt to the dispatcher.
-    pub(crate) fn finish(&self, request: &RequestId, end: AttemptEnd) {
+    pub(crate) fn finish(&self, request: &RequestId, end: AttemptOutcome) {
         let actions = self.dispatcher().finish(request, end, self.clock.now());
         self.carry_out(actions);
     }
@@ -187,7 +187,7 @@
         self.waiters().remove(request);
         let withdrawn = self.dispatcher().withdraw(request);
         drop(withdrawn);
-        self.finish(request, AttemptEnd::GivenUp);
+        self.finish(request, AttemptOutcome::Abandoned);
     }
 
     /// Applies the dispatcher's actions: sends decisions to their requests and logs them.
@@ -263,7 +263,7 @@
             // The caller disconnected at the same time: its slot must be released.
             let _ = self
                 .dispatcher()
-                .finish(request, AttemptEnd::GivenUp, self.clock.now());
+                .finish(request, AttemptOutcome::Abandoned, self.clock.now());
         }
     }
 
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, Instant};
 
 use plumgate::config::{ConfigBundle, FleetConfig, key_digest};
-use plumgate::dispatch::{AttemptEnd, DispatchAction, DispatchOptions, Dispatcher, RequestTicket};
+use plumgate::dispatch::{
+    AttemptOutcome, DispatchAction, DispatchOptions, Dispatcher, RequestTicket,
+};
 use plumgate::follow::{ConfigFollower, FollowAction};
 use plumgate::membership::{MemberTable, NodeGroup, SharingNodes};
 use plumgate::route::RouteOptions;
@@ -198,7 +200,7 @@
             if running.len() as u64 > IN_FLIGHT
                 && let Some(id) = running.pop_front()
             {
-                let end = AttemptEnd::Answered {
+                let end = AttemptOutcome::Answered {
                     to_first: Duration::from_millis(300),
                     to_end: Duration::from_secs(32),
                     tokens: 400,
--- a/crates/plumgate/src/dispatch/dispatcher.rs
+++ b/crates/plumgate/src/dispatch/dispatcher.rs
@@ -53,7 +53,7 @@
 
 /// Outcome of an attempt on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The complete answer was received.
     Answered {
         /// Time from sending the request to the first token.
@@ -71,7 +71,7 @@
         leaving: bool,
     },
     /// The attempt was abandoned for a reason that says nothing about the server's health.
-    GivenUp,
+    Abandoned,
 }
 
 /// Request that is running on a server.
@@ -371,14 +371,14 @@
     pub fn finish(
         &mut self,
         request: &RequestId,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         now: Instant,
     ) -> Vec<DispatchAction> {
         let Some(running) = self.release(request, now) else {
             return Vec::new();
         };
         match end {
-            AttemptEnd::Answered {
+            AttemptOutcome::Answered {
                 to_first,
                 to_end,
                 tokens,
@@ -391,9 +391,11 @@
                     .or_default()
                     .observe(service_time);
             }
-            AttemptEnd::ConnectionFailed => self.routes.record_failure(&running.server, now),
-            AttemptEnd::Refused { leaving: true } => self.routes.mark_leaving(&running.server, now),
-            AttemptEnd::Refused { leaving: false } | AttemptEnd::GivenUp => {}
+            AttemptOutcome::ConnectionFailed => self.routes.record_failure(&running.server, now),
+            AttemptOutcome::Refused { leaving: true } => {
+                self.routes.mark_leaving(&running.server, now)
+            }
+            AttemptOutcome::Refused { leaving: false } | AttemptOutcome::Abandoned => {}
         }
         self.dispatch(&running.ticket.pool, now)
     }
--- a/crates/plumgate/src/dispatch/mod.rs
+++ b/crates/plumgate/src/dispatch/mod.rs
@@ -5,6 +5,6 @@
 mod service_time;
 mod ticket;
 
-pub use dispatcher::{AttemptEnd, DispatchOptions, Dispatcher};
+pub use dispatcher::{AttemptOutcome, DispatchOptions, Dispatcher};
 pub use queue::QueuePolicy;
 pub use ticket::{DispatchAction, QueueLoad, RefusalReason, RequestTicket, StartOrder};
--- a/crates/plumgate/tests/dispatch.rs
+++ b/crates/plumgate/tests/dispatch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use plumgate::config::ConfigBundle;
-use plumgate::dispatch::{AttemptEnd, DispatchAction, RefusalReason};
+use plumgate::dispatch::{AttemptOutcome, DispatchAction, RefusalReason};
 use plumgate::route::PeerServerLoad;
 use support::{Bench, RULES, inventory, preempted, refused, started};
 
@@ -60,7 +60,7 @@
     let ticket = bench.ticket("dossier");
     let actions = bench
         .dispatcher
-        .finish(&second, AttemptEnd::GivenUp, bench.now);
+        .finish(&second, AttemptOutcome::Abandoned, bench.now);
     assert_eq!(started(&actions)[0].0, caption);
     let actions = bench
         .dispatcher
--- a/crates/plumgate/tests/route.rs
+++ b/crates/plumgate/tests/route.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::config::ConfigBundle;
-use plumgate::dispatch::AttemptEnd;
+use plumgate::dispatch::AttemptOutcome;
 use plumgate::membership::{NodeGroup, SharingNodes};
 use plumgate::route::{LeavingSource, LoadReport, PeerServerLoad, RouteOptions, RouteTable};
 use support::{Bench, RULES, config, inventory, started};
@@ -224,9 +224,9 @@
 fn slot_is_free_again_after_every_kind_of_end() {
     let mut bench = Bench::new(1, 1);
     for end in [
-        AttemptEnd::GivenUp,
-        AttemptEnd::Refused { leaving: false },
-        AttemptEnd::ConnectionFailed,
+        AttemptOutcome::Abandoned,
+        AttemptOutcome::Refused { leaving: false },
+        AttemptOutcome::ConnectionFailed,
     ] {
         let (id, actions) = bench.submit("caption");
         assert_eq!(started(&actions).len(), 1, "{end:?}");
--- a/crates/plumgate/tests/support/mod.rs
+++ b/crates/plumgate/tests/support/mod.rs
@@ -6,7 +6,7 @@
 
 use plumgate::config::{ConfigBundle, FleetConfig};
 use plumgate::dispatch::{
-    AttemptEnd, DispatchAction, DispatchOptions, Dispatcher, RefusalReason, RequestTicket,
+    AttemptOutcome, DispatchAction, DispatchOptions, Dispatcher, RefusalReason, RequestTicket,
 };
 use plumgate::ids::{RequestId, TierRank};
 use plumgate::route::RouteOptions;
@@ -138,7 +138,7 @@
 
     /// Ends a request after it held its slot for some time.
     pub(crate) fn answer(&mut self, id: &RequestId) -> Vec<DispatchAction> {
-        let end = AttemptEnd::Answered {
+        let end = AttemptOutcome::Answered {
             to_first: Duration::from_millis(50),
             to_end: Duration::from_millis(1000),
             tokens: 10,
