--- a/crates/plumgate/src/route/estimate.rs
+++ b/crates/plumgate/src/route/estimate.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 struct TimestampedReport {
     report: LoadReport,
-    measured: Instant,
+    measured_at: Instant,
 }
 
 /// Requests of another node on the server, as last reported by it.
@@ -102,13 +102,19 @@
     /// Applies a report, unless the current one was measured at the same time or later.
     pub(crate) fn apply_report(&mut self, report: LoadReport, now: Instant) {
         let age = Duration::from_millis(report.age_ms);
-        let measured = now.checked_sub(age).unwrap_or(now);
+        let measured_at = now.checked_sub(age).unwrap_or(now);
         // Reports can arrive out of order. An older one would restore load that has since finished,
         // and divert requests from an idle server.
-        if self.report.is_some_and(|held| measured <= held.measured) {
+        if self
+            .report
+            .is_some_and(|current| measured_at <= current.measured_at)
+        {
             return;
         }
-        self.report = Some(TimestampedReport { report, measured });
+        self.report = Some(TimestampedReport {
+            report,
+            measured_at,
+        });
     }
 
     /// Sets the numbers of another node's requests on the server.
@@ -176,18 +182,18 @@
 
     /// Returns the number of requests on the server by its own report, if that is recent.
     pub fn reported(&self, now: Instant) -> Option<u32> {
-        let held = self.report?;
-        let is_fresh = now.saturating_duration_since(held.measured) < REPORT_LIFETIME;
-        is_fresh.then_some(held.report.running + held.report.waiting)
+        let current = self.report?;
+        let is_fresh = now.saturating_duration_since(current.measured_at) < REPORT_LIFETIME;
+        is_fresh.then_some(current.report.running + current.report.waiting)
     }
 
     /// Returns whether the server's last report is recent and says that it is leaving.
     pub(crate) fn reports_leaving(&self, now: Instant) -> bool {
-        let is_fresh = |held: &TimestampedReport| {
-            now.saturating_duration_since(held.measured) < REPORT_LIFETIME
+        let is_fresh = |current: &TimestampedReport| {
+            now.saturating_duration_since(current.measured_at) < REPORT_LIFETIME
         };
         self.report
-            .is_some_and(|held| held.report.leaving && is_fresh(&held))
+            .is_some_and(|current| current.report.leaving && is_fresh(&current))
     }
 
     /// Returns the speed of the server as last observed by this node.
--- a/crates/plumgate/src/route/shares.rs
+++ b/crates/plumgate/src/route/shares.rs
@@ -58,14 +58,14 @@
                 .nodes
                 .iter()
                 .map(|node| rendezvous_weight(&server.id, node));
-            let place = weights.filter(|weight| *weight > own).count();
-            self.positions.insert(server.id.clone(), place);
+            let position = weights.filter(|weight| *weight > own).count();
+            self.positions.insert(server.id.clone(), position);
         }
     }
 
     /// Returns this node's equal share of a server's slots; 0 for a server in another data centre.
     pub(crate) fn equal_share(&self, server: &Server, slots: u32) -> u32 {
-        let Some(place) = self.positions.get(&server.id) else {
+        let Some(position) = self.positions.get(&server.id) else {
             return 0;
         };
         let nodes = self
@@ -73,8 +73,8 @@
             .get(&server.data_centre)
             .map_or(1, |group| group.nodes.len());
         let nodes = u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
-        let left_over = usize::try_from(slots % nodes).unwrap_or(usize::MAX);
-        slots / nodes + u32::from(*place < left_over)
+        let remainder = usize::try_from(slots % nodes).unwrap_or(usize::MAX);
+        slots / nodes + u32::from(*position < remainder)
     }
 
     /// Returns whether a node that shares the server has sent nothing lately.
--- a/crates/plumgate/src/route/speed.rs
+++ b/crates/plumgate/src/route/speed.rs
@@ -5,7 +5,7 @@
 /// Weight of a new observation in the moving average.
 const LEARNING_RATE: f64 = 0.2;
 /// Time constant with which the expected speed decays from the last observation to the typical speed.
-const OBSERVATION_DECAY_TIME: Duration = Duration::from_secs(30);
+const DECAY_TIME: Duration = Duration::from_secs(30);
 /// Seconds between tokens, assumed before any server was observed.
 const DEFAULT_PER_TOKEN: f64 = 0.02;
 /// Seconds to the first token, assumed before any server was observed.
@@ -101,8 +101,8 @@
             return typical;
         };
         let age = now.saturating_duration_since(observed_at);
-        let forgotten = 1.0 - (-age.as_secs_f64() / OBSERVATION_DECAY_TIME.as_secs_f64()).exp();
-        blend(speed, typical, forgotten)
+        let typical_weight = 1.0 - (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
+        blend(speed, typical, typical_weight)
     }
 }
 
--- a/crates/plumgate/src/route/table.rs
+++ b/crates/plumgate/src/route/table.rs
@@ -366,7 +366,7 @@
     }
 
     /// Removes a prefix that a server dropped from its cache.
-    pub fn forget_prefix(&mut self, prefix: u64, server: &ServerId) {
+    pub fn remove_prefix(&mut self, prefix: u64, server: &ServerId) {
         self.prefixes.remove(prefix, server);
     }
 
--- a/crates/plumgate/tests/route.rs
+++ b/crates/plumgate/tests/route.rs
@@ -206,7 +206,7 @@
             "s3"
         );
     }
-    table.forget_prefix(42, &"s3".into());
+    table.remove_prefix(42, &"s3".into());
     let chosen: BTreeSet<String> = (0..20)
         .map(|_| {
             table
