--- a/crates/plumgate-node/src/control/config.rs
+++ b/crates/plumgate-node/src/control/config.rs
@@ -68,7 +68,7 @@
 
     /// Sends a new version to peers at once; each peer that applies it sends it on to others.
     pub(super) fn announce_config(&mut self) {
-        let addresses = self.members.partners();
+        let addresses = self.members.gossip_targets();
         let digest = self.follower.held().map(|held| held.digest.clone());
         if let (Some((from, version, patch)), Some(digest)) = (self.last_patch.clone(), digest) {
             self.send(
@@ -81,7 +81,7 @@
                 },
             );
         } else {
-            self.members.hurry();
+            self.members.expedite_round();
         }
     }
 
--- a/crates/plumgate-node/src/control/gossip.rs
+++ b/crates/plumgate-node/src/control/gossip.rs
@@ -25,7 +25,7 @@
         };
         let message = PeerMessage::Digests(round.digests.clone());
         let sent = self.send(&round.addresses, message);
-        self.members.note_sent(sent, &round, now);
+        self.members.record_sent(sent, &round, now);
     }
 
     /// Sends a message to the addresses and returns the number of bytes sent.
--- a/crates/plumgate-node/src/orders.rs
+++ b/crates/plumgate-node/src/orders.rs
@@ -77,7 +77,7 @@
         };
         self.update_models(&config);
         let now = self.shared.clock.now();
-        let is_stale = members.distrusts_itself(now);
+        let is_stale = members.is_stale(now);
         let names: Vec<PoolId> = self.models.keys().cloned().collect();
         let mut tasks = Vec::new();
         for model in names {
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -243,7 +243,7 @@
         "dc-00".into(),
         NodeGroup {
             nodes: names,
-            has_silent: false,
+            has_unresponsive: false,
         },
     )])
 }
@@ -326,7 +326,7 @@
             };
             let sealed = key.seal(&envelope).expect("packs");
             let size = sealed.len() as u64 * round.addresses.len() as u64;
-            tables[from].note_sent(size, &sent, now);
+            tables[from].record_sent(size, &sent, now);
             for address in &round.addresses {
                 let Some(to) = (0..nodes).find(|to| tables[*to].own().address == *address) else {
                     continue;
--- a/crates/plumgate/src/membership.rs
+++ b/crates/plumgate/src/membership.rs
@@ -59,7 +59,7 @@
     /// The nodes.
     pub nodes: BTreeSet<NodeId>,
     /// Whether some of them are listed by the platform but not alive in gossip.
-    pub has_silent: bool,
+    pub has_unresponsive: bool,
 }
 
 /// All nodes that share servers and limits, by data centre.
@@ -69,9 +69,9 @@
 #[derive(Clone, Debug)]
 struct PeerState {
     digest: NodeDigest,
-    heard: Instant,
+    received_at: Instant,
     relays: u32,
-    gone: bool,
+    is_gone: bool,
 }
 
 /// Change in the set of nodes.
@@ -173,7 +173,7 @@
             return false;
         }
         let id = NodeId::from(digest.node.as_str());
-        if known.is_none_or(|peer| peer.gone) {
+        if known.is_none_or(|peer| peer.is_gone) {
             self.pending_events.push(MemberEvent::Joined(id.clone()));
         }
         if digest.stopping && known.is_none_or(|peer| !peer.digest.stopping) {
@@ -181,9 +181,9 @@
         }
         let state = PeerState {
             digest: digest.clone(),
-            heard: now,
+            received_at: now,
             relays: 0,
-            gone: false,
+            is_gone: false,
         };
         self.peers.insert(id, state);
         true
@@ -194,12 +194,12 @@
     /// Rounds carry a few digests at a time. A node that has just started, or a whole data centre that
     /// reconnects, would need many rounds to learn of all others.
     pub fn greeting(&mut self, sender: &str, now: Instant) -> Option<Vec<NodeDigest>> {
-        let is_known = self.peers.get(sender).is_some_and(|peer| !peer.gone);
+        let is_known = self.peers.get(sender).is_some_and(|peer| !peer.is_gone);
         if is_known || self.next_greeting.is_some_and(|due| now < due) {
             return None;
         }
         self.next_greeting = Some(now + GREETING_INTERVAL);
-        let alive = self.peers.values().filter(|peer| !peer.gone);
+        let alive = self.peers.values().filter(|peer| !peer.is_gone);
         Some(alive.map(|peer| peer.digest.clone()).collect())
     }
 
@@ -217,14 +217,14 @@
         }
         let lifetime = self.lifetime();
         for (id, peer) in &mut self.peers {
-            let silence = now.saturating_duration_since(peer.heard);
-            if !peer.gone && silence > lifetime {
-                peer.gone = true;
+            let silence = now.saturating_duration_since(peer.received_at);
+            if !peer.is_gone && silence > lifetime {
+                peer.is_gone = true;
                 events.push(MemberEvent::Gone(id.clone()));
             }
         }
         self.peers.retain(|_, peer| {
-            now.saturating_duration_since(peer.heard) < lifetime + GONE_RETENTION
+            now.saturating_duration_since(peer.received_at) < lifetime + GONE_RETENTION
         });
         events
     }
@@ -233,14 +233,14 @@
     /// this node as gone. Each live peer gets a full lifetime again, and this node's view counts as
     /// stale for two rounds, until digests of peers arrive.
     fn on_suspension(&mut self, now: Instant) {
-        for peer in self.peers.values_mut().filter(|peer| !peer.gone) {
-            peer.heard = now;
+        for peer in self.peers.values_mut().filter(|peer| !peer.is_gone) {
+            peer.received_at = now;
         }
         self.stale_until = Some(now + self.round_length() * 2);
     }
 
     /// Returns whether this node's view of others is too old to act on.
-    pub fn distrusts_itself(&self, now: Instant) -> bool {
+    pub fn is_stale(&self, now: Instant) -> bool {
         self.stale_until.is_some_and(|until| now < until)
     }
 
@@ -260,7 +260,7 @@
             self.next_beat = Some(now + self.beat);
             self.own.beat += 1;
         }
-        let addresses = self.partners();
+        let addresses = self.gossip_targets();
         if addresses.is_empty() {
             return None;
         }
@@ -285,7 +285,7 @@
     /// The more they were, the later the next round is, so that what a node sends and receives per
     /// second stays bounded as fleets grow. Each beat of each node has to reach all others, so beats
     /// come no faster than the bytes of all digests allow.
-    pub fn note_sent(&mut self, bytes: u64, round: &GossipRound, now: Instant) {
+    pub fn record_sent(&mut self, bytes: u64, round: &GossipRound, now: Instant) {
         let nodes = self.live_count();
         let byte_rate = if nodes <= SMALL_FLEET {
             SMALL_FLEET_BYTE_RATE
@@ -307,18 +307,18 @@
     }
 
     /// Makes the next round due immediately.
-    pub fn hurry(&mut self) {
+    pub fn expedite_round(&mut self) {
         self.next_round = None;
         self.next_beat = None;
     }
 
     /// Returns the addresses of the next round: some peers of the own data centre, one of each other
     /// data centre if this node is a bridge, and one address without a live node.
-    pub fn partners(&mut self) -> Vec<String> {
+    pub fn gossip_targets(&mut self) -> Vec<String> {
         let mut near = Vec::new();
         let mut far: BTreeMap<String, Vec<String>> = BTreeMap::new();
         let mut known = BTreeSet::new();
-        for peer in self.peers.values().filter(|peer| !peer.gone) {
+        for peer in self.peers.values().filter(|peer| !peer.is_gone) {
             known.insert(peer.digest.address.clone());
             if peer.digest.data_centre == self.own.data_centre {
                 near.push(peer.digest.address.clone());
@@ -358,7 +358,7 @@
         let mut peers: Vec<&mut PeerState> = self
             .peers
             .values_mut()
-            .filter(|peer| !peer.gone && peer.relays < MAX_RELAYS)
+            .filter(|peer| !peer.is_gone && peer.relays < MAX_RELAYS)
             .collect();
         // Random order among equals: in the order of names the same nodes would always come first, and
         // the digests of the last ones would never be relayed.
@@ -404,7 +404,7 @@
         let alive = self
             .peers
             .values()
-            .filter(|peer| !peer.gone && !peer.digest.stopping);
+            .filter(|peer| !peer.is_gone && !peer.digest.stopping);
         alive.map(|peer| &peer.digest)
     }
 
@@ -432,7 +432,7 @@
         }
         for node in self.listed.values().filter(|node| !node.leaving) {
             let group = groups.entry(node.data_centre.clone()).or_default();
-            group.has_silent |= group.nodes.insert(node.node.clone());
+            group.has_unresponsive |= group.nodes.insert(node.node.clone());
         }
         groups
     }
@@ -441,7 +441,7 @@
     pub fn peer(&self, node: &str) -> Option<&NodeDigest> {
         self.peers
             .get(node)
-            .filter(|peer| !peer.gone)
+            .filter(|peer| !peer.is_gone)
             .map(|peer| &peer.digest)
     }
 }
--- a/crates/plumgate/src/route/shares.rs
+++ b/crates/plumgate/src/route/shares.rs
@@ -81,6 +81,6 @@
     pub(crate) fn has_silent_node(&self, server: &Server) -> bool {
         self.groups
             .get(&server.data_centre)
-            .is_some_and(|group| group.has_silent)
+            .is_some_and(|group| group.has_unresponsive)
     }
 }
--- a/crates/plumgate/tests/membership.rs
+++ b/crates/plumgate/tests/membership.rs
@@ -235,10 +235,10 @@
         "{:?}",
         node.events
     );
-    assert!(node.members.distrusts_itself(net.now));
+    assert!(node.members.is_stale(net.now));
     assert_eq!(node.members.live_count(), 6);
     net.run(Duration::from_secs(3));
-    assert!(!net.nodes[3].members.distrusts_itself(net.now));
+    assert!(!net.nodes[3].members.is_stale(net.now));
 }
 
 #[test]
@@ -277,7 +277,7 @@
             .sum::<usize>(),
         3
     );
-    assert!(sharing["dc2"].has_silent && !sharing["dc0"].has_silent);
+    assert!(sharing["dc2"].has_unresponsive && !sharing["dc0"].has_unresponsive);
 }
 
 // A data centre is cut from the platform but not from its neighbours, and a change is applied.
--- a/crates/plumgate/tests/route.rs
+++ b/crates/plumgate/tests/route.rs
@@ -23,9 +23,15 @@
 }
 
 /// The nodes of the data centre "here".
-fn nodes(names: &[&str], has_silent: bool) -> SharingNodes {
+fn nodes(names: &[&str], has_unresponsive: bool) -> SharingNodes {
     let nodes = names.iter().map(|name| (*name).into()).collect();
-    SharingNodes::from([("here".into(), NodeGroup { nodes, has_silent })])
+    SharingNodes::from([(
+        "here".into(),
+        NodeGroup {
+            nodes,
+            has_unresponsive,
+        },
+    )])
 }
 
 /// Where a number of requests go that all stay.
