--- a/crates/plumgate-node/src/control/config.rs
+++ b/crates/plumgate-node/src/control/config.rs
@@ -33,9 +33,9 @@
                     .members
                     .peer(&node)
                     .map(|digest| digest.address.clone());
-                let have = self.follower.version();
+                let known_version = self.follower.version();
                 let addresses: Vec<String> = address.into_iter().collect();
-                self.send(&addresses, PeerMessage::AskConfig { have });
+                self.send(&addresses, PeerMessage::ConfigRequest { known_version });
             }
             FollowAction::Adopt { config, patch } => self.adopt(config, patch),
             FollowAction::Reject { version, reason } => {
@@ -85,12 +85,16 @@
         }
     }
 
-    pub(super) fn send_config(&mut self, node: &str, have: u64) {
-        let Some(held) = self.follower.held().filter(|held| held.version > have) else {
+    pub(super) fn send_config(&mut self, node: &str, known_version: u64) {
+        let Some(held) = self
+            .follower
+            .held()
+            .filter(|held| held.version > known_version)
+        else {
             return;
         };
         let message = match &self.last_patch {
-            Some((from, version, patch)) if *from == have && *version == held.version => {
+            Some((from, version, patch)) if *from == known_version && *version == held.version => {
                 let (from, version, patch) = (*from, *version, patch.clone());
                 PeerMessage::ConfigPatch {
                     from,
--- a/crates/plumgate-node/src/control/gossip.rs
+++ b/crates/plumgate-node/src/control/gossip.rs
@@ -6,7 +6,7 @@
 use plumgate::ids::{PoolId, ServerId, TierRank, WorkspaceId};
 use plumgate::route::{LeavingSource, PeerServerLoad};
 use plumgate::wire::{
-    NodeDigest, PeerEnvelope, PeerMessage, ServerLoad, servers_told, workspaces_told,
+    NodeDigest, PeerEnvelope, PeerMessage, ServerLoad, max_digest_servers, max_digest_workspaces,
 };
 
 use super::{ControlLoop, MAX_PREEMPT_PEERS, PREEMPT_REQUEST_INTERVAL};
@@ -40,7 +40,8 @@
         let nodes = self.members.live_count();
         let (pools, servers, demand) = {
             let mut dispatcher = self.shared.dispatcher();
-            let servers = busiest_servers(dispatcher.routes().own_loads(), servers_told(nodes));
+            let servers =
+                busiest_servers(dispatcher.routes().own_loads(), max_digest_servers(nodes));
             (
                 dispatcher.pool_loads(),
                 servers,
@@ -53,7 +54,7 @@
         own.stopping = self.lifecycle.is_stopping();
         own.pools = pools;
         own.servers = servers;
-        own.demand = largest_demand(demand, workspaces_told(nodes));
+        own.demand = largest_demand(demand, max_digest_workspaces(nodes));
         own.leaving = leaving;
     }
 
@@ -109,7 +110,9 @@
                 self.send_known_digests(&envelope.sender, &digests, now);
                 self.apply_digests(digests, now);
             }
-            PeerMessage::AskConfig { have } => self.send_config(&envelope.sender, have),
+            PeerMessage::ConfigRequest { known_version } => {
+                self.send_config(&envelope.sender, known_version)
+            }
             PeerMessage::Config { version, bundle } => {
                 let action = self.follower.apply_body(version, bundle, None);
                 self.run_optional_action(action);
@@ -126,7 +129,7 @@
                     .apply_patch(sender, from, version, &patch, &digest);
                 self.run_optional_action(action);
             }
-            PeerMessage::MakeRoom { pool, rank } => {
+            PeerMessage::PreemptRequest { pool, rank } => {
                 self.on_preempt_request(&envelope.sender, pool, rank)
             }
         }
@@ -232,7 +235,7 @@
             .with("peers", addresses.len())
             .info(&self.shared.log);
         let pool = pool.to_string();
-        self.send(&addresses, PeerMessage::MakeRoom { pool, rank });
+        self.send(&addresses, PeerMessage::PreemptRequest { pool, rank });
     }
 }
 
--- a/crates/plumgate-node/src/peers.rs
+++ b/crates/plumgate-node/src/peers.rs
@@ -10,7 +10,7 @@
 use async_channel::Sender;
 use nng::options::{Options, ReconnectMaxTime, ReconnectMinTime, RecvMaxSize, SendBufferSize};
 use nng::{Aio, AioResult, Protocol, Socket};
-use plumgate::wire::{LARGEST_MESSAGE, PeerEnvelope, PeerKey, PeerMessage};
+use plumgate::wire::{MAX_MESSAGE_BYTES, PeerEnvelope, PeerKey, PeerMessage};
 
 use crate::errors::{Error, Result};
 use crate::metrics::NodeMetrics;
@@ -41,7 +41,7 @@
         let failed = |error| Error::PeerListen(address, error);
         let socket = Socket::new(Protocol::Pull0).map_err(failed)?;
         socket
-            .set_opt::<RecvMaxSize>(LARGEST_MESSAGE)
+            .set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)
             .map_err(failed)?;
         socket.listen(&url(address)).map_err(failed)?;
         let receive_socket = socket.clone();
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -265,13 +265,13 @@
                 waiting: vec![(3, 5)],
             })
             .collect(),
-        servers: (0..plumgate::wire::servers_told(113))
+        servers: (0..plumgate::wire::max_digest_servers(113))
             .map(|server| ServerLoad {
                 server: format!("engine-{server:04}"),
                 counts: counts.clone(),
             })
             .collect(),
-        demand: (0..plumgate::wire::workspaces_told(113))
+        demand: (0..plumgate::wire::max_digest_workspaces(113))
             .map(|number| (format!("workspace-{number:04}"), 2.5))
             .collect(),
         ..NodeDigest::default()
--- a/crates/plumgate/src/gateway/notice_keys.rs
+++ b/crates/plumgate/src/gateway/notice_keys.rs
@@ -9,7 +9,7 @@
 
 use super::config::GatewayConfig;
 use crate::errors::{Error, Result};
-use crate::wire::{PeerKey, TIME_BOUND_MS};
+use crate::wire::{MAX_CLOCK_DIFFERENCE_MS, PeerKey};
 
 /// Keys of recent configurations that may seal a notice. Nodes learn of a change of the keys within a second
 /// or two of each other, and several changes may follow in quick succession.
@@ -98,7 +98,7 @@
         let notice: DatedNotice<T> = unpack(packed)?;
         // Notices contain ages instead of times: one that is recorded and sent later would describe other moments.
         let distance = notice.sent_ms.abs_diff(unix_ms);
-        if distance > TIME_BOUND_MS {
+        if distance > MAX_CLOCK_DIFFERENCE_MS {
             return Err(Error::StaleMessage(distance));
         }
         Ok(notice.content)
--- a/crates/plumgate/src/wire.rs
+++ b/crates/plumgate/src/wire.rs
@@ -16,16 +16,16 @@
 /// Protocol version that this node sends.
 pub const PROTOCOL_VERSION: u8 = 1;
 /// Oldest protocol version that this node accepts, for rolling updates.
-pub const OLDEST_PROTOCOL: u8 = 1;
+pub const MIN_PROTOCOL_VERSION: u8 = 1;
 /// Largest message that a node accepts, in bytes.
-pub const LARGEST_MESSAGE: usize = 4 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 /// Length of the authentication code in bytes.
 const MAC_LENGTH: usize = 16;
 /// Largest difference between a message's time and this node's clock, in milliseconds.
-pub(crate) const TIME_BOUND_MS: u64 = 30_000;
+pub(crate) const MAX_CLOCK_DIFFERENCE_MS: u64 = 30_000;
 /// Replay window: late messages of a sender that are distinguished from repeated ones, in sequence
 /// numbers.
-const WINDOW: u64 = 64;
+const REPLAY_WINDOW: u64 = 64;
 
 type MessageMac = Hmac<Sha256>;
 
@@ -51,9 +51,9 @@
     /// Digests of the nodes that the sender knows, its own first.
     Digests(Vec<NodeDigest>),
     /// Request for a configuration version that was announced to the sender.
-    AskConfig {
+    ConfigRequest {
         /// The version that the sender has.
-        have: ConfigVersion,
+        known_version: ConfigVersion,
     },
     /// Whole version of the configuration.
     Config {
@@ -74,7 +74,7 @@
         digest: String,
     },
     /// Request to preempt lower tiers: the sender needs slots for a higher tier.
-    MakeRoom {
+    PreemptRequest {
         /// The model or service.
         pool: String,
         /// Rank of the waiting request; only requests of lower tiers are preempted.
@@ -139,12 +139,12 @@
 /// Returns how many servers a digest names, the busiest first, if there are this many nodes. With
 /// hundreds of nodes and servers, one node's load on one server matters little; its pools are still
 /// complete.
-pub fn servers_told(nodes: usize) -> usize {
+pub fn max_digest_servers(nodes: usize) -> usize {
     (DIGEST_ENTRIES / nodes.max(1)).clamp(1, MAX_DIGEST_SERVERS)
 }
 
 /// Returns how many workspaces a digest names, the largest demand first, if there are this many nodes.
-pub fn workspaces_told(nodes: usize) -> usize {
+pub fn max_digest_workspaces(nodes: usize) -> usize {
     (DIGEST_ENTRIES / nodes.max(1)).clamp(1, MAX_DIGEST_WORKSPACES)
 }
 
@@ -191,7 +191,7 @@
 /// Secret key that all nodes share.
 #[derive(Clone)]
 pub struct PeerKey {
-    code: MessageMac,
+    mac: MessageMac,
 }
 
 impl std::fmt::Debug for PeerKey {
@@ -203,9 +203,9 @@
 impl PeerKey {
     /// Creates a key from the operator's secret.
     pub fn new(secret: &[u8]) -> Self {
-        let code = MessageMac::new_from_slice(secret);
+        let mac = MessageMac::new_from_slice(secret);
         Self {
-            code: code.expect("HMAC takes keys of any length"),
+            mac: mac.expect("HMAC takes keys of any length"),
         }
     }
 
@@ -218,24 +218,24 @@
 
     /// Appends an authentication code to the bytes.
     pub(crate) fn seal_bytes(&self, mut bytes: Vec<u8>) -> Vec<u8> {
-        let code = self
-            .code
+        let mac = self
+            .mac
             .clone()
             .chain_update(&bytes)
             .finalize()
             .into_bytes();
-        bytes.extend_from_slice(&code[..MAC_LENGTH]);
+        bytes.extend_from_slice(&mac[..MAC_LENGTH]);
         bytes
     }
 
     /// Checks and decodes a message.
     pub fn open(&self, bytes: &[u8]) -> Result<PeerEnvelope> {
-        if bytes.len() > LARGEST_MESSAGE {
-            return Err(Error::OversizedMessage(bytes.len(), LARGEST_MESSAGE));
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(Error::OversizedMessage(bytes.len(), MAX_MESSAGE_BYTES));
         }
         let body = self.open_bytes(bytes)?;
         let (version, packed) = body.split_first().ok_or(Error::MalformedMessage)?;
-        if !(OLDEST_PROTOCOL..=PROTOCOL_VERSION).contains(version) {
+        if !(MIN_PROTOCOL_VERSION..=PROTOCOL_VERSION).contains(version) {
             return Err(Error::UnknownProtocol(*version));
         }
         postcard::from_bytes(packed).map_err(|_| Error::MalformedMessage)
@@ -248,10 +248,10 @@
             .len()
             .checked_sub(MAC_LENGTH)
             .ok_or(Error::MalformedMessage)?;
-        let (body, code) = sealed.split_at(end);
-        let expected = self.code.clone().chain_update(body);
+        let (body, mac) = sealed.split_at(end);
+        let expected = self.mac.clone().chain_update(body);
         expected
-            .verify_truncated_left(code)
+            .verify_truncated_left(mac)
             .map_err(|_| Error::ForgedMessage)?;
         Ok(body)
     }
@@ -284,11 +284,12 @@
     /// Records a message, or returns the error for which it is refused.
     pub fn check(&mut self, envelope: &PeerEnvelope, now_ms: u64) -> Result<()> {
         let distance = envelope.sent_ms.abs_diff(now_ms);
-        if distance > TIME_BOUND_MS {
+        if distance > MAX_CLOCK_DIFFERENCE_MS {
             return Err(Error::StaleMessage(distance));
         }
-        self.senders
-            .retain(|_, window| now_ms.saturating_sub(window.received_ms) <= 2 * TIME_BOUND_MS);
+        self.senders.retain(|_, window| {
+            now_ms.saturating_sub(window.received_ms) <= 2 * MAX_CLOCK_DIFFERENCE_MS
+        });
         let window = self.senders.entry(envelope.sender.clone()).or_default();
         window.record(envelope, now_ms)
     }
@@ -309,7 +310,7 @@
         let sequence = envelope.sequence;
         if sequence > self.highest {
             let shift = sequence - self.highest;
-            self.seen = if shift >= WINDOW {
+            self.seen = if shift >= REPLAY_WINDOW {
                 0
             } else {
                 self.seen << shift
@@ -319,7 +320,7 @@
             return Ok(());
         }
         let behind = self.highest - sequence;
-        if behind >= WINDOW || self.seen & (1 << behind) != 0 {
+        if behind >= REPLAY_WINDOW || self.seen & (1 << behind) != 0 {
             return Err(Error::ReplayedMessage);
         }
         self.seen |= 1 << behind;
--- a/crates/plumgate/tests/wire.rs
+++ b/crates/plumgate/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use plumgate::Error;
 use plumgate::wire::{
-    LARGEST_MESSAGE, NodeDigest, PeerEnvelope, PeerKey, PeerMessage, ReplayGuard, TextPatch,
+    MAX_MESSAGE_BYTES, NodeDigest, PeerEnvelope, PeerKey, PeerMessage, ReplayGuard, TextPatch,
 };
 use quickcheck::quickcheck;
 
@@ -41,7 +41,7 @@
         assert!(key().open(&bytes[..place]).is_err(), "cut at {place}");
     }
     assert!(matches!(
-        key().open(&vec![0; LARGEST_MESSAGE + 1]),
+        key().open(&vec![0; MAX_MESSAGE_BYTES + 1]),
         Err(Error::OversizedMessage(..))
     ));
 }
