--- a/crates/plumgate-cli/src/apply.rs
+++ b/crates/plumgate-cli/src/apply.rs
@@ -1,7 +1,7 @@
 //! Changes of the configuration: application of whole files, and drains of single servers.
 
 use plumgate::config::{ConfigBundle, FleetConfig, config_changes};
-use plumgate::follow::ConfigHead;
+use plumgate::config_follower::ConfigHead;
 use plumgate_node::platform::TableRow;
 
 use crate::errors::{Error, Result};
--- a/crates/plumgate-cli/src/commands.rs
+++ b/crates/plumgate-cli/src/commands.rs
@@ -7,7 +7,7 @@
 use clap::ArgMatches;
 use clap_complete::{Shell, generate};
 use plumgate::config::{ConfigBundle, config_changes, key_digest};
-use plumgate::follow::ConfigHead;
+use plumgate::config_follower::ConfigHead;
 use plumgate_node::gateway::{DUTIES_PATH, LIMITS_PATH, STATEMENTS_PATH};
 use plumgate_node::status::NodeStatus;
 use serde_json::json;
--- a/crates/plumgate-cli/src/store.rs
+++ b/crates/plumgate-cli/src/store.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use plumgate::config::ConfigBundle;
-use plumgate::follow::ConfigHead;
+use plumgate::config_follower::ConfigHead;
 use plumgate_node::platform::{
     CONFIG_HEAD, CONFIG_TABLE, PlatformClient, TableRow, WriteAnswer, WriteCondition,
 };
--- a/crates/plumgate-node/src/control.rs
+++ b/crates/plumgate-node/src/control.rs
@@ -11,7 +11,7 @@
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use plumgate::follow::{ConfigFollower, ConfigHead};
+use plumgate::config_follower::{ConfigFollower, ConfigHead};
 use plumgate::ids::{PoolId, ServerId};
 use plumgate::membership::{ListedNode, MemberEvent, MemberTable};
 use plumgate::route::{LeavingSource, LoadReport};
@@ -238,7 +238,7 @@
             TaskResult::Bundle(head, Some(text)) => {
                 let action = self
                     .follower
-                    .apply_body(head.version, text, Some(&head.digest));
+                    .apply_bundle(head.version, text, Some(&head.digest));
                 self.run_optional_action(action);
             }
             TaskResult::Vms(Ok(vms)) => self.apply_list(vms),
--- a/crates/plumgate-node/src/control/config.rs
+++ b/crates/plumgate-node/src/control/config.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use plumgate::config::FleetConfig;
-use plumgate::follow::FollowAction;
+use plumgate::config_follower::FollowAction;
 use plumgate::wire::{PeerMessage, TextPatch};
 
 use super::{ControlLoop, TaskResult};
@@ -23,12 +23,12 @@
             FollowAction::ReadHead => self.spawn(|platform| async move {
                 TaskResult::Head(platform.read_row(CONFIG_TABLE, CONFIG_HEAD).await)
             }),
-            FollowAction::ReadBody(head) => self.spawn(|platform| async move {
+            FollowAction::ReadBundle(head) => self.spawn(|platform| async move {
                 let bytes = platform.read_object(&head.digest).await.ok().flatten();
                 let text = bytes.and_then(|bytes| String::from_utf8(bytes.to_vec()).ok());
                 TaskResult::Bundle(head, text)
             }),
-            FollowAction::AskPeer(node) => {
+            FollowAction::RequestFromPeer(node) => {
                 let address = self
                     .members
                     .peer(&node)
@@ -69,7 +69,7 @@
     /// Sends a new version to peers at once; each peer that applies it sends it on to others.
     pub(super) fn announce_config(&mut self) {
         let addresses = self.members.gossip_targets();
-        let digest = self.follower.held().map(|held| held.digest.clone());
+        let digest = self.follower.active().map(|active| active.digest.clone());
         if let (Some((from, version, patch)), Some(digest)) = (self.last_patch.clone(), digest) {
             self.send(
                 &addresses,
@@ -86,26 +86,28 @@
     }
 
     pub(super) fn send_config(&mut self, node: &str, known_version: u64) {
-        let Some(held) = self
+        let Some(active) = self
             .follower
-            .held()
-            .filter(|held| held.version > known_version)
+            .active()
+            .filter(|active| active.version > known_version)
         else {
             return;
         };
         let message = match &self.last_patch {
-            Some((from, version, patch)) if *from == known_version && *version == held.version => {
+            Some((from, version, patch))
+                if *from == known_version && *version == active.version =>
+            {
                 let (from, version, patch) = (*from, *version, patch.clone());
                 PeerMessage::ConfigPatch {
                     from,
                     version,
                     patch,
-                    digest: held.digest.clone(),
+                    digest: active.digest.clone(),
                 }
             }
             _ => PeerMessage::Config {
-                version: held.version,
-                bundle: held.text.clone(),
+                version: active.version,
+                bundle: active.text.clone(),
             },
         };
         let address = self.members.peer(node).map(|digest| digest.address.clone());
--- a/crates/plumgate-node/src/control/gossip.rs
+++ b/crates/plumgate-node/src/control/gossip.rs
@@ -114,7 +114,7 @@
                 self.send_config(&envelope.sender, known_version)
             }
             PeerMessage::Config { version, bundle } => {
-                let action = self.follower.apply_body(version, bundle, None);
+                let action = self.follower.apply_bundle(version, bundle, None);
                 self.run_optional_action(action);
             }
             PeerMessage::ConfigPatch {
--- a/crates/plumgate-standin/tests/golden.rs
+++ b/crates/plumgate-standin/tests/golden.rs
@@ -13,7 +13,7 @@
 
 use hyper::Method;
 use plumgate::config::{ConfigBundle, key_digest};
-use plumgate::follow::ConfigHead;
+use plumgate::config_follower::ConfigHead;
 use plumgate_node::log::sink_log;
 use plumgate_node::platform::{CONFIG_HEAD, CONFIG_TABLE, PlatformClient, WriteCondition};
 use plumgate_node::{Node, NodeSettings, PausedClock};
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use plumgate::config::{ConfigBundle, FleetConfig, key_digest};
+use plumgate::config_follower::{ConfigFollower, FollowAction};
 use plumgate::dispatch::{
     AttemptOutcome, DispatchAction, DispatchOptions, Dispatcher, RequestTicket,
 };
-use plumgate::follow::{ConfigFollower, FollowAction};
 use plumgate::membership::{MemberTable, NodeGroup, SharingNodes};
 use plumgate::route::RouteOptions;
 use plumgate::wire::{
@@ -136,7 +136,7 @@
     let now = Instant::now();
     let taken = median(|| {
         let mut follower = ConfigFollower::new();
-        follower.apply_body(1, texts[0].clone(), None);
+        follower.apply_bundle(1, texts[0].clone(), None);
         let start = Instant::now();
         let action = follower.apply_patch("peer", 1, 2, &patch, &digest);
         let Some(FollowAction::Adopt { config, .. }) = action else {
@@ -146,7 +146,7 @@
         start.elapsed()
     });
     let mut follower = ConfigFollower::new();
-    follower.apply_body(1, texts[0].clone(), None);
+    follower.apply_bundle(1, texts[0].clone(), None);
     println!(
         "config: {} servers, {} workspaces: bundle {} KB, patch {} bytes, one change {:.1} ms, resident +{} KB",
         size.servers,
--- a/crates/plumgate/src/follow.rs
+++ b/crates/plumgate/src/config_follower.rs
@@ -34,7 +34,7 @@
 
 /// Configuration version that is in force on a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldConfig {
+pub struct ActiveConfig {
     /// The version.
     pub version: ConfigVersion,
     /// The bundle as JSON.
@@ -49,9 +49,9 @@
     /// Read the head row.
     ReadHead,
     /// Read a bundle from the object store.
-    ReadBody(ConfigHead),
+    ReadBundle(ConfigHead),
     /// Request the whole version from this peer.
-    AskPeer(String),
+    RequestFromPeer(String),
     /// Put a version into force.
     Adopt {
         /// Parsed and checked version.
@@ -71,7 +71,7 @@
 /// Keeps a node's configuration up to date with the head row.
 #[derive(Debug, Default)]
 pub struct ConfigFollower {
-    held: Option<HeldConfig>,
+    active: Option<ActiveConfig>,
     next_poll: Option<Instant>,
     requested: Option<(ConfigVersion, Instant)>,
 }
@@ -84,12 +84,12 @@
 
     /// Returns the version in force, 0 for none.
     pub fn version(&self) -> ConfigVersion {
-        self.held.as_ref().map_or(0, |held| held.version)
+        self.active.as_ref().map_or(0, |active| active.version)
     }
 
     /// Returns the version in force with its text.
-    pub fn held(&self) -> Option<&HeldConfig> {
-        self.held.as_ref()
+    pub fn active(&self) -> Option<&ActiveConfig> {
+        self.active.as_ref()
     }
 
     /// Returns a read of the head row when one is due; `chosen`: this node reads for its data centre.
@@ -98,7 +98,7 @@
             return None;
         }
         // A node without a configuration serves no requests, so it polls as often as a chosen node.
-        let polls_often = chosen || self.held.is_none();
+        let polls_often = chosen || self.active.is_none();
         self.next_poll = Some(
             now + if polls_often {
                 POLL_INTERVAL
@@ -118,7 +118,7 @@
     /// ignored.
     pub fn apply_head(&mut self, head: ConfigHead, now: Instant) -> Option<FollowAction> {
         self.should_request(head.version, now)
-            .then_some(FollowAction::ReadBody(head))
+            .then_some(FollowAction::ReadBundle(head))
     }
 
     /// Handles the version that a peer reports.
@@ -129,7 +129,7 @@
         now: Instant,
     ) -> Option<FollowAction> {
         self.should_request(version, now)
-            .then(|| FollowAction::AskPeer(node.to_owned()))
+            .then(|| FollowAction::RequestFromPeer(node.to_owned()))
     }
 
     /// Returns whether the version is newer and was not requested within the last [`REQUEST_TIMEOUT`].
@@ -148,7 +148,7 @@
     }
 
     /// Handles a whole version from the object store or from a peer; `expected` is its digest, if known.
-    pub fn apply_body(
+    pub fn apply_bundle(
         &mut self,
         version: ConfigVersion,
         text: String,
@@ -172,10 +172,10 @@
             Err(findings) => return Some(self.reject(version, &findings.to_string())),
         };
         let patch = self
-            .held
+            .active
             .as_ref()
-            .map(|held| (held.version, TextPatch::between(&held.text, &text)));
-        self.held = Some(HeldConfig {
+            .map(|active| (active.version, TextPatch::between(&active.text, &text)));
+        self.active = Some(ActiveConfig {
             version,
             text,
             digest,
@@ -196,11 +196,11 @@
         if version <= self.version() {
             return None;
         }
-        let held = self.held.as_ref().filter(|held| held.version == from);
-        let text = held.and_then(|held| patch.apply(&held.text));
+        let active = self.active.as_ref().filter(|active| active.version == from);
+        let text = active.and_then(|active| patch.apply(&active.text));
         match text {
-            Some(text) => self.apply_body(version, text, Some(digest)),
-            None => Some(FollowAction::AskPeer(node.to_owned())),
+            Some(text) => self.apply_bundle(version, text, Some(digest)),
+            None => Some(FollowAction::RequestFromPeer(node.to_owned())),
         }
     }
 
--- a/crates/plumgate/tests/membership.rs
+++ b/crates/plumgate/tests/membership.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use plumgate::config::ConfigBundle;
-use plumgate::follow::{ConfigFollower, ConfigHead, FollowAction};
+use plumgate::config_follower::{ConfigFollower, ConfigHead, FollowAction};
 use plumgate::membership::{ListedNode, MemberEvent, MemberTable};
 use plumgate::wire::NodeDigest;
 use quickcheck::quickcheck;
@@ -116,18 +116,18 @@
                 self.nodes[to]
                     .follower
                     .apply_peer_version(&digest.node, digest.config, self.now);
-            let Some(FollowAction::AskPeer(node)) = action else {
+            let Some(FollowAction::RequestFromPeer(node)) = action else {
                 continue;
             };
             let peer: usize = node[1..].parse().expect("a node's number");
             if !self.reaches(to, peer) {
                 continue;
             }
-            let held = self.nodes[peer].follower.held().cloned();
-            if let Some(held) = held {
+            let active = self.nodes[peer].follower.active().cloned();
+            if let Some(active) = active {
                 self.nodes[to]
                     .follower
-                    .apply_body(held.version, held.text, None);
+                    .apply_bundle(active.version, active.text, None);
             }
         }
     }
@@ -145,9 +145,9 @@
         let Some((head, text)) = &self.head else {
             return;
         };
-        if let Some(FollowAction::ReadBody(head)) = node.follower.apply_head(head.clone(), now) {
+        if let Some(FollowAction::ReadBundle(head)) = node.follower.apply_head(head.clone(), now) {
             node.follower
-                .apply_body(head.version, text.clone(), Some(&head.digest));
+                .apply_bundle(head.version, text.clone(), Some(&head.digest));
         }
     }
 
@@ -332,37 +332,37 @@
     let now = Instant::now();
     assert_eq!(
         follower.apply_peer_version("old", 3, now),
-        Some(FollowAction::AskPeer("old".into()))
+        Some(FollowAction::RequestFromPeer("old".into()))
     );
     assert!(matches!(
-        follower.apply_body(3, bundle(3).1, None),
+        follower.apply_bundle(3, bundle(3).1, None),
         Some(FollowAction::Adopt { config, .. }) if config.version == 3
     ));
     assert_eq!(
         follower.apply_peer_version("new", 5, now),
-        Some(FollowAction::AskPeer("new".into()))
+        Some(FollowAction::RequestFromPeer("new".into()))
     );
     assert!(matches!(
-        follower.apply_body(5, bundle(5).1, None),
+        follower.apply_bundle(5, bundle(5).1, None),
         Some(FollowAction::Adopt { config, .. }) if config.version == 5
     ));
     assert_eq!(follower.apply_peer_version("old", 3, now), None);
-    assert_eq!(follower.apply_body(3, bundle(3).1, None), None);
+    assert_eq!(follower.apply_bundle(3, bundle(3).1, None), None);
     assert_eq!(follower.version(), 5);
 }
 
 #[test]
 fn bundle_that_makes_no_sense_is_rejected_and_the_old_one_stays() {
     let mut follower = ConfigFollower::new();
-    follower.apply_body(1, bundle(1).1, None);
+    follower.apply_bundle(1, bundle(1).1, None);
     for text in ["<html>", "{}", "{\"inventory\":\"[\",\"rules\":\"\"}"] {
-        let action = follower.apply_body(2, text.to_owned(), None);
+        let action = follower.apply_bundle(2, text.to_owned(), None);
         assert!(
             matches!(action, Some(FollowAction::Reject { version: 2, .. })),
             "{text}"
         );
     }
-    let action = follower.apply_body(2, bundle(2).1, Some("another digest"));
+    let action = follower.apply_bundle(2, bundle(2).1, Some("another digest"));
     assert!(matches!(action, Some(FollowAction::Reject { .. })));
     assert_eq!(follower.version(), 1);
 }
@@ -370,11 +370,11 @@
 #[test]
 fn patch_that_does_not_fit_is_followed_by_a_question() {
     let mut follower = ConfigFollower::new();
-    follower.apply_body(1, bundle(1).1, None);
+    follower.apply_bundle(1, bundle(1).1, None);
     let patch = plumgate::wire::TextPatch::between(&bundle(2).1, &bundle(3).1);
     let digest = bundle(3).0.digest();
     let action = follower.apply_patch("peer", 2, 3, &patch, &digest);
-    assert_eq!(action, Some(FollowAction::AskPeer("peer".into())));
+    assert_eq!(action, Some(FollowAction::RequestFromPeer("peer".into())));
     let patch = plumgate::wire::TextPatch::between(&bundle(1).1, &bundle(3).1);
     let action = follower.apply_patch("peer", 1, 3, &patch, &digest);
     assert!(matches!(
