--- a/crates/plumgate-node/src/orders.rs
+++ b/crates/plumgate-node/src/orders.rs
@@ -13,7 +13,7 @@
 use plumgate::ids::{FencingNumber, PoolId, ServerId};
 use plumgate::lease::{LeaseAction, LeaseAnswer, LeaseHolder, LeaseRow, MAX_ORDER_DURATION};
 use plumgate::membership::MemberTable;
-use plumgate::placement::{LoadedModels, PlacementOrder, PlacementPlanner};
+use plumgate::model_placement::{LoadedModels, PlacementOrder, PlacementPlanner};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -151,7 +151,7 @@
             return;
         }
         state.fencing = fencing;
-        state.planner.begin();
+        state.planner.reset();
         LogLine::new("lease")
             .with("model", model)
             .with("held", fencing.is_some())
--- a/crates/plumgate/src/dispatch/dispatcher.rs
+++ b/crates/plumgate/src/dispatch/dispatcher.rs
@@ -13,7 +13,7 @@
 use super::ticket::{DispatchAction, RefusalReason, RequestTicket, StartOrder};
 use crate::config::FleetConfig;
 use crate::ids::{PoolId, RequestId, ServerId, TierRank, WorkspaceId};
-use crate::limits::LimitTable;
+use crate::limits::WorkspaceLimits;
 use crate::membership::SharingNodes;
 use crate::retry::RetryBudget;
 use crate::route::{HIGHEST_RANK, RouteChoice, RouteOptions, RouteTable};
@@ -93,7 +93,7 @@
     options: DispatchOptions,
     config: Option<Arc<FleetConfig>>,
     routes: RouteTable,
-    limits: LimitTable,
+    limits: WorkspaceLimits,
     budget: RetryBudget,
     queues: BTreeMap<PoolId, PoolQueue>,
     pools_by_request: HashMap<RequestId, PoolId>,
@@ -112,7 +112,7 @@
             routes: RouteTable::new(options.route.clone()),
             options,
             config: None,
-            limits: LimitTable::new(),
+            limits: WorkspaceLimits::new(),
             budget: RetryBudget::new(0.0),
             queues: BTreeMap::new(),
             pools_by_request: HashMap::new(),
@@ -157,7 +157,7 @@
     }
 
     /// Returns the workspace limits, to apply reports from other nodes.
-    pub fn limits_mut(&mut self) -> &mut LimitTable {
+    pub fn limits_mut(&mut self) -> &mut WorkspaceLimits {
         &mut self.limits
     }
 
--- a/crates/plumgate/src/limits.rs
+++ b/crates/plumgate/src/limits.rs
@@ -59,14 +59,14 @@
 
 /// All workspace limits as one node enforces them.
 #[derive(Clone, Debug, Default)]
-pub struct LimitTable {
+pub struct WorkspaceLimits {
     uses: BTreeMap<WorkspaceId, WorkspaceUse>,
     peers: BTreeMap<NodeId, PeerDemand>,
     nodes: usize,
     lifetime: Duration,
 }
 
-impl LimitTable {
+impl WorkspaceLimits {
     /// Creates a table for a node without peers.
     pub fn new() -> Self {
         Self {
@@ -147,10 +147,10 @@
     pub fn share(&self, workspace: &WorkspaceId, limit: u32, now: Instant) -> f64 {
         let limit = f64::from(limit);
         let fresh: Vec<&PeerDemand> = self.fresh_peers(now).collect();
-        let heard = fresh.len() + 1;
+        let reporting = fresh.len() + 1;
         let equal = limit / self.nodes as f64;
         // The demand of a peer without a current report is unknown: only an equal share is safe.
-        if heard < self.nodes {
+        if reporting < self.nodes {
             return equal;
         }
         let others: f64 = fresh
--- a/crates/plumgate/src/placement.rs
+++ b/crates/plumgate/src/model_placement.rs
@@ -76,7 +76,7 @@
 
     /// Clears reports and earlier orders, for a node that becomes the holder of the lease: it decides by
     /// what the engines report, not by the orders of an earlier holder.
-    pub fn begin(&mut self) {
+    pub fn reset(&mut self) {
         self.reports.clear();
         self.ordered.clear();
     }
--- a/crates/plumgate/tests/limits.rs
+++ b/crates/plumgate/tests/limits.rs
@@ -4,41 +4,47 @@
 use std::time::{Duration, Instant};
 
 use plumgate::ids::WorkspaceId;
-use plumgate::limits::LimitTable;
+use plumgate::limits::WorkspaceLimits;
 
 fn norte() -> WorkspaceId {
     "norte".into()
 }
 
 /// Tells each node what all others demand.
-fn exchange(tables: &mut [LimitTable], now: Instant) {
-    let demands: Vec<HashMap<WorkspaceId, f32>> = tables
+fn exchange(node_limits: &mut [WorkspaceLimits], now: Instant) {
+    let demands: Vec<HashMap<WorkspaceId, f32>> = node_limits
         .iter()
-        .map(|table| table.demand(now).into_iter().collect())
+        .map(|limits| limits.demand(now).into_iter().collect())
         .collect();
-    for (index, table) in tables.iter_mut().enumerate() {
+    for (index, limits) in node_limits.iter_mut().enumerate() {
         for (peer, demand) in demands
             .iter()
             .enumerate()
             .filter(|(peer, _)| *peer != index)
         {
-            table.apply_demand(format!("n{peer}").into(), demand.clone(), now);
+            limits.apply_demand(format!("n{peer}").into(), demand.clone(), now);
         }
     }
 }
 
 /// Requests admitted a second by each node, when it is asked so often.
-fn run(tables: &mut [LimitTable], asked: &[u32], limit: u32, seconds: u32, told: bool) -> Vec<f64> {
+fn run(
+    node_limits: &mut [WorkspaceLimits],
+    asked: &[u32],
+    limit: u32,
+    seconds: u32,
+    told: bool,
+) -> Vec<f64> {
     let mut now = Instant::now();
-    let mut admitted = vec![0_u32; tables.len()];
+    let mut admitted = vec![0_u32; node_limits.len()];
     for step in 0..seconds * 100 {
         now += Duration::from_millis(10);
         if told && step % 50 == 0 {
-            exchange(tables, now);
+            exchange(node_limits, now);
         }
-        for (index, table) in tables.iter_mut().enumerate() {
+        for (index, limits) in node_limits.iter_mut().enumerate() {
             if step % 100 < asked[index]
-                && table.admit(&norte(), limit, now).is_ok()
+                && limits.admit(&norte(), limit, now).is_ok()
                 && step >= 1000
             {
                 admitted[index] += 1;
@@ -52,17 +58,25 @@
         .collect()
 }
 
-fn tables(count: usize) -> Vec<LimitTable> {
-    let mut tables = vec![LimitTable::new(); count];
-    tables.iter_mut().for_each(|table| table.set_nodes(count));
-    tables
+fn node_limits(count: usize) -> Vec<WorkspaceLimits> {
+    let mut node_limits = vec![WorkspaceLimits::new(); count];
+    node_limits
+        .iter_mut()
+        .for_each(|limits| limits.set_nodes(count));
+    node_limits
 }
 
 // Half of a workspace's callers come through one node of eight. By equal shares that node
 // would refuse most of them while the other nodes' shares lie idle.
 #[test]
 fn shares_follow_demand() {
-    let rates = run(&mut tables(8), &[40, 5, 5, 5, 5, 5, 5, 5], 80, 40, true);
+    let rates = run(
+        &mut node_limits(8),
+        &[40, 5, 5, 5, 5, 5, 5, 5],
+        80,
+        40,
+        true,
+    );
     assert!(rates[0] > 38.0, "{rates:?}");
     assert!(rates.iter().sum::<f64>() < 80.0 * 1.05, "{rates:?}");
 }
@@ -70,7 +84,7 @@
 #[test]
 fn limit_is_kept_over_all_nodes_under_demand_beyond_it() {
     let rates = run(
-        &mut tables(8),
+        &mut node_limits(8),
         &[90, 90, 10, 10, 10, 10, 10, 10],
         60,
         40,
@@ -84,7 +98,7 @@
 // keep the limit, whatever the others' demand is.
 #[test]
 fn nodes_that_hear_nobody_take_equal_shares() {
-    let rates = run(&mut tables(4), &[90, 90, 90, 90], 40, 40, false);
+    let rates = run(&mut node_limits(4), &[90, 90, 90, 90], 40, 40, false);
     for rate in &rates {
         assert!((9.0..11.0).contains(rate), "{rates:?}");
     }
@@ -94,34 +108,34 @@
 // second of a node's share refused 1 in 30 of them; their callers were within their limit.
 #[test]
 fn uneven_arrivals_within_the_limit_are_not_refused() {
-    let mut tables = tables(6);
+    let mut node_limits = node_limits(6);
     let mut rng = fastrand::Rng::with_seed(3);
     let mut now = Instant::now();
     let mut refused = 0;
     for number in 0..300 {
         now += Duration::from_millis(200);
         if number % 3 == 0 {
-            exchange(&mut tables, now);
+            exchange(&mut node_limits, now);
         }
-        let table = &mut tables[rng.usize(..6)];
-        refused += u32::from(table.admit(&norte(), 10, now).is_err());
+        let limits = &mut node_limits[rng.usize(..6)];
+        refused += u32::from(limits.admit(&norte(), 10, now).is_err());
     }
     assert_eq!(refused, 0);
 }
 
 #[test]
 fn concurrency_is_split_and_freed() {
-    let mut table = LimitTable::new();
-    table.set_nodes(2);
+    let mut limits = WorkspaceLimits::new();
+    limits.set_nodes(2);
     let now = Instant::now();
-    table.start(&norte(), now);
-    table.start(&norte(), now);
+    limits.start(&norte(), now);
+    limits.start(&norte(), now);
     assert!(
-        !table.has_room(&norte(), 4, now),
+        !limits.has_room(&norte(), 4, now),
         "an equal share of 4 is 2"
     );
-    table.finish(&norte(), now);
-    assert!(table.has_room(&norte(), 4, now));
+    limits.finish(&norte(), now);
+    assert!(limits.has_room(&norte(), 4, now));
 }
 
 /// Each of many nodes let a workspace start a burst of its own, however small its share of the limit.
@@ -129,11 +143,11 @@
 fn nodes_together_admit_no_more_than_a_workspaces_burst() {
     let nodes = 64;
     let limit = 10;
-    let mut tables = tables(nodes);
+    let mut node_limits = node_limits(nodes);
     let now = Instant::now();
-    exchange(&mut tables, now);
-    let admitted = tables.iter_mut().map(|table| {
-        let tries = (0..10).filter(|_| table.admit(&norte(), limit, now).is_ok());
+    exchange(&mut node_limits, now);
+    let admitted = node_limits.iter_mut().map(|limits| {
+        let tries = (0..10).filter(|_| limits.admit(&norte(), limit, now).is_ok());
         tries.count()
     });
     let admitted: usize = admitted.sum();
--- a/crates/plumgate/tests/placement.rs
+++ b/crates/plumgate/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use plumgate::placement::{LoadedModels, PlacementPlanner};
+use plumgate::model_placement::{LoadedModels, PlacementPlanner};
 use support::config;
 
 fn models(loaded: &[&str]) -> LoadedModels {
