--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -9,7 +9,7 @@
     WorkTicket,
 };
 
-use super::lives::ServerIncarnation;
+use super::incarnations::ServerIncarnation;
 use super::ports::WireFormat;
 use super::shared::GatewayShared;
 use super::suspects::ask_server;
@@ -87,7 +87,7 @@
         ticket: WorkTicket,
         permit: Option<SendPermit>,
     ) -> Self {
-        let incarnation = shared.lives.current(ticket.server());
+        let incarnation = shared.incarnations.current(ticket.server());
         Self {
             shared,
             server: pick.server.clone(),
--- a/crates/plumgate-node/src/gateway/lives.rs
+++ b/crates/plumgate-node/src/gateway/incarnations.rs
@@ -45,11 +45,11 @@
 
 /// Current incarnations of servers that requests were sent to.
 #[derive(Debug, Default)]
-pub(crate) struct ServerLives {
+pub(crate) struct ServerIncarnations {
     incarnations: Mutex<HashMap<ServerId, Arc<ServerIncarnation>>>,
 }
 
-impl ServerLives {
+impl ServerIncarnations {
     /// Returns the current incarnation of a server.
     pub(crate) fn current(&self, server: &ServerId) -> Arc<ServerIncarnation> {
         let mut incarnations = self
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -15,8 +15,8 @@
 use plumgate::ids::WorkspaceId;
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::incarnations::ServerIncarnations;
 use super::links::LinkPool;
-use super::lives::ServerLives;
 use super::metrics::GatewayMetrics;
 use super::options::{GatewayBounds, GatewayOptions};
 use crate::clock::Clock;
@@ -61,7 +61,7 @@
     /// Idle connections to servers.
     pub(crate) links: LinkPool,
     /// Incarnations of servers; the end of one ends the requests that run there.
-    pub(crate) lives: ServerLives,
+    pub(crate) incarnations: ServerIncarnations,
     /// Executor of the traffic thread's tasks.
     pub(crate) executor: Arc<Executor<'static>>,
     lease: Mutex<FreshnessLease>,
@@ -112,7 +112,7 @@
             server_asked: Event::new(),
             life_changed: Event::new(),
             links: LinkPool::default(),
-            lives: ServerLives::default(),
+            incarnations: ServerIncarnations::default(),
             executor: Arc::new(Executor::new()),
             lease: Mutex::new(FreshnessLease::new(bounds.key_age)),
             loads: Mutex::new(LoadTable::new(placement)),
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -161,11 +161,11 @@
             match change {
                 ServerChange::Gone(id) => {
                     self.shared.links.clear(id);
-                    self.shared.lives.forget(id);
+                    self.shared.incarnations.forget(id);
                 }
                 ServerChange::Restarted(entry) => {
                     self.shared.links.clear(&entry.id);
-                    self.shared.lives.end(&entry.id);
+                    self.shared.incarnations.end(&entry.id);
                 }
                 ServerChange::Changed(_) | ServerChange::Unconfirmed(_) => {}
             }
