--- a/crates/plumgate-node/src/gateway/answer.rs
+++ b/crates/plumgate-node/src/gateway/answer.rs
@@ -90,7 +90,7 @@
 }
 
 /// Announces to the caller that the connection closes after this response.
-pub(crate) fn mark_last<B>(response: &mut Response<B>) {
+pub(crate) fn announce_close<B>(response: &mut Response<B>) {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(CONNECTION, close);
 }
--- a/crates/plumgate-node/src/gateway/caller.rs
+++ b/crates/plumgate-node/src/gateway/caller.rs
@@ -15,7 +15,7 @@
 use plumgate::gateway::CallerLimits;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use super::answer::{GatewayBody, StreamPiece, mark_last, own_answer};
+use super::answer::{GatewayBody, StreamPiece, announce_close, own_answer};
 use super::checks::accept;
 use super::connection::{CallerStream, ConnectionActivity, GuardedBody};
 use super::duties::DUTIES_PATH;
@@ -149,7 +149,7 @@
             // whose data is too stale: the balancer sends it no new connections, but open ones would remain, and
             // each request on them would be refused.
             if !shared.is_ready() {
-                mark_last(&mut response);
+                announce_close(&mut response);
             }
             Ok::<_, Infallible>(response.map(|body| GuardedBody::new(body, guard)))
         }
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -73,7 +73,7 @@
                 AttemptOutcome::NotRun { reason, arrived } => self.after_refusal(reason, arrived),
                 AttemptOutcome::Disallowed(refusal) => self.after_disallowed(&pick, refusal),
                 AttemptOutcome::InDoubt(reason) => {
-                    self.settle().await;
+                    self.wait_for_probe().await;
                     self.after_in_doubt(reason)
                 }
                 AttemptOutcome::TimedOut => NextStep::Fail(self.time_out()),
@@ -235,7 +235,7 @@
             Some(Some(Err(failure))) => {
                 answer.work.set_outcome(failure.work_outcome());
                 drop(answer);
-                self.settle().await;
+                self.wait_for_probe().await;
                 return self.after_in_doubt(failure.as_str());
             }
         };
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -247,7 +247,7 @@
 
     /// Waits for the probe that shows whether the server just crashed, if others crashed under the request
     /// before: a retry at once could crash the next one. Waits no longer than a connection may take to open.
-    pub(crate) async fn settle(&self) {
+    pub(crate) async fn wait_for_probe(&self) {
         let clock = &self.shared.clock;
         let deadline = clock.now() + CONNECT_TIMEOUT;
         loop {
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -253,7 +253,7 @@
         if self.run.request.route.kind != RepeatKind::ResumableStream {
             return false;
         }
-        self.run.settle().await;
+        self.run.wait_for_probe().await;
         while self.run.allow_run_again(reason) {
             match self.continue_stream().await {
                 ResumeOutcome::Continued => return true,
