--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -14,13 +14,13 @@
 use plumgate::ids::DataCentreId;
 
 use super::attempt::CONNECT_TIMEOUT;
-use super::copies::{CONCURRENT_SNAPSHOTS, serve_snapshots};
 use super::duties::DutyState;
 use super::exchange::PeerExchange;
 use super::life::GatewayLifecycle;
 use super::options::GatewayBounds;
 use super::ports::{FleetSource, SourceTopic};
 use super::shared::GatewayShared;
+use super::snapshots::{CONCURRENT_SNAPSHOTS, serve_snapshots};
 use super::source_calls::{CallCause, CallTopic, note_source_call};
 use super::view::FleetView;
 use crate::clock::{Clock, until};
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -12,9 +12,9 @@
 };
 use plumgate::{FindingList, StoreEra, StoreVersion};
 
-use super::copy_wishes::SnapshotRequests;
 use super::ports::{SourceChange, SourceEvent};
 use super::shared::GatewayShared;
+use super::snapshot_requests::SnapshotRequests;
 use crate::clock::{Clock, until};
 use crate::log::LogLine;
 
--- a/crates/plumgate-node/src/gateway/view_copies.rs
+++ b/crates/plumgate-node/src/gateway/view_snapshots.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::copies::{SnapshotError, fetch_snapshot};
+use super::snapshots::{SnapshotError, fetch_snapshot};
 use super::view::{FleetView, UNCONFIRMED_GRACE_PERIOD};
 use crate::clock::Clock;
 use crate::log::LogLine;
