--- a/crates/plumgate-node/src/gateway/caller.rs
+++ b/crates/plumgate-node/src/gateway/caller.rs
@@ -65,8 +65,8 @@
 /// Completes when the node accepts no more requests.
 async fn wait_for_closing<C: Clock, W>(shared: &GatewayShared<C, W>) {
     loop {
-        let changed = shared.life_changed.listen();
-        if shared.life.load().closing {
+        let changed = shared.lifecycle_changed.listen();
+        if shared.lifecycle.load().closing {
             return;
         }
         changed.await;
@@ -195,9 +195,9 @@
     activity: &ConnectionActivity,
 ) -> CloseReason {
     loop {
-        let life_changed = shared.life_changed.listen();
+        let lifecycle_changed = shared.lifecycle_changed.listen();
         let activity_changed = activity.listen();
-        if shared.life.load().closing {
+        if shared.lifecycle.load().closing {
             return CloseReason::Leaving;
         }
         // The limits are read each time, as they may change while a connection is open.
@@ -206,7 +206,7 @@
         if closes_at.is_some_and(|at| now >= at) {
             return CloseReason::Expired;
         }
-        let changed = future::or(life_changed, activity_changed);
+        let changed = future::or(lifecycle_changed, activity_changed);
         match closes_at {
             Some(at) => {
                 let _ = until(&shared.clock, at, changed).await;
--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -16,7 +16,7 @@
 use super::attempt::CONNECT_TIMEOUT;
 use super::duties::DutyState;
 use super::exchange::PeerExchange;
-use super::life::GatewayLifecycle;
+use super::lifecycle::GatewayLifecycle;
 use super::options::GatewayBounds;
 use super::ports::{FleetSource, SourceTopic};
 use super::shared::GatewayShared;
@@ -46,7 +46,7 @@
     pub(super) shared: Arc<GatewayShared<C, W>>,
     pub(super) view: Rc<FleetView<C, W>>,
     unreachable_data_centres: RefCell<Vec<DataCentreId>>,
-    pub(super) life: RefCell<GatewayLifecycle>,
+    pub(super) lifecycle: RefCell<GatewayLifecycle>,
 }
 
 impl<C: Clock, W: Send + Sync + 'static> GatewayControl<C, W> {
@@ -56,7 +56,7 @@
             view: Rc::new(FleetView::new(shared.clone())),
             shared,
             unreachable_data_centres: RefCell::default(),
-            life: RefCell::new(GatewayLifecycle::new()),
+            lifecycle: RefCell::new(GatewayLifecycle::new()),
         }
     }
 
@@ -120,7 +120,7 @@
 
     /// Runs the lifecycle of the node until it ends.
     async fn run_lifecycle(&self, signals: Receiver<GatewaySignal>) {
-        while !self.life.borrow().is_over() {
+        while !self.lifecycle.borrow().is_over() {
             let tick = async {
                 self.shared.clock.sleep(TICK).await;
                 None
@@ -132,7 +132,7 @@
                 }
             };
             match future::or(signal, tick).await {
-                Some(GatewaySignal::Stop) => self.life.borrow_mut().stop(&self.shared),
+                Some(GatewaySignal::Stop) => self.lifecycle.borrow_mut().stop(&self.shared),
                 Some(GatewaySignal::Reload(bounds)) => self.reload(bounds),
                 None => self.tick(),
             }
@@ -148,7 +148,7 @@
             self.shared.metrics.key_age.set(age);
         }
         self.probe_data_centres(now);
-        self.life.borrow_mut().tick(&self.shared);
+        self.lifecycle.borrow_mut().tick(&self.shared);
     }
 
     /// Opens plain connections to the data centres that seem unreachable, to detect when they can be reached
--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -84,7 +84,7 @@
                         cause = CallCause::Watch;
                     }
                     if self.view.apply(topic, change, is_whole, requested_at) {
-                        self.life.borrow_mut().configured(&self.shared);
+                        self.lifecycle.borrow_mut().configured(&self.shared);
                     }
                     self.shared.clock.sleep(pause).await;
                 }
@@ -112,7 +112,7 @@
     pub(super) async fn fetch_snapshots(&self, topic: SourceTopic) {
         loop {
             if self.view.fetch_next_snapshot(topic).await {
-                self.life.borrow_mut().configured(&self.shared);
+                self.lifecycle.borrow_mut().configured(&self.shared);
             }
         }
     }
--- a/crates/plumgate-node/src/gateway/life.rs
+++ b/crates/plumgate-node/src/gateway/lifecycle.rs
@@ -78,7 +78,7 @@
     fn enter<C: Clock, W>(&mut self, event: &str, shared: &GatewayShared<C, W>) {
         self.entered_at = Some(shared.clock.now());
         let view = enter_state(&mut self.run, event, shared.open_requests(), &shared.log);
-        shared.life.store(Arc::new(view));
-        shared.life_changed.notify(usize::MAX);
+        shared.lifecycle.store(Arc::new(view));
+        shared.lifecycle_changed.notify(usize::MAX);
     }
 }
--- a/crates/plumgate-node/src/gateway/mod.rs
+++ b/crates/plumgate-node/src/gateway/mod.rs
@@ -17,7 +17,7 @@
 mod following;
 mod guards;
 mod incarnations;
-mod life;
+mod lifecycle;
 mod links;
 mod metrics;
 mod node;
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -45,7 +45,7 @@
     /// Configuration in force.
     pub(crate) config: ArcSwapOption<GatewayConfig>,
     /// State of the node's lifecycle.
-    pub(crate) life: ArcSwap<LifeView>,
+    pub(crate) lifecycle: ArcSwap<LifeView>,
     /// Page on the state of the duties, for operators.
     pub(crate) duties_page: ArcSwap<String>,
     /// Operators' bounds, as last read.
@@ -57,7 +57,7 @@
     /// Notifies that requests for permits were answered.
     pub(crate) limit_answered: Event,
     /// Notifies connections that the state of the lifecycle changed.
-    pub(crate) life_changed: Event,
+    pub(crate) lifecycle_changed: Event,
     /// Idle connections to servers.
     pub(crate) links: LinkPool,
     /// Incarnations of servers; the end of one ends the requests that run there.
@@ -103,14 +103,14 @@
             wire,
             metrics: GatewayMetrics::new(),
             config: ArcSwapOption::empty(),
-            life: ArcSwap::from_pointee(LifeView {
+            lifecycle: ArcSwap::from_pointee(LifeView {
                 state: "starting".to_owned(),
                 ..LifeView::default()
             }),
             duties_page: ArcSwap::from_pointee(String::new()),
             bounds: ArcSwap::from_pointee(bounds),
             server_asked: Event::new(),
-            life_changed: Event::new(),
+            lifecycle_changed: Event::new(),
             links: LinkPool::default(),
             incarnations: ServerIncarnations::default(),
             executor: Arc::new(Executor::new()),
@@ -246,7 +246,7 @@
 
     /// Returns whether the balancer should send callers to this node.
     pub(crate) fn is_ready(&self) -> bool {
-        self.life.load().ready && self.allows_ready()
+        self.lifecycle.load().ready && self.allows_ready()
     }
 
     /// Returns whether neither requests nor connections are open.
