--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -21,7 +21,7 @@
 use super::ports::{FleetSource, SourceTopic};
 use super::shared::GatewayShared;
 use super::snapshots::{CONCURRENT_SNAPSHOTS, serve_snapshots};
-use super::source_calls::{CallCause, CallTopic, note_source_call};
+use super::source_calls::{CallCause, CallTopic, record_source_call};
 use super::view::FleetView;
 use crate::clock::{Clock, until};
 use crate::http::open_stream;
@@ -112,7 +112,7 @@
         let leaving = source.unregister(own);
         let removed = until(&self.shared.clock, deadline, leaving).await;
         let done = matches!(removed, Some(Ok(())));
-        note_source_call(&self.shared, CallTopic::Nodes, CallCause::Leave, done);
+        record_source_call(&self.shared, CallTopic::Nodes, CallCause::Leave, done);
         LogLine::new("unregister")
             .with("done", done)
             .info(&self.shared.log);
--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -96,7 +96,7 @@
         let mut clock = self.clock.borrow_mut();
         clock.record_own(self.shared.clock.unix_ms(), boot);
         if let Some(offset) = clock.offset() {
-            self.shared.day_offset_ms.store(offset, Ordering::Relaxed);
+            self.shared.unix_offset_ms.store(offset, Ordering::Relaxed);
         }
     }
 
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -14,7 +14,7 @@
 use super::duties::{CALL_TIMEOUT, DutyState};
 use super::metrics::DutyLabels;
 use super::ports::{DutyParty, FleetSource, PartyError, SourceError};
-use super::source_calls::{CallCause, CallTopic, note_source_call};
+use super::source_calls::{CallCause, CallTopic, record_source_call};
 use crate::clock::Clock;
 use crate::log::LogLine;
 
@@ -49,7 +49,7 @@
                 DutyCall::Read => CallCause::Watch,
                 DutyCall::Write(_) => CallCause::Change,
             };
-            note_source_call(&self.shared, CallTopic::Duties, cause, answer.is_ok());
+            record_source_call(&self.shared, CallTopic::Duties, cause, answer.is_ok());
             let answer = self.resolve_answer(answer);
             let now = self.shared.clock.boot_time();
             let events = self.coordinator.borrow_mut().apply(answer, now);
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -14,7 +14,7 @@
 use super::duties::DutyState;
 use super::ports::FleetSource;
 use super::shared::GatewayShared;
-use super::source_calls::{CallCause, CallTopic, note_source_call};
+use super::source_calls::{CallCause, CallTopic, record_source_call};
 use super::verdicts::VerdictKeeper;
 use super::view::FleetView;
 use crate::clock::{Clock, until};
@@ -166,7 +166,7 @@
             self.record_refused(outcome.refused);
             self.shared.note_told_leaves(&leaves);
             if outcome.is_permit_response {
-                self.shared.limit_answered.notify(usize::MAX);
+                self.shared.permits_answered.notify(usize::MAX);
             }
             packets
         };
@@ -188,7 +188,7 @@
     /// Requests the permits that requests wait for.
     async fn request_permits(&self) {
         loop {
-            let requested = self.shared.limit_asked.listen();
+            let requested = self.shared.permits_requested.listen();
             let packets = {
                 let exchange = self.exchange.borrow();
                 let moment = self.message_time();
@@ -346,7 +346,7 @@
     }
 
     fn record_call(&self, is_ok: bool) {
-        note_source_call(&self.shared, CallTopic::Nodes, CallCause::Register, is_ok);
+        record_source_call(&self.shared, CallTopic::Nodes, CallCause::Register, is_ok);
     }
 
     /// Divides the fleet's retries among the nodes, with a reserve for nodes that are not known yet.
--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -7,7 +7,7 @@
 
 use super::control::{GatewayControl, TICK};
 use super::ports::{FleetSource, SourceChange, SourceError, SourceTopic};
-use super::source_calls::{CallCause, CallTopic, note_source_call};
+use super::source_calls::{CallCause, CallTopic, record_source_call};
 use crate::clock::Clock;
 use crate::log::LogLine;
 
@@ -59,7 +59,7 @@
             let requested_at = self.shared.clock.boot_time();
             let answer = self.query(&mut source, topic, since, cause).await;
             let call_topic = CallTopic::Followed(topic);
-            note_source_call(&self.shared, call_topic, cause, answer.is_ok());
+            record_source_call(&self.shared, call_topic, cause, answer.is_ok());
             match answer {
                 Ok(change)
                     if since.is_some_and(|since: StoreVersion| since.era < change.version.era) =>
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -145,7 +145,7 @@
     pub(crate) fn record_run_start(&mut self, ago: Duration) {
         if !std::mem::replace(&mut self.is_run_recorded, true) {
             let workspace = self.request.workspace.as_ref();
-            self.shared.note_began(workspace, ago);
+            self.shared.record_start(workspace, ago);
         }
     }
 
@@ -251,7 +251,7 @@
         let clock = &self.shared.clock;
         let deadline = clock.now() + CONNECT_TIMEOUT;
         loop {
-            let probed = self.shared.server_asked.listen();
+            let probed = self.shared.server_probed.listen();
             let now = clock.now();
             let is_probing = self
                 .shared
--- a/crates/plumgate-node/src/gateway/server_limits.rs
+++ b/crates/plumgate-node/src/gateway/server_limits.rs
@@ -110,11 +110,11 @@
     /// Waits for the response to a permit request and sends it again while none comes; `None` after the timeout.
     async fn await_permit_response(&self, id: PermitRequestId) -> Option<PermitStatus> {
         let pending = PermitRequestGuard { shared: self, id };
-        self.limit_asked.notify(1);
+        self.permits_requested.notify(1);
         let deadline = self.clock.now() + PERMIT_TIMEOUT;
         let mut resend_at = self.clock.now() + PERMIT_RESEND_INTERVAL;
         loop {
-            let response = self.limit_answered.listen();
+            let response = self.permits_answered.listen();
             let now = self.clock.boot_time();
             let status = self.statements().limits.take_response(pending.id, now);
             if status.is_some() {
@@ -131,7 +131,7 @@
             }
             resend_at += PERMIT_RESEND_INTERVAL;
             self.statements().limits.resend_request(pending.id);
-            self.limit_asked.notify(1);
+            self.permits_requested.notify(1);
         }
     }
 
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -51,11 +51,11 @@
     /// Operators' bounds, as last read.
     pub(crate) bounds: ArcSwap<GatewayBounds>,
     /// Notifies that a probe of a server ended.
-    pub(crate) server_asked: Event,
+    pub(crate) server_probed: Event,
     /// Notifies that permits for limited servers are needed.
-    pub(crate) limit_asked: Event,
+    pub(crate) permits_requested: Event,
     /// Notifies that requests for permits were answered.
-    pub(crate) limit_answered: Event,
+    pub(crate) permits_answered: Event,
     /// Notifies connections that the state of the lifecycle changed.
     pub(crate) lifecycle_changed: Event,
     /// Idle connections to servers.
@@ -72,7 +72,7 @@
     usage: Mutex<UsageTally>,
     /// Difference between the Unix time that the nodes agree on and the time since the VM started, in
     /// milliseconds.
-    pub(crate) day_offset_ms: AtomicI64,
+    pub(crate) unix_offset_ms: AtomicI64,
     rng: Mutex<fastrand::Rng>,
     pub(super) open_requests: AtomicU64,
     pub(super) open_connections: AtomicU64,
@@ -109,7 +109,7 @@
             }),
             duties_page: ArcSwap::from_pointee(String::new()),
             bounds: ArcSwap::from_pointee(bounds),
-            server_asked: Event::new(),
+            server_probed: Event::new(),
             lifecycle_changed: Event::new(),
             links: LinkPool::default(),
             incarnations: ServerIncarnations::default(),
@@ -123,10 +123,10 @@
                 limits_seed,
                 bounds.drain,
             )),
-            limit_asked: Event::new(),
-            limit_answered: Event::new(),
+            permits_requested: Event::new(),
+            permits_answered: Event::new(),
             usage: Mutex::default(),
-            day_offset_ms: AtomicI64::new(0),
+            unix_offset_ms: AtomicI64::new(0),
             rng: Mutex::new(fastrand::Rng::with_seed(options.seed)),
             open_requests: AtomicU64::new(0),
             open_connections: AtomicU64::new(0),
@@ -175,11 +175,11 @@
     }
 
     /// Counts a request of a workspace that started to run at a server `ago` before now.
-    pub(crate) fn note_began(&self, workspace: Option<&WorkspaceId>, ago: Duration) {
+    pub(crate) fn record_start(&self, workspace: Option<&WorkspaceId>, ago: Duration) {
         let (Some(workspace), Some(duties)) = (workspace, self.options.duties) else {
             return;
         };
-        let offset = self.day_offset_ms.load(Ordering::Relaxed);
+        let offset = self.unix_offset_ms.load(Ordering::Relaxed);
         if offset == 0 || !duties.reports_usage {
             return;
         }
--- a/crates/plumgate-node/src/gateway/source_calls.rs
+++ b/crates/plumgate-node/src/gateway/source_calls.rs
@@ -64,7 +64,7 @@
 
 /// Records whether a call was answered or failed. The store's rate limits apply to all nodes together: the
 /// sum of these lines over the fleet shows what uses them.
-pub(crate) fn note_source_call<C: Clock, W>(
+pub(crate) fn record_source_call<C: Clock, W>(
     shared: &GatewayShared<C, W>,
     topic: CallTopic,
     cause: CallCause,
--- a/crates/plumgate-node/src/gateway/suspects.rs
+++ b/crates/plumgate-node/src/gateway/suspects.rs
@@ -39,7 +39,7 @@
             Some(Err(_)) => prober.note_refused(&server),
             None => prober.quarantine().on_probe_unanswered(&server),
         }
-        prober.server_asked.notify(usize::MAX);
+        prober.server_probed.notify(usize::MAX);
         prober.log_suspects();
     };
     shared.executor.spawn(task).detach();
--- a/crates/plumgate-node/src/gateway/verdicts.rs
+++ b/crates/plumgate-node/src/gateway/verdicts.rs
@@ -8,7 +8,7 @@
 
 use super::ports::{FleetSource, SourceError};
 use super::shared::GatewayShared;
-use super::source_calls::{CallCause, CallTopic, note_source_call};
+use super::source_calls::{CallCause, CallTopic, record_source_call};
 use crate::clock::Clock;
 use crate::log::LogLine;
 
@@ -86,7 +86,7 @@
             for _ in 0..MAX_WRITE_ATTEMPTS {
                 let written = self.write(&mut source, &change).await;
                 let topic = CallTopic::Verdicts;
-                note_source_call(&self.shared, topic, CallCause::Change, written.is_ok());
+                record_source_call(&self.shared, topic, CallCause::Change, written.is_ok());
                 let Err(error) = written else {
                     break;
                 };
