--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -13,7 +13,7 @@
 
 use super::duties::{CALL_TIMEOUT, DutyState};
 use super::metrics::DutyLabels;
-use super::ports::{DutyParty, FleetSource, PartyError, SourceError};
+use super::ports::{DutyApi, DutyApiError, FleetSource, SourceError};
 use super::source_calls::{CallCause, CallTopic, record_source_call};
 use crate::clock::Clock;
 use crate::log::LogLine;
@@ -82,7 +82,7 @@
     }
 
     /// Sends due reports and orders to the duty API; runs as long as the node.
-    pub(crate) async fn serve_party<P: DutyParty>(self: Rc<Self>, mut party: P) {
+    pub(crate) async fn call_duty_api<P: DutyApi>(self: Rc<Self>, mut api: P) {
         let mut scale_at = self.shared.clock.now();
         let mut page_at = scale_at;
         loop {
@@ -95,19 +95,19 @@
                 self.observe_pools();
                 continue;
             }
-            if self.options.reports_usage && !self.send_report(&mut party).await {
+            if self.options.reports_usage && !self.send_report(&mut api).await {
                 self.shared.clock.sleep(API_RETRY_PAUSE).await;
             }
             let now = self.shared.clock.now();
             if self.orders_servers() && now >= scale_at {
                 scale_at = now + SCALE_INTERVAL;
-                self.send_orders(&mut party).await;
+                self.send_orders(&mut api).await;
             }
         }
     }
 
     /// Sends the next usage report, if one is due. Returns `false` if the call failed.
-    async fn send_report<P: DutyParty>(&self, party: &mut P) -> bool {
+    async fn send_report<P: DutyApi>(&self, api: &mut P) -> bool {
         let next = || {
             let moment = self.moment()?;
             self.coordinator.borrow().next_report(moment)
@@ -115,7 +115,7 @@
         if next().is_none() {
             return true;
         }
-        if let Err(error) = party.connect(CALL_TIMEOUT).await {
+        if let Err(error) = api.connect(CALL_TIMEOUT).await {
             self.log_failed_call("report", &error);
             return false;
         }
@@ -123,7 +123,7 @@
         let Some((credential, report)) = next() else {
             return true;
         };
-        let sent = party.report(&credential, &report, CALL_TIMEOUT).await;
+        let sent = api.report(&credential, &report, CALL_TIMEOUT).await;
         let total: u64 = report.counts.values().sum();
         LogLine::new("usage_report")
             .with("window", report.window)
@@ -147,9 +147,9 @@
 
     /// Sends an order for each pool, data centre and kind of server whose wanted number differs from the last
     /// order.
-    async fn send_orders<P: DutyParty>(&self, party: &mut P) {
+    async fn send_orders<P: DutyApi>(&self, api: &mut P) {
         for order in self.due_orders() {
-            if let Err(error) = party.connect(CALL_TIMEOUT).await {
+            if let Err(error) = api.connect(CALL_TIMEOUT).await {
                 self.log_failed_call("order", &error);
                 return;
             }
@@ -158,7 +158,7 @@
             let Some(credential) = credential.filter(|_| self.should_hold()) else {
                 return;
             };
-            let sent = party.order(&credential, &order, CALL_TIMEOUT).await;
+            let sent = api.order(&credential, &order, CALL_TIMEOUT).await;
             LogLine::new("scale_order")
                 .with("pool", &order.subject.pool)
                 .with("data_centre", &order.subject.data_centre)
@@ -171,7 +171,7 @@
             let now = self.shared.clock.now();
             match sent {
                 Ok(()) => self.orders.borrow_mut().record_ordered(&order, now),
-                Err(PartyError::NoneLeft) => {
+                Err(DutyApiError::NoneLeft) => {
                     self.orders
                         .borrow_mut()
                         .record_unavailable(&order.subject, now);
@@ -298,7 +298,7 @@
         orders
     }
 
-    fn log_failed_call(&self, call: &'static str, error: &PartyError) {
+    fn log_failed_call(&self, call: &'static str, error: &DutyApiError) {
         LogLine::new("party_unreached")
             .with("call", call)
             .with("error", error)
@@ -306,7 +306,7 @@
         self.count_call(call, &Err(error.clone()));
     }
 
-    fn count_call(&self, call: &'static str, result: &Result<(), PartyError>) {
+    fn count_call(&self, call: &'static str, result: &Result<(), DutyApiError>) {
         let labels = DutyLabels {
             call,
             result: if result.is_ok() { "ok" } else { "failed" },
@@ -315,7 +315,7 @@
     }
 }
 
-fn result_text(result: &Result<(), PartyError>) -> String {
+fn result_text(result: &Result<(), DutyApiError>) -> String {
     match result {
         Ok(()) => "ok".to_owned(),
         Err(error) => error.to_string(),
--- a/crates/plumgate-node/src/gateway/options.rs
+++ b/crates/plumgate-node/src/gateway/options.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DutyOptions {
     /// Address of the duty API.
-    pub party: SocketAddr,
+    pub address: SocketAddr,
     /// Whether usage is reported.
     pub reports_usage: bool,
     /// Whether servers are ordered.
@@ -57,9 +57,9 @@
 
 impl DutyOptions {
     /// Creates options for a duty API at an address, with reports and orders off.
-    pub fn new(party: SocketAddr) -> Self {
+    pub fn new(address: SocketAddr) -> Self {
         Self {
-            party,
+            address,
             reports_usage: false,
             orders_servers: false,
             lease: Duration::from_secs(3),
--- a/crates/plumgate-node/src/gateway/ports.rs
+++ b/crates/plumgate-node/src/gateway/ports.rs
@@ -84,10 +84,10 @@
 /// Client of the store that holds the fleet's configuration, servers, nodes, verdicts and duty lease.
 pub trait FleetSource: Clone + 'static {
     /// Client of the duty API, which receives usage reports and orders of servers.
-    type Party: DutyParty;
+    type DutyApi: DutyApi;
 
     /// Creates a client of the duty API at an address.
-    fn party(&self, address: SocketAddr) -> Self::Party;
+    fn duty_api(&self, address: SocketAddr) -> Self::DutyApi;
 
     /// Reads or writes the store's row of the duties.
     fn duty(&mut self, call: &DutyCall) -> impl Future<Output = Result<DutyAnswer, SourceError>>;
@@ -125,7 +125,7 @@
 
 /// Error of a call to the duty API.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum PartyError {
+pub enum DutyApiError {
     /// no connection is open
     NotConnected,
     /// no answer: {0}
@@ -140,14 +140,14 @@
     Refused(u16),
 }
 
-impl std::error::Error for PartyError {}
+impl std::error::Error for DutyApiError {}
 
 /// Client of the duty API, which receives usage reports and orders of servers.
 ///
 /// The API stores nothing for the fleet.
-pub trait DutyParty: 'static {
+pub trait DutyApi: 'static {
     /// Opens a connection, unless one is open. The caller checks its lease after this, right before the call.
-    fn connect(&mut self, timeout: Duration) -> impl Future<Output = Result<(), PartyError>>;
+    fn connect(&mut self, timeout: Duration) -> impl Future<Output = Result<(), DutyApiError>>;
 
     /// Sends a usage report over the open connection.
     fn report(
@@ -155,7 +155,7 @@
         credential: &DutyCredential,
         report: &UsageReport,
         timeout: Duration,
-    ) -> impl Future<Output = Result<(), PartyError>>;
+    ) -> impl Future<Output = Result<(), DutyApiError>>;
 
     /// Sends an order of servers over the open connection.
     fn order(
@@ -163,7 +163,7 @@
         credential: &DutyCredential,
         order: &ScaleOrder,
         timeout: Duration,
-    ) -> impl Future<Output = Result<(), PartyError>>;
+    ) -> impl Future<Output = Result<(), DutyApiError>>;
 }
 
 /// Values that a caller's request headers give.
