--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -327,7 +327,7 @@
 
     /// Reads the register, and returns whether that succeeded.
     async fn read_register<S: FleetSource>(&self, source: &mut S) -> bool {
-        let nodes = source.nodes().await;
+        let nodes = source.read_register().await;
         self.record_call(nodes.is_ok());
         match nodes {
             Ok(register) => {
--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -89,7 +89,7 @@
                     self.shared.clock.sleep(pause).await;
                 }
                 Err(error) => {
-                    since = since.filter(|_| error.keeps_place());
+                    since = since.filter(|_| error.can_resume_watch());
                     cause = CallCause::Outage;
                     self.view.sync_state().record_failure(topic, requested_at);
                     self.on_failure(topic, &error, &mut is_lost);
--- a/crates/plumgate-node/src/gateway/ports.rs
+++ b/crates/plumgate-node/src/gateway/ports.rs
@@ -23,14 +23,14 @@
     /// A new version of the configuration.
     Config(Arc<GatewayConfig>),
     /// An invalid configuration; the one in force stays.
-    BadConfig(FindingList),
+    InvalidConfig(FindingList),
     /// A new or changed entry of a server.
     Server(ServerEntry),
     /// An invalid entry under a server's id: it names no usable server, and the previous entry is no longer valid
     /// either.
-    BadServer(ServerId, FindingList),
+    InvalidServer(ServerId, FindingList),
     /// A server's entry was removed.
-    ServerGone(ServerId),
+    ServerRemoved(ServerId),
 }
 
 /// Changes that one answer of the source contains.
@@ -67,7 +67,7 @@
     /// A watch whose connection broke may have missed changes before, and may have returned a version beyond them;
     /// only a complete read finds those. A refusal or a timeout is no sign of that, and a complete read transfers
     /// the whole store to each node.
-    pub fn keeps_place(&self) -> bool {
+    pub fn can_resume_watch(&self) -> bool {
         matches!(self, Self::Refused(_) | Self::TimedOut)
     }
 }
@@ -114,13 +114,16 @@
     fn unregister(&mut self, node: &NodeEntry) -> impl Future<Output = Result<(), SourceError>>;
 
     /// Reads the registered nodes and the stored verdicts in one call.
-    fn nodes(&mut self) -> impl Future<Output = Result<FleetRegister, SourceError>>;
+    fn read_register(&mut self) -> impl Future<Output = Result<FleetRegister, SourceError>>;
 
     /// Stores a verdict for nodes that start later.
-    fn keep(&mut self, verdict: &StoredVerdict) -> impl Future<Output = Result<(), SourceError>>;
+    fn store_verdict(
+        &mut self,
+        verdict: &StoredVerdict,
+    ) -> impl Future<Output = Result<(), SourceError>>;
 
     /// Removes a stored verdict by its name.
-    fn forget(&mut self, name: &str) -> impl Future<Output = Result<(), SourceError>>;
+    fn remove_verdict(&mut self, name: &str) -> impl Future<Output = Result<(), SourceError>>;
 }
 
 /// Error of a call to the duty API.
--- a/crates/plumgate-node/src/gateway/verdicts.rs
+++ b/crates/plumgate-node/src/gateway/verdicts.rs
@@ -111,11 +111,11 @@
                     .quarantine()
                     .stored_verdict(*identity, now, unix_ms);
                 match stored {
-                    Some(verdict) => source.keep(&verdict).await,
+                    Some(verdict) => source.store_verdict(&verdict).await,
                     None => Ok(()),
                 }
             }
-            VerdictChange::Remove(name) => source.forget(name).await,
+            VerdictChange::Remove(name) => source.remove_verdict(name).await,
         }
     }
 }
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -206,12 +206,12 @@
                 SourceEvent::Config(config) => {
                     has_new_config |= self.apply_config(config, "read", change.version);
                 }
-                SourceEvent::BadConfig(findings) => {
+                SourceEvent::InvalidConfig(findings) => {
                     self.log_findings(SourceTopic::Config, &findings);
                 }
                 SourceEvent::Server(_)
-                | SourceEvent::BadServer(..)
-                | SourceEvent::ServerGone(_) => {}
+                | SourceEvent::InvalidServer(..)
+                | SourceEvent::ServerRemoved(_) => {}
             }
         }
         has_new_config
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -49,12 +49,12 @@
                 Some(ServerUpdate::Unusable(entry.id))
             }
             SourceEvent::Server(entry) => Some(ServerUpdate::Entry(entry)),
-            SourceEvent::ServerGone(id) => Some(ServerUpdate::Gone { id, unconfirmed }),
-            SourceEvent::BadServer(id, findings) => {
+            SourceEvent::ServerRemoved(id) => Some(ServerUpdate::Gone { id, unconfirmed }),
+            SourceEvent::InvalidServer(id, findings) => {
                 self.log_findings(SourceTopic::Servers, &findings);
                 Some(ServerUpdate::Unusable(id))
             }
-            SourceEvent::Config(_) | SourceEvent::BadConfig(_) => None,
+            SourceEvent::Config(_) | SourceEvent::InvalidConfig(_) => None,
         }
     }
 
