--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::answer::remove_connection_headers;
 use super::guards::{RunRefusal, WorkGuard};
-use super::ports::{AnswerMeaning, AttemptFacts, WireFormat};
+use super::ports::{AnswerMeaning, AttemptMetadata, WireFormat};
 use super::request::{AttemptOrder, AttemptOutcome, RESTARTED, ServerAnswer};
 use super::shared::GatewayShared;
 use crate::clock::{Clock, until};
@@ -158,15 +158,15 @@
         headers.insert(CONTENT_LENGTH, request.body.len().into());
     }
     let now = shared.clock.now();
-    let facts = AttemptFacts {
+    let metadata = AttemptMetadata {
         server: &order.server.id,
         workspace: request.workspace.as_ref(),
         left: request.due.saturating_duration_since(now),
-        urgency: request.facts.prompt.is_some().then_some(request.urgency),
+        urgency: request.metadata.prompt.is_some().then_some(request.urgency),
         resume_after: order.resume_after,
         copy_from: order.copy_from,
     };
-    shared.wire.write_attempt(headers, &facts);
+    shared.wire.write_attempt(headers, &metadata);
     outgoing
 }
 
@@ -179,13 +179,13 @@
 ) -> AttemptOutcome<C, W> {
     let (head, body) = response.into_parts();
     let (id, server) = (&order.request.id, &order.server.id);
-    let facts = shared
+    let metadata = shared
         .wire
         .read_answer(id, server, head.status, &head.headers);
-    if let Some(statement) = facts.statement {
+    if let Some(statement) = metadata.statement {
         work.on_statement(&statement);
     }
-    match facts.meaning {
+    match metadata.meaning {
         AnswerMeaning::Own => {
             work.on_response_started();
             AttemptOutcome::Answer(Box::new(ServerAnswer {
@@ -193,7 +193,7 @@
                 body,
                 link,
                 work,
-                facts,
+                metadata,
             }))
         }
         AnswerMeaning::NotRun { misdirected } => {
--- a/crates/plumgate-node/src/gateway/caller.rs
+++ b/crates/plumgate-node/src/gateway/caller.rs
@@ -231,9 +231,9 @@
 ) -> Response<GatewayBody<impl Stream<Item = StreamPiece> + Send + use<C, W>>> {
     let arrived = shared.clock.now();
     let (head, body) = request.into_parts();
-    let facts = shared.wire.read_request(&head);
-    let id = facts.id.clone().unwrap_or_default();
-    match accept(shared, head, body, facts, arrived).await {
+    let metadata = shared.wire.read_request(&head);
+    let id = metadata.id.clone().unwrap_or_default();
+    match accept(shared, head, body, metadata, arrived).await {
         Ok(request) => RelayRun::new(shared.clone(), request).answer().await,
         Err(error) => {
             LogLine::new("rejected")
--- a/crates/plumgate-node/src/gateway/checks.rs
+++ b/crates/plumgate-node/src/gateway/checks.rs
@@ -16,7 +16,7 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::ports::{RequestFacts, WireFormat};
+use super::ports::{RequestMetadata, WireFormat};
 use super::request::RelayRequest;
 use super::shared::GatewayShared;
 use crate::caller_error::CallerError;
@@ -41,14 +41,14 @@
     shared: &GatewayShared<C, W>,
     head: Parts,
     body: Incoming,
-    facts: RequestFacts,
+    metadata: RequestMetadata,
     arrived: Instant,
 ) -> Result<RelayRequest, CallerError> {
     let config = shared
         .config
         .load_full()
         .ok_or_else(|| stale(shared, "no_config", "this node has no configuration yet"))?;
-    let Some(id) = facts.id.clone() else {
+    let Some(id) = metadata.id.clone() else {
         let message = "the request has no id";
         return Err(CallerError::invalid(
             StatusCode::BAD_REQUEST,
@@ -57,8 +57,8 @@
         ));
     };
     let route = find_route(shared, &config, &head)?;
-    let workspace = find_workspace(shared, &config, &route, &facts)?;
-    let patience = facts.patience.unwrap_or(DEFAULT_PATIENCE);
+    let workspace = find_workspace(shared, &config, &route, &metadata)?;
+    let patience = metadata.patience.unwrap_or(DEFAULT_PATIENCE);
     let due = arrived + patience.min(route.timeout);
     let mut hasher = IdentityHasher::new(RequestHead {
         workspace: workspace.map(|keys| &keys.workspace),
@@ -83,7 +83,7 @@
         identity: hasher.finish(),
         head,
         body,
-        facts,
+        metadata,
         arrived,
         due,
         config: config.version,
@@ -129,7 +129,7 @@
     shared: &GatewayShared<C, W>,
     config: &'a GatewayConfig,
     route: &GatewayRoute,
-    facts: &RequestFacts,
+    metadata: &RequestMetadata,
 ) -> Result<Option<&'a WorkspaceKeys>, CallerError> {
     if !config.needs_keys || route.public {
         return Ok(None);
@@ -142,7 +142,7 @@
             "this node's API keys are out of date",
         ));
     }
-    let key = facts.key.as_deref().unwrap_or_default();
+    let key = metadata.key.as_deref().unwrap_or_default();
     match config.workspace(key) {
         Some(keys) => Ok(Some(keys)),
         // The key may be new. A caller gives up after a 401, though another node may know the key.
--- a/crates/plumgate-node/src/gateway/ports.rs
+++ b/crates/plumgate-node/src/gateway/ports.rs
@@ -171,7 +171,7 @@
 
 /// Values that a caller's request headers give.
 #[derive(Clone, Debug, Default)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Id of this attempt of the caller.
     pub id: Option<String>,
     /// API key, which identifies the workspace.
@@ -188,7 +188,7 @@
 
 /// Values that an attempt sends to the server in addition to the caller's own request.
 #[derive(Clone, Debug)]
-pub struct AttemptFacts<'a> {
+pub struct AttemptMetadata<'a> {
     /// Server that must run the attempt; another server at the same address must refuse it.
     pub server: &'a ServerId,
     /// Workspace of the caller's API key.
@@ -221,11 +221,11 @@
 
 /// Values read from the head of a server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct AnswerMetadata {
     /// Meaning of the answer.
     pub meaning: AnswerMeaning,
     /// Time for which the server keeps an idle connection open; `None` where the answer doesn't say.
-    pub keeps_for: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// Statement of the server on itself; `None` unless the answer is certainly the server's own to this request.
     pub statement: Option<ServerStatement>,
 }
@@ -233,11 +233,11 @@
 /// Encoding of headers in requests and answers of callers and servers.
 pub trait WireFormat: Clone + Send + Sync + 'static {
     /// Parses the head of a caller's request.
-    fn read_request(&self, head: &Parts) -> RequestFacts;
+    fn read_request(&self, head: &Parts) -> RequestMetadata;
 
     /// Turns a caller's headers into those for a server: drops the headers that only the system may set, and sets
     /// those of the attempt.
-    fn write_attempt(&self, headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
+    fn write_attempt(&self, headers: &mut HeaderMap, metadata: &AttemptMetadata<'_>);
 
     /// Parses the head of a server's answer to the request with this id.
     fn read_answer(
@@ -246,7 +246,7 @@
         server: &ServerId,
         status: StatusCode,
         headers: &HeaderMap,
-    ) -> AnswerFacts;
+    ) -> AnswerMetadata;
 
     /// Sets the id of the caller's attempt, and the time after which to retry, in an answer of the node itself.
     fn write_own_answer(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -15,7 +15,7 @@
 use super::answer::{GatewayBody, StreamPiece, own_answer, relayed_head, stream_body, whole_body};
 use super::attempt::read_whole;
 use super::metrics::ReasonLabels;
-use super::ports::{AnswerFacts, WireFormat};
+use super::ports::{AnswerMetadata, WireFormat};
 use super::request::{AttemptOutcome, RESTARTED, ServerAnswer};
 use super::run::{MAX_SERVERS_TRIED, RelayRun};
 use super::stream::StreamRelay;
@@ -169,7 +169,7 @@
             left,
         };
         if self.tried.is_empty()
-            && self.request.facts.prompt.is_some()
+            && self.request.metadata.prompt.is_some()
             && let AdmissionDecision::Refuse { retry_after } =
                 self.admission().decide(&wait, spread)
         {
@@ -253,7 +253,7 @@
         self.apply(AttemptEvent::Finished);
         // A connection to an incarnation that has ended can't be reused.
         if !incarnation.has_ended() {
-            self.return_link(&answer.facts, answer.link);
+            self.return_link(&answer.metadata, answer.link);
         }
         self.observe_first_byte();
         self.report(RunOutcome::Answered, "server", status);
@@ -344,14 +344,14 @@
         }
     }
 
-    fn return_link(&self, facts: &AnswerFacts, link: HttpLink) {
+    fn return_link(&self, metadata: &AnswerMetadata, link: HttpLink) {
         let Some(server) = self.tried.last() else {
             return;
         };
-        let Some(keeps_for) = facts.keeps_for else {
+        let Some(keep_alive) = metadata.keep_alive else {
             return;
         };
-        let until = self.shared.clock.now() + keeps_for.saturating_sub(IDLE_CLOSE_MARGIN);
+        let until = self.shared.clock.now() + keep_alive.saturating_sub(IDLE_CLOSE_MARGIN);
         self.shared.links.put(server, link, until);
     }
 }
--- a/crates/plumgate-node/src/gateway/relay_report.rs
+++ b/crates/plumgate-node/src/gateway/relay_report.rs
@@ -56,7 +56,7 @@
             .with("priority", self.request.urgency)
             .with("server", &pick.server.id)
             .with("wait_ms", pick.wait.as_millis())
-            .with_some("output_hint", self.request.facts.output_hint)
+            .with_some("output_hint", self.request.metadata.output_hint)
             .with("unread_tokens", pick.prefill_tokens)
             .with("shared_unread", pick.shared_prefill)
             .with_some(
--- a/crates/plumgate-node/src/gateway/request.rs
+++ b/crates/plumgate-node/src/gateway/request.rs
@@ -14,7 +14,7 @@
 use plumgate::ids::{PoolId, ServerId, WorkspaceId};
 
 use super::guards::WorkGuard;
-use super::ports::{AnswerFacts, RequestFacts, WireFormat};
+use super::ports::{AnswerMetadata, RequestMetadata, WireFormat};
 use super::server_limits::SendCause;
 use crate::clock::Clock;
 use crate::link::HttpLink;
@@ -46,7 +46,7 @@
     /// Whole body.
     pub(crate) body: Bytes,
     /// Facts read from the head.
-    pub(crate) facts: RequestFacts,
+    pub(crate) metadata: RequestMetadata,
     /// When the request arrived.
     pub(crate) arrived: Instant,
     /// Deadline of the answer.
@@ -64,7 +64,7 @@
     ) -> PlacementRequest<'a> {
         PlacementRequest {
             pool: &self.pool,
-            prompt: self.facts.prompt.as_ref(),
+            prompt: self.metadata.prompt.as_ref(),
             urgency: self.urgency,
             class: self.class,
             is_isolated,
@@ -84,7 +84,7 @@
     /// Guard that counts the request as load of the server.
     pub(crate) work: WorkGuard<C, W>,
     /// Facts read from the head.
-    pub(crate) facts: AnswerFacts,
+    pub(crate) metadata: AnswerMetadata,
 }
 
 /// Outcome of an attempt.
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -134,7 +134,7 @@
     /// starts at once, an engine after the prefill of earlier requests and of this prompt.
     fn record_in_doubt_run(&mut self, pick: &ServerPick) {
         let ran_for = self.ran_for().unwrap_or_default();
-        if self.request.facts.prompt.is_none() || ran_for >= pick.wait {
+        if self.request.metadata.prompt.is_none() || ran_for >= pick.wait {
             // The predicted prefill comes before the run; a service without prompts starts at once.
             self.record_run_start(ran_for.saturating_sub(pick.wait));
         }
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -96,7 +96,7 @@
         }
         let (mut head, source) = StreamSource::new(answer);
         remove_content_length(&mut head.headers);
-        let splitter = EventSplitter::new(run.request.facts.resume_after);
+        let splitter = EventSplitter::new(run.request.metadata.resume_after);
         let relay = Self {
             run,
             source: Some(source),
