--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -55,8 +55,8 @@
             };
         }
     }
-    shared.note_limited_send(&order.request.id, order.server, order.cause);
-    shared.note_noticed_send(&order.request.id, order.server, order.cause);
+    shared.record_limited_send(&order.request.id, order.server, order.cause);
+    shared.record_noticed_send(&order.request.id, order.server, order.cause);
     let request = build_request(shared, &order);
     let wait_until = order.head_deadline.min(order.request.due + ANSWER_GRACE);
     let incarnation = work.incarnation();
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -164,13 +164,13 @@
             let (packets, outcome, leaves) = statements.receive(&mut exchange, moment);
             drop(statements);
             self.record_refused(outcome.refused);
-            self.shared.note_told_leaves(&leaves);
+            self.shared.on_peer_leaves(&leaves);
             if outcome.is_permit_response {
                 self.shared.permits_answered.notify(usize::MAX);
             }
             packets
         };
-        self.shared.log_told_limits();
+        self.shared.log_peer_limits();
         self.send_all(packets).await;
     }
 
@@ -261,8 +261,8 @@
                 packets
             };
             self.shared.log_suspects();
-            self.shared.note_limited();
-            self.shared.note_noticed();
+            self.shared.update_limit_metrics();
+            self.shared.update_notice_metrics();
             self.update_collector();
             self.update_node_count();
             self.send_all(packets).await;
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -136,8 +136,8 @@
             seen: self.shared.clock.boot_time(),
             seen_unix_ms: self.shared.clock.unix_ms(),
         };
-        self.shared.note_limit(&self.server, statement, times);
-        self.shared.note_notices(&self.server, statement, times);
+        self.shared.record_limit(&self.server, statement, times);
+        self.shared.record_notices(&self.server, statement, times);
     }
 
     /// Records that the server certainly has the request, as the head of its answer was received.
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -112,9 +112,9 @@
         pick: &ServerPick,
     ) -> Result<Option<SendPermit>, Duration> {
         let (request, server) = (&self.request, &pick.server);
-        let permit = self.shared.claim(server, request.urgency).await;
+        let permit = self.shared.request_permit(server, request.urgency).await;
         if let Err(pause) = permit {
-            self.shared.note_held(request, server, pause);
+            self.shared.record_deferral(request, server, pause);
         }
         permit
     }
@@ -190,7 +190,8 @@
     pub(crate) fn on_disallowed(&mut self, server: &ServerEntry, refusal: SendRefusal) {
         self.apply(AttemptEvent::ConnectFailed);
         self.tried.pop();
-        self.shared.note_bar(&self.request, server, refusal);
+        self.shared
+            .record_barred_send(&self.request, server, refusal);
     }
 
     /// Records that a server did certainly not run the request; `arrived` if the server received it.
--- a/crates/plumgate-node/src/gateway/server_limits.rs
+++ b/crates/plumgate-node/src/gateway/server_limits.rs
@@ -41,7 +41,7 @@
 
 impl<C: Clock, W> GatewayShared<C, W> {
     /// Records the rate limit that a server stated in an answer, and logs a change.
-    pub(super) fn note_limit(
+    pub(super) fn record_limit(
         &self,
         server: &ServerEntry,
         statement: &ServerStatement,
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// The time for which requests to the server are deferred, if no permit was granted.
-    pub(crate) async fn claim(
+    pub(crate) async fn request_permit(
         &self,
         server: &ServerEntry,
         urgency: u8,
@@ -136,7 +136,12 @@
     }
 
     /// Records and logs that requests to a server are deferred because of its rate limit.
-    pub(crate) fn note_held(&self, request: &RelayRequest, server: &ServerEntry, pause: Duration) {
+    pub(crate) fn record_deferral(
+        &self,
+        request: &RelayRequest,
+        server: &ServerEntry,
+        pause: Duration,
+    ) {
         let until = self.clock.now() + pause;
         self.loads()
             .defer_requests(&server.id, request.urgency, until);
@@ -150,7 +155,7 @@
     }
 
     /// Logs changes of rate limits received from other nodes.
-    pub(crate) fn log_told_limits(&self) {
+    pub(crate) fn log_peer_limits(&self) {
         let events = self.statements().limits.take_events();
         for event in events {
             self.log_peer_limit(&event);
@@ -168,7 +173,7 @@
     }
 
     /// Updates the metrics of rate limits, and logs when this node starts or stops issuing permits.
-    pub(crate) fn note_limited(&self) {
+    pub(crate) fn update_limit_metrics(&self) {
         let now = self.clock.boot_time();
         let statements = self.statements();
         let limits = &statements.limits;
@@ -214,7 +219,12 @@
     }
 
     /// Logs and counts a request that is sent to a server with a rate limit.
-    pub(crate) fn note_limited_send(&self, request: &str, server: &ServerEntry, cause: SendCause) {
+    pub(crate) fn record_limited_send(
+        &self,
+        request: &str,
+        server: &ServerEntry,
+        cause: SendCause,
+    ) {
         let Some(rate) = self.statements().limits.rate(server) else {
             return;
         };
--- a/crates/plumgate-node/src/gateway/server_notices.rs
+++ b/crates/plumgate-node/src/gateway/server_notices.rs
@@ -23,7 +23,7 @@
 
 impl<C: Clock, W> GatewayShared<C, W> {
     /// Records the leave and rest notices that a server stated in an answer, and updates placement.
-    pub(super) fn note_notices(
+    pub(super) fn record_notices(
         &self,
         server: &ServerEntry,
         statement: &ServerStatement,
@@ -58,7 +58,7 @@
     }
 
     /// Logs and counts a request that was not sent because of a statement of its server.
-    pub(crate) fn note_bar(
+    pub(crate) fn record_barred_send(
         &self,
         request: &RelayRequest,
         server: &ServerEntry,
@@ -78,7 +78,7 @@
     }
 
     /// Handles leave notices received from other nodes.
-    pub(crate) fn note_told_leaves(&self, leaves: &[LeaveEvent]) {
+    pub(crate) fn on_peer_leaves(&self, leaves: &[LeaveEvent]) {
         if leaves.is_empty() {
             return;
         }
@@ -149,7 +149,12 @@
     }
 
     /// Logs and counts a request that is sent to a server with a leave or rest notice.
-    pub(crate) fn note_noticed_send(&self, request: &str, server: &ServerEntry, cause: SendCause) {
+    pub(crate) fn record_noticed_send(
+        &self,
+        request: &str,
+        server: &ServerEntry,
+        cause: SendCause,
+    ) {
         let now = self.clock.boot_time();
         let statements = self.statements();
         let leaving = statements.notices.leaving_since(server);
@@ -214,7 +219,7 @@
     }
 
     /// Updates the metrics of leaving and resting servers.
-    pub(crate) fn note_noticed(&self) {
+    pub(crate) fn update_notice_metrics(&self) {
         let now = self.clock.boot_time();
         let statements = self.statements();
         let leaving = statements.notices.leaving_count();
