--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -12,7 +12,7 @@
 use plumgate::ids::{DataCentreId, PoolId};
 
 use super::duties::{CALL_TIMEOUT, DutyState};
-use super::metrics::DutyLabels;
+use super::metrics::DutyCallLabels;
 use super::ports::{DutyApi, DutyApiError, FleetSource, SourceError};
 use super::source_calls::{CallCause, CallTopic, record_source_call};
 use crate::clock::Clock;
@@ -307,7 +307,7 @@
     }
 
     fn count_call(&self, call: &'static str, result: &Result<(), DutyApiError>) {
-        let labels = DutyLabels {
+        let labels = DutyCallLabels {
             call,
             result: if result.is_ok() { "ok" } else { "failed" },
         };
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -15,7 +15,7 @@
 use super::ports::FleetSource;
 use super::shared::GatewayShared;
 use super::source_calls::{CallCause, CallTopic, record_source_call};
-use super::verdicts::VerdictKeeper;
+use super::verdicts::VerdictStore;
 use super::view::FleetView;
 use crate::clock::{Clock, until};
 use crate::log::LogLine;
@@ -47,7 +47,7 @@
     socket: Async<UdpSocket>,
     own: NodeEntry,
     exchange: RefCell<LoadExchange>,
-    verdicts: VerdictKeeper<C, W>,
+    verdicts: VerdictStore<C, W>,
     duties: Option<Rc<DutyState<C, W>>>,
     /// Collector of this data centre.
     collector: RefCell<Option<NodeId>>,
@@ -84,7 +84,7 @@
         };
         Some(Self {
             exchange: RefCell::new(LoadExchange::new(own.clone())),
-            verdicts: VerdictKeeper::new(shared.clone()),
+            verdicts: VerdictStore::new(shared.clone()),
             duties,
             collector: RefCell::default(),
             has_register: Cell::new(false),
@@ -239,7 +239,7 @@
                 self.shared.metrics.peer_refused.inc_by(refused);
                 let changes = quarantine.take_changes();
                 drop(quarantine);
-                self.verdicts.note(changes);
+                self.verdicts.queue_changes(changes);
                 if let Some(duties) = &self.duties {
                     duties.sync_with(&mut exchange);
                 }
@@ -302,7 +302,7 @@
                 era = risen;
                 self.register(&mut source).await;
                 if self.exchange.borrow().is_collector() {
-                    self.verdicts.keep_all();
+                    self.verdicts.queue_blocked();
                 }
             } else if self.exchange.borrow().is_collector() {
                 self.read_register(&mut source).await;
@@ -333,7 +333,7 @@
             Ok(register) => {
                 self.exchange.borrow_mut().set_nodes(register.nodes);
                 self.has_register.set(true);
-                self.verdicts.take(&register.verdicts);
+                self.verdicts.apply(&register.verdicts);
                 true
             }
             Err(error) => {
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -12,7 +12,7 @@
 use super::incarnations::ServerIncarnation;
 use super::ports::WireFormat;
 use super::shared::GatewayShared;
-use super::suspects::ask_server;
+use super::suspects::probe_server;
 use crate::clock::Clock;
 
 /// Counts a caller's connection as open until it is dropped.
@@ -175,14 +175,14 @@
             let finding = self.shared.quarantine().finish(run, self.outcome, now);
             match finding {
                 RunFinding::Nothing => {}
-                RunFinding::ProbeServer => ask_server(&self.shared, &self.server),
+                RunFinding::ProbeServer => probe_server(&self.shared, &self.server),
                 RunFinding::ServerCrashed(sign) => {
-                    self.shared.note_server_end(&[identity], &self.server, sign);
+                    self.shared.record_crashes(&[identity], &self.server, sign);
                 }
             }
         }
         if self.outcome == WorkOutcome::Refused {
-            self.shared.note_refused(&self.server);
+            self.shared.on_connection_refused(&self.server);
         }
         self.shared.log_suspects();
     }
--- a/crates/plumgate-node/src/gateway/metrics.rs
+++ b/crates/plumgate-node/src/gateway/metrics.rs
@@ -14,7 +14,7 @@
 
 /// Labels of a finished request.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct EndLabels {
+pub(crate) struct OutcomeLabels {
     /// Kind of the request, which says what of it may be repeated.
     pub(crate) kind: &'static str,
     /// Priority of the request.
@@ -51,7 +51,7 @@
 
 /// Labels of a call to the source.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct CallLabels {
+pub(crate) struct SourceCallLabels {
     /// Topic of the call.
     pub(crate) topic: &'static str,
     /// Reason of the call.
@@ -62,7 +62,7 @@
 
 /// Labels of a call to the duty API.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct DutyLabels {
+pub(crate) struct DutyCallLabels {
     /// `report` or `order`.
     pub(crate) call: &'static str,
     /// `ok` or `failed`.
@@ -77,9 +77,9 @@
     /// Renewals of the duty lease.
     pub(crate) duty_renewals: Counter,
     /// Calls to the duty API.
-    pub(crate) duty_calls: Family<DutyLabels, Counter>,
+    pub(crate) duty_calls: Family<DutyCallLabels, Counter>,
     /// Finished requests.
-    pub(crate) requests: Family<EndLabels, Counter>,
+    pub(crate) requests: Family<OutcomeLabels, Counter>,
     /// Failed attempts, whether another followed or the request failed.
     pub(crate) failed_attempts: Family<ReasonLabels, Counter>,
     /// Time from a request's arrival to the first byte of the answer.
@@ -103,13 +103,13 @@
     /// Messages of other nodes that were refused as invalid.
     pub(crate) peer_refused: Counter,
     /// Calls to the source.
-    pub(crate) source_calls: Family<CallLabels, Counter>,
+    pub(crate) source_calls: Family<SourceCallLabels, Counter>,
     /// Servers believed to have crashed while running a request, by crash sign.
     pub(crate) server_crashes: Family<ReasonLabels, Counter>,
     /// Verdicts on poison requests, by new state or by reason of the release.
     pub(crate) verdicts: Family<ReasonLabels, Counter>,
     /// Requests that were not sent because they may crash another server.
-    pub(crate) held_back: Family<ReasonLabels, Counter>,
+    pub(crate) blocked_requests: Family<ReasonLabels, Counter>,
     /// Different requests in quarantine.
     pub(crate) quarantined: Gauge,
     /// Servers with a rate limit.
@@ -158,7 +158,7 @@
             source_calls: Family::default(),
             server_crashes: Family::default(),
             verdicts: Family::default(),
-            held_back: Family::default(),
+            blocked_requests: Family::default(),
             quarantined: Gauge::default(),
             limited_servers: Gauge::default(),
             limited_sends: Family::default(),
@@ -222,7 +222,7 @@
         registry.register(
             "held_back",
             "Requests not sent because they may crash another server",
-            self.held_back.clone(),
+            self.blocked_requests.clone(),
         );
         registry.register(
             "quarantined",
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -313,7 +313,11 @@
     fn blocked_error(&self, blocked: BlockedRequest) -> CallerError {
         let reason = blocked.reason.as_str();
         let labels = ReasonLabels { reason };
-        self.shared.metrics.held_back.get_or_create(&labels).inc();
+        self.shared
+            .metrics
+            .blocked_requests
+            .get_or_create(&labels)
+            .inc();
         match self.run.outcome() {
             RunOutcome::NotRun => CallerError::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/plumgate-node/src/gateway/relay_report.rs
+++ b/crates/plumgate-node/src/gateway/relay_report.rs
@@ -6,7 +6,7 @@
 use plumgate::RunOutcome;
 use plumgate::gateway::ServerPick;
 
-use super::metrics::{EndLabels, ReasonLabels};
+use super::metrics::{OutcomeLabels, ReasonLabels};
 use super::ports::WireFormat;
 use super::run::RelayRun;
 use crate::clock::Clock;
@@ -88,7 +88,7 @@
         self.is_reported = true;
         let now = self.shared.clock.now();
         let took = now.saturating_duration_since(self.request.arrived);
-        let labels = EndLabels {
+        let labels = OutcomeLabels {
             kind: self.request.route.kind.as_str(),
             priority: self.request.urgency.into(),
             outcome: outcome.as_str(),
--- a/crates/plumgate-node/src/gateway/source_calls.rs
+++ b/crates/plumgate-node/src/gateway/source_calls.rs
@@ -1,6 +1,6 @@
 //! Counts and logs a node's calls to the source by their cause.
 
-use super::metrics::CallLabels;
+use super::metrics::SourceCallLabels;
 use super::ports::SourceTopic;
 use super::shared::GatewayShared;
 use crate::clock::Clock;
@@ -70,7 +70,7 @@
     cause: CallCause,
     is_ok: bool,
 ) {
-    let labels = CallLabels {
+    let labels = SourceCallLabels {
         topic: topic.as_str(),
         cause: cause.as_str(),
         result: if is_ok { "ok" } else { "failed" },
--- a/crates/plumgate-node/src/gateway/suspects.rs
+++ b/crates/plumgate-node/src/gateway/suspects.rs
@@ -22,7 +22,7 @@
 ///
 /// The server's store entry shows a crash only seconds later; until then the request would be sent to the next
 /// server.
-pub(crate) fn ask_server<C: Clock, W: Send + Sync + 'static>(
+pub(crate) fn probe_server<C: Clock, W: Send + Sync + 'static>(
     shared: &Arc<GatewayShared<C, W>>,
     server: &ServerEntry,
 ) {
@@ -36,7 +36,7 @@
                 let now = prober.clock.now();
                 prober.quarantine().on_server_reached(&server, opened, now);
             }
-            Some(Err(_)) => prober.note_refused(&server),
+            Some(Err(_)) => prober.on_connection_refused(&server),
             None => prober.quarantine().on_probe_unanswered(&server),
         }
         prober.server_probed.notify(usize::MAX);
@@ -47,7 +47,7 @@
 
 impl<C: Clock, W> GatewayShared<C, W> {
     /// Counts and logs a server that is believed to have crashed while it ran requests of this node.
-    pub(crate) fn note_server_end(
+    pub(crate) fn record_crashes(
         &self,
         identities: &[RequestIdentity],
         server: &ServerEntry,
@@ -68,12 +68,12 @@
     }
 
     /// Handles a connection that a server's machine refused, which is a sign of a crash.
-    pub(crate) fn note_refused(&self, server: &ServerEntry) {
+    pub(crate) fn on_connection_refused(&self, server: &ServerEntry) {
         let now = self.clock.now();
         let crashed = self
             .quarantine()
             .on_server_gone(server, CrashSign::Refused, now);
-        self.note_server_end(&crashed, server, CrashSign::Refused);
+        self.record_crashes(&crashed, server, CrashSign::Refused);
     }
 
     /// Logs and counts changed verdicts on poison requests.
--- a/crates/plumgate-node/src/gateway/verdicts.rs
+++ b/crates/plumgate-node/src/gateway/verdicts.rs
@@ -20,13 +20,13 @@
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Writes verdicts to the store and applies those read from it.
-pub(crate) struct VerdictKeeper<C, W> {
+pub(crate) struct VerdictStore<C, W> {
     shared: Arc<GatewayShared<C, W>>,
     changes: Sender<VerdictChange>,
     queue: Receiver<VerdictChange>,
 }
 
-impl<C: Clock, W> VerdictKeeper<C, W> {
+impl<C: Clock, W> VerdictStore<C, W> {
     /// Creates a writer with an empty queue.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Self {
         let (changes, queue) = async_channel::bounded(QUEUE_CAPACITY);
@@ -38,7 +38,7 @@
     }
 
     /// Queues changes to write. A change that finds the queue full is logged and dropped.
-    pub(crate) fn note(&self, changes: Vec<VerdictChange>) {
+    pub(crate) fn queue_changes(&self, changes: Vec<VerdictChange>) {
         for change in changes {
             if self.changes.try_send(change).is_err() {
                 LogLine::new("verdict_unkept")
@@ -49,7 +49,7 @@
     }
 
     /// Queues the verdicts on all blocked requests again, after the store was restored from an old backup.
-    pub(crate) fn keep_all(&self) {
+    pub(crate) fn queue_blocked(&self) {
         let blocked: Vec<VerdictChange> = {
             let quarantine = self.shared.quarantine();
             let blocked = quarantine.suspects();
@@ -58,11 +58,11 @@
                 .map(|(identity, ..)| VerdictChange::Store(identity))
                 .collect()
         };
-        self.note(blocked);
+        self.queue_changes(blocked);
     }
 
     /// Applies verdicts read from the store, and queues the removal of those that have expired.
-    pub(crate) fn take(&self, verdicts: &[StoredVerdict]) {
+    pub(crate) fn apply(&self, verdicts: &[StoredVerdict]) {
         let (now, unix_ms) = (self.shared.clock.now(), self.shared.clock.unix_ms());
         let mut expired = Vec::new();
         for verdict in verdicts {
@@ -76,7 +76,7 @@
                     .warn(&self.shared.log),
             }
         }
-        self.note(expired);
+        self.queue_changes(expired);
         self.shared.log_suspects();
     }
 
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -122,7 +122,7 @@
         };
         if let Some(previous) = previous.filter(was_ready) {
             let identities = self.shared.quarantine().on_server_gone(previous, sign, now);
-            self.shared.note_server_end(&identities, previous, sign);
+            self.shared.record_crashes(&identities, previous, sign);
         }
     }
 
