--- a/crates/plumgate-node/src/exchange.rs
+++ b/crates/plumgate-node/src/attempt.rs
@@ -52,7 +52,7 @@
     run: &'a mut AttemptRun,
     sent_at: Instant,
     first_token_at: Option<Instant>,
-    events: u64,
+    last_event: u64,
     resumes: u32,
 }
 
@@ -96,7 +96,7 @@
             run,
             sent_at,
             first_token_at: None,
-            events: 0,
+            last_event: 0,
             resumes: 0,
         }
     }
@@ -220,7 +220,7 @@
             match self.relay_events(body, sink).await {
                 StreamOutcome::Complete => {
                     self.apply(AttemptEvent::Finished);
-                    return self.answered(u32::try_from(self.events).unwrap_or(u32::MAX));
+                    return self.answered(u32::try_from(self.last_event).unwrap_or(u32::MAX));
                 }
                 StreamOutcome::Ended(result) => return result,
                 StreamOutcome::Interrupted => {}
@@ -266,20 +266,20 @@
             };
             checks = 0;
             self.resumes = 0;
-            let number = event.id.parse::<u64>().unwrap_or(self.events + 1);
+            let number = event.id.parse::<u64>().unwrap_or(self.last_event + 1);
             // A resumed stream may start before the requested offset. Events that the caller has
             // already received are skipped, and a gap counts as a lost connection, so that an
             // incomplete answer is never taken for a whole one.
-            if number <= self.events {
+            if number <= self.last_event {
                 continue;
             }
-            if number > self.events + 1 {
+            if number > self.last_event + 1 {
                 return StreamOutcome::Interrupted;
             }
             if event.data == STREAM_END_DATA {
                 return StreamOutcome::Complete;
             }
-            self.events = number;
+            self.last_event = number;
             self.first_token_at
                 .get_or_insert_with(|| self.shared.clock.now());
             if !sink.send(AnswerPart::Event(event.data)).await {
--- a/crates/plumgate-node/src/exchange/recover.rs
+++ b/crates/plumgate-node/src/attempt/recover.rs
@@ -88,7 +88,7 @@
         let Ok(state) = serde_json::from_slice::<RunState>(&body) else {
             return false;
         };
-        let missing = self.order.call.stream && state.tokens > self.events;
+        let missing = self.order.call.stream && state.tokens > self.last_event;
         !state.done && !missing
     }
 
--- a/crates/plumgate-node/src/exchange/request.rs
+++ b/crates/plumgate-node/src/attempt/request.rs
@@ -40,7 +40,7 @@
         let mut request = self.build(Method::GET, &path, Bytes::new());
         request
             .headers_mut()
-            .insert(LAST_EVENT_HEADER, self.events.into());
+            .insert(LAST_EVENT_HEADER, self.last_event.into());
         request
     }
 
--- a/crates/plumgate-node/src/lib.rs
+++ b/crates/plumgate-node/src/lib.rs
@@ -18,6 +18,7 @@
 
 mod admin;
 mod answer;
+mod attempt;
 mod backend;
 mod body;
 mod call;
@@ -26,7 +27,6 @@
 mod callers;
 mod claims;
 mod control;
-mod exchange;
 pub mod http;
 mod life;
 mod metrics;
--- a/crates/plumgate-node/src/relay.rs
+++ b/crates/plumgate-node/src/relay.rs
@@ -16,12 +16,12 @@
 use plumgate::route::RouteChoice;
 
 use crate::answer::{RelaySink, WholeAnswer};
+use crate::attempt::{AttemptOrder, AttemptResult, ServerAttempt};
 use crate::call::CallerRequest;
 use crate::caller_error::CallerError;
 use crate::caller_sink::{CallerAnswer, CallerSink};
 use crate::claims::{HeldClaim, SettledRun};
 use crate::clock::Clock;
-use crate::exchange::{AttemptOrder, AttemptResult, ServerAttempt};
 use crate::log::LogLine;
 use crate::shared::{NodeShared, Verdict};
 
