--- a/crates/plumgate-node/src/attempt.rs
+++ b/crates/plumgate-node/src/attempt.rs
@@ -125,7 +125,7 @@
         // unknown whether the request ran. Requests that are not idempotent therefore use a new
         // connection.
         if self.order.idempotent
-            && let Some(connection) = self.shared.backends.take(self.address())
+            && let Some(connection) = self.shared.connections.take(self.address())
         {
             return Some((connection, true));
         }
@@ -155,7 +155,7 @@
                 WaitOutcome::Completed(Ok(response)) => {
                     let result = self.read_response(response, sink).await;
                     if matches!(result, AttemptResult::Answered { .. }) {
-                        self.shared.backends.put(self.address(), connection);
+                        self.shared.connections.put(self.address(), connection);
                     }
                     return result;
                 }
@@ -168,7 +168,7 @@
                     if self.is_still_running().await {
                         continue;
                     }
-                    self.shared.backends.clear(self.address());
+                    self.shared.connections.clear(self.address());
                     self.apply(AttemptEvent::ConnectionLost);
                     return self.recover(false, sink).await;
                 }
@@ -259,7 +259,7 @@
                     if self.is_still_running().await {
                         continue;
                     }
-                    self.shared.backends.clear(self.address());
+                    self.shared.connections.clear(self.address());
                     return StreamOutcome::Interrupted;
                 }
                 other => return StreamOutcome::Ended(self.interrupted_result(other)),
--- a/crates/plumgate-node/src/backend.rs
+++ b/crates/plumgate-node/src/connection_pool.rs
@@ -11,11 +11,11 @@
 
 /// Pool of idle connections by server address.
 #[derive(Debug, Default)]
-pub(crate) struct BackendPool {
+pub(crate) struct ConnectionPool {
     idle: Mutex<HashMap<SocketAddr, Vec<OpenConnection>>>,
 }
 
-impl BackendPool {
+impl ConnectionPool {
     /// Takes an idle connection that is not known to be closed.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<OpenConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/plumgate-node/src/shared.rs
+++ b/crates/plumgate-node/src/shared.rs
@@ -18,8 +18,8 @@
 use plumgate::ids::{PoolId, RequestId, ServerId, TierRank};
 use plumgate::route::RouteChoice;
 
-use crate::backend::BackendPool;
 use crate::clock::Clock;
+use crate::connection_pool::ConnectionPool;
 use crate::log::{EventLog, LogLine};
 use crate::metrics::NodeMetrics;
 use crate::platform::PlatformClient;
@@ -84,7 +84,7 @@
     /// The lifecycle state of the node.
     pub(crate) life: ArcSwap<LifeView>,
     /// Connections to backend servers.
-    pub(crate) backends: BackendPool,
+    pub(crate) connections: ConnectionPool,
     /// The client of the platform.
     pub(crate) platform: PlatformClient<C>,
     /// The executor that the traffic threads run.
@@ -124,7 +124,7 @@
                 state: "starting".to_owned(),
                 ..LifeView::default()
             }),
-            backends: BackendPool::default(),
+            connections: ConnectionPool::default(),
             platform,
             executor: Arc::new(Executor::new()),
             control,
