--- a/crates/plumgate-node/src/body.rs
+++ b/crates/plumgate-node/src/body.rs
@@ -11,16 +11,16 @@
 
 /// the answer was truncated
 #[derive(Clone, Copy, Debug, Display)]
-pub(crate) struct AnswerCut;
+pub(crate) struct AnswerTruncated;
 
-impl std::error::Error for AnswerCut {}
+impl std::error::Error for AnswerTruncated {}
 
 /// Chunk of a streamed answer.
-pub(crate) type AnswerChunk = Result<Bytes, AnswerCut>;
+pub(crate) type AnswerChunk = Result<Bytes, AnswerTruncated>;
 
 /// Body that is either complete or streamed in chunks.
 ///
-/// A streamed body that ends with [`AnswerCut`] aborts the connection, so that a truncated
+/// A streamed body that ends with [`AnswerTruncated`] aborts the connection, so that a truncated
 /// answer never looks complete to the caller.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
@@ -29,7 +29,7 @@
     /// Chunks received through a channel.
     Streamed(Pin<Box<Receiver<AnswerChunk>>>),
     /// All chunks were sent, and the answer is truncated after them.
-    Cut,
+    Truncated,
 }
 
 impl AnswerBody {
@@ -46,25 +46,25 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = AnswerTruncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerTruncated>>> {
         match &mut *self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Streamed(chunks) => match chunks.as_mut().poll_next(context) {
-                Poll::Ready(Some(Err(AnswerCut))) => {
+                Poll::Ready(Some(Err(AnswerTruncated))) => {
                     // An error drops the connection together with its unwritten bytes, among them the
                     // event that gives the reason. Yielding once lets hyper write them first.
-                    *self = Self::Cut;
+                    *self = Self::Truncated;
                     context.waker().wake_by_ref();
                     Poll::Pending
                 }
                 polled => polled.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
             },
-            Self::Cut => Poll::Ready(Some(Err(AnswerCut))),
+            Self::Truncated => Poll::Ready(Some(Err(AnswerTruncated))),
         }
     }
 
@@ -75,7 +75,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Self::Streamed(_) | Self::Cut => SizeHint::default(),
+            Self::Streamed(_) | Self::Truncated => SizeHint::default(),
         }
     }
 }
--- a/crates/plumgate-node/src/caller_sink.rs
+++ b/crates/plumgate-node/src/caller_sink.rs
@@ -5,7 +5,7 @@
 use futures_lite::future;
 
 use crate::answer::{AnswerPart, AnswerSink, RelaySink, WholeAnswer};
-use crate::body::{AnswerChunk, AnswerCut};
+use crate::body::{AnswerChunk, AnswerTruncated};
 use crate::caller_error::CallerError;
 
 /// Maximum number of chunks of a stream that are queued for a slow caller.
@@ -114,7 +114,7 @@
                 let event = format!("data: {}\n\n", error.to_json(request));
                 // A caller that is still connected sees the event and then an aborted connection.
                 let _ = chunks.send(Ok(event.into())).await;
-                let _ = chunks.send(Err(AnswerCut)).await;
+                let _ = chunks.send(Err(AnswerTruncated)).await;
             }
             SinkState::Waiting | SinkState::Buffered(_) => {
                 let _ = self.answers.send(CallerAnswer::Error(error)).await;
--- a/crates/plumgate-node/src/gateway/answer.rs
+++ b/crates/plumgate-node/src/gateway/answer.rs
@@ -14,7 +14,7 @@
 use hyper::http::response;
 
 use super::ports::WireFormat;
-use crate::body::{AnswerBody, AnswerCut};
+use crate::body::{AnswerBody, AnswerTruncated};
 use crate::caller_error::CallerError;
 use crate::http::json_response;
 
@@ -24,7 +24,7 @@
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
 /// Piece of a relayed stream.
-pub(crate) type StreamPiece = Result<Frame<Bytes>, AnswerCut>;
+pub(crate) type StreamPiece = Result<Frame<Bytes>, AnswerTruncated>;
 
 /// Body of an answer to a caller.
 pub(crate) type GatewayBody<S> = Either<AnswerBody, StreamBody<Pin<Box<S>>>>;
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -19,7 +19,7 @@
 use super::ports::WireFormat;
 use super::request::{AttemptOutcome, RESTARTED, ServerAnswer};
 use super::run::RelayRun;
-use crate::body::AnswerCut;
+use crate::body::AnswerTruncated;
 use crate::clock::{Clock, until};
 use crate::link::HttpLink;
 use crate::log::LogLine;
@@ -237,7 +237,7 @@
         // Earlier pieces are written first: an error closes the connection and discards
         // unwritten data.
         future::yield_now().await;
-        Some(Err(AnswerCut))
+        Some(Err(AnswerTruncated))
     }
 
     /// Continues at another server after the last whole event. Returns whether that worked.
