--- a/crates/plumgate-node/src/admin.rs
+++ b/crates/plumgate-node/src/admin.rs
@@ -22,13 +22,13 @@
     match path {
         "/healthz" => Some(text_response(StatusCode::OK, "ok\n")),
         "/readyz" => {
-            let life = shared.life.load();
-            let status = if life.ready {
+            let lifecycle = shared.lifecycle.load();
+            let status = if lifecycle.ready {
                 StatusCode::OK
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
             };
-            Some(text_response(status, format!("{}\n", life.state)))
+            Some(text_response(status, format!("{}\n", lifecycle.state)))
         }
         _ => None,
     }
@@ -116,7 +116,7 @@
     NodeStatus {
         node: shared.settings.node.to_string(),
         data_centre: shared.settings.data_centre.to_string(),
-        state: shared.life.load().state.clone(),
+        state: shared.lifecycle.load().state.clone(),
         config: config.as_ref().map_or(0, |config| config.version),
         waiting: load.waiting,
         running: load.running,
--- a/crates/plumgate-node/src/control.rs
+++ b/crates/plumgate-node/src/control.rs
@@ -18,7 +18,7 @@
 use plumgate::wire::{ReplayGuard, TextPatch};
 
 use crate::clock::Clock;
-use crate::life::NodeLife;
+use crate::lifecycle::NodeLifecycle;
 use crate::log::LogLine;
 use crate::observe::{ServerObserver, fetch_report};
 use crate::orders::{OrderEvent, OrderGiver, OrderTask};
@@ -64,7 +64,7 @@
     follower: ConfigFollower,
     links: PeerLinks,
     guard: ReplayGuard,
-    lifecycle: NodeLife,
+    lifecycle: NodeLifecycle,
     orders: OrderGiver<C>,
     order_events: Receiver<OrderEvent>,
     observer: ServerObserver,
@@ -86,7 +86,7 @@
     ) -> Self {
         let (order_sender, order_events) = async_channel::unbounded();
         Self {
-            lifecycle: NodeLife::new(&shared.settings),
+            lifecycle: NodeLifecycle::new(&shared.settings),
             orders: OrderGiver::new(shared.clone(), order_sender),
             order_events,
             observer: ServerObserver::default(),
--- a/crates/plumgate-node/src/gateway/lifecycle.rs
+++ b/crates/plumgate-node/src/gateway/lifecycle.rs
@@ -7,7 +7,7 @@
 
 use super::shared::GatewayShared;
 use crate::clock::Clock;
-use crate::life::enter_state;
+use crate::lifecycle::enter_state;
 
 /// Time for which the balancer still sends new connections after the node reports itself as not ready: two
 /// checks, one second apart, and the time that one takes.
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -21,7 +21,7 @@
 use super::options::{GatewayBounds, GatewayOptions};
 use crate::clock::Clock;
 use crate::log::EventLog;
-use crate::shared::LifeView;
+use crate::shared::LifecycleView;
 
 /// Number of nodes among which the fleet's retries are divided if nodes don't exchange messages: more than a
 /// small fleet has, spare VMs included.
@@ -45,7 +45,7 @@
     /// Configuration in force.
     pub(crate) config: ArcSwapOption<GatewayConfig>,
     /// State of the node's lifecycle.
-    pub(crate) lifecycle: ArcSwap<LifeView>,
+    pub(crate) lifecycle: ArcSwap<LifecycleView>,
     /// Page on the state of the duties, for operators.
     pub(crate) duties_page: ArcSwap<String>,
     /// Operators' bounds, as last read.
@@ -103,9 +103,9 @@
             wire,
             metrics: GatewayMetrics::new(),
             config: ArcSwapOption::empty(),
-            lifecycle: ArcSwap::from_pointee(LifeView {
+            lifecycle: ArcSwap::from_pointee(LifecycleView {
                 state: "starting".to_owned(),
-                ..LifeView::default()
+                ..LifecycleView::default()
             }),
             duties_page: ArcSwap::from_pointee(String::new()),
             bounds: ArcSwap::from_pointee(bounds),
--- a/crates/plumgate-node/src/lib.rs
+++ b/crates/plumgate-node/src/lib.rs
@@ -28,7 +28,7 @@
 mod connection_pool;
 mod control;
 pub mod http;
-mod life;
+mod lifecycle;
 mod metrics;
 mod node;
 mod observe;
--- a/crates/plumgate-node/src/life.rs
+++ b/crates/plumgate-node/src/lifecycle.rs
@@ -8,7 +8,7 @@
 use crate::clock::Clock;
 use crate::log::{EventLog, LogLine};
 use crate::settings::NodeSettings;
-use crate::shared::{LifeView, NodeShared};
+use crate::shared::{LifecycleView, NodeShared};
 
 static CHART: LazyLock<Arc<StateChart>> = LazyLock::new(|| {
     let chart = StateChart::read("node.toml", plumgate::chart::NODE_CHART);
@@ -16,14 +16,14 @@
 });
 
 /// Current lifecycle state of a node, and the times of its graceful stop.
-pub(crate) struct NodeLife {
+pub(crate) struct NodeLifecycle {
     run: ChartRun,
     balancer_lag: Duration,
     grace: Duration,
     entered_at: Option<Instant>,
 }
 
-impl NodeLife {
+impl NodeLifecycle {
     /// Creates the lifecycle of a node that is starting.
     pub(crate) fn new(settings: &NodeSettings) -> Self {
         let run = ChartRun::new(CHART.clone());
@@ -69,7 +69,7 @@
         self.entered_at = Some(shared.clock.now());
         let view = enter_state(&mut self.run, event, shared.open_requests(), &shared.log);
         let closing = view.closing;
-        shared.life.store(Arc::new(view));
+        shared.lifecycle.store(Arc::new(view));
         if closing {
             let actions = shared.dispatcher().stop();
             shared.carry_out(actions);
@@ -94,7 +94,7 @@
     event: &str,
     open_requests: u64,
     log: &EventLog,
-) -> LifeView {
+) -> LifecycleView {
     let applied = run.apply(event);
     debug_assert!(
         applied.is_ok(),
@@ -106,7 +106,7 @@
         .with("after", event)
         .with("open_requests", open_requests)
         .info(log);
-    LifeView {
+    LifecycleView {
         state: state.to_owned(),
         ready: state == "ready",
         closing: matches!(state, "draining" | "stopped"),
--- a/crates/plumgate-node/src/node.rs
+++ b/crates/plumgate-node/src/node.rs
@@ -243,7 +243,7 @@
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closing = shared.closing.listen();
-    if !shared.life.load().closing {
+    if !shared.lifecycle.load().closing {
         let closed = async {
             closing.await;
             None
--- a/crates/plumgate-node/src/shared.rs
+++ b/crates/plumgate-node/src/shared.rs
@@ -58,7 +58,7 @@
 
 /// Lifecycle state of a node as published by the control thread.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LifeView {
+pub(crate) struct LifecycleView {
     /// The name of the state in `charts/node.toml`.
     pub(crate) state: String,
     /// Whether the balancer should send requests to this node.
@@ -82,7 +82,7 @@
     /// The membership.
     pub(crate) members: ArcSwap<MemberView>,
     /// The lifecycle state of the node.
-    pub(crate) life: ArcSwap<LifeView>,
+    pub(crate) lifecycle: ArcSwap<LifecycleView>,
     /// Connections to backend servers.
     pub(crate) connections: ConnectionPool,
     /// The client of the platform.
@@ -120,9 +120,9 @@
             metrics: NodeMetrics::new(),
             config: ArcSwapOption::empty(),
             members: ArcSwap::default(),
-            life: ArcSwap::from_pointee(LifeView {
+            lifecycle: ArcSwap::from_pointee(LifecycleView {
                 state: "starting".to_owned(),
-                ..LifeView::default()
+                ..LifecycleView::default()
             }),
             connections: ConnectionPool::default(),
             platform,
