--- a/crates/plumgate-node/src/attempt.rs
+++ b/crates/plumgate-node/src/attempt.rs
@@ -21,7 +21,7 @@
 use crate::answer::{AnswerPart, AnswerSink, WholeAnswer};
 use crate::clock::Clock;
 use crate::http::OpenConnection;
-use crate::shared::{NodeShared, Verdict};
+use crate::shared::{NodeShared, RequestDecision};
 
 pub(crate) use order::{AttemptOrder, AttemptResult};
 
@@ -48,7 +48,7 @@
 pub(crate) struct ServerAttempt<'a, C> {
     shared: &'a NodeShared<C>,
     order: AttemptOrder<'a>,
-    decisions: &'a Receiver<Verdict>,
+    decisions: &'a Receiver<RequestDecision>,
     run: &'a mut AttemptRun,
     sent_at: Instant,
     first_token_at: Option<Instant>,
@@ -85,7 +85,7 @@
     pub(crate) fn new(
         shared: &'a NodeShared<C>,
         order: AttemptOrder<'a>,
-        decisions: &'a Receiver<Verdict>,
+        decisions: &'a Receiver<RequestDecision>,
         run: &'a mut AttemptRun,
     ) -> Self {
         let sent_at = shared.clock.now();
@@ -365,7 +365,7 @@
         let preempted = async {
             loop {
                 match self.decisions.recv().await {
-                    Ok(Verdict::Preempt) => return WaitOutcome::Preempted,
+                    Ok(RequestDecision::Preempt) => return WaitOutcome::Preempted,
                     Ok(_) => {}
                     Err(_) => future::pending().await,
                 }
--- a/crates/plumgate-node/src/control.rs
+++ b/crates/plumgate-node/src/control.rs
@@ -154,7 +154,9 @@
     fn apply(&mut self, event: ControlEvent) {
         match event {
             ControlEvent::PeerBytes(bytes) => self.apply_bytes(&bytes),
-            ControlEvent::AskForRoom(pool, rank) => self.request_peer_preemption(&pool, rank),
+            ControlEvent::RequestPeerPreemption(pool, rank) => {
+                self.request_peer_preemption(&pool, rank)
+            }
             ControlEvent::Stop => self.lifecycle.stop(&self.shared),
         }
     }
@@ -178,7 +180,7 @@
             .tick(&self.members, self.lifecycle.is_stopping());
         self.run_tasks(tasks);
         let actions = self.shared.dispatcher().tick(now);
-        self.shared.carry_out(actions);
+        self.shared.apply_actions(actions);
         self.publish_members();
     }
 
--- a/crates/plumgate-node/src/control/config.rs
+++ b/crates/plumgate-node/src/control/config.rs
@@ -56,7 +56,7 @@
             self.shared.config.store(Some(config.clone()));
             dispatcher.set_config(config, self.shared.clock.now())
         };
-        self.shared.carry_out(actions);
+        self.shared.apply_actions(actions);
         self.shared.metrics.config.set(version as i64);
         LogLine::new("config")
             .with("version", version)
--- a/crates/plumgate-node/src/control/gossip.rs
+++ b/crates/plumgate-node/src/control/gossip.rs
@@ -186,7 +186,7 @@
             .dispatcher()
             .preempt_for_peer(&pool.into(), rank);
         let Some(action) = action else { return };
-        self.shared.carry_out(vec![action]);
+        self.shared.apply_actions(vec![action]);
         let address = self
             .members
             .peer(sender)
--- a/crates/plumgate-node/src/lifecycle.rs
+++ b/crates/plumgate-node/src/lifecycle.rs
@@ -72,7 +72,7 @@
         shared.lifecycle.store(Arc::new(view));
         if closing {
             let actions = shared.dispatcher().stop();
-            shared.carry_out(actions);
+            shared.apply_actions(actions);
             shared.closing.notify(usize::MAX);
         }
     }
--- a/crates/plumgate-node/src/relay.rs
+++ b/crates/plumgate-node/src/relay.rs
@@ -23,7 +23,7 @@
 use crate::claims::{HeldClaim, SettledRun};
 use crate::clock::Clock;
 use crate::log::LogLine;
-use crate::shared::{NodeShared, Verdict};
+use crate::shared::{NodeShared, RequestDecision};
 
 /// Maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 5;
@@ -68,7 +68,7 @@
         outcome: RunOutcome::NotRun,
     };
     relay.serve(answers).await;
-    shared.forget(&id);
+    shared.remove_request(&id);
     shared.close_request();
 }
 
@@ -76,7 +76,7 @@
 struct RequestRelay<'a, C> {
     shared: &'a Arc<NodeShared<C>>,
     request: &'a CallerRequest,
-    decisions: Receiver<Verdict>,
+    decisions: Receiver<RequestDecision>,
     run: AttemptRun,
     claim: Option<HeldClaim>,
     outcome: RunOutcome,
@@ -142,11 +142,11 @@
         };
         match future::or(decision, caller_gone).await {
             None => NextStep::Abandon,
-            Some(Ok(Verdict::Preempt)) => NextStep::Retry,
-            Some(Ok(Verdict::Refuse(reason, retry_after))) => {
+            Some(Ok(RequestDecision::Preempt)) => NextStep::Retry,
+            Some(Ok(RequestDecision::Refuse(reason, retry_after))) => {
                 NextStep::Fail(self.refusal(reason, retry_after))
             }
-            Some(Ok(Verdict::Start(choice))) => self.attempt(choice, sink).await,
+            Some(Ok(RequestDecision::Start(choice))) => self.attempt(choice, sink).await,
             Some(Err(_)) => NextStep::Fail(self.failure("stopping", "the node is stopping")),
         }
     }
--- a/crates/plumgate-node/src/shared.rs
+++ b/crates/plumgate-node/src/shared.rs
@@ -27,7 +27,7 @@
 
 /// Decision of the dispatcher about one request.
 #[derive(Debug)]
-pub(crate) enum Verdict {
+pub(crate) enum RequestDecision {
     /// Send the request to a server.
     Start(RouteChoice),
     /// Refuse the request as not run; the caller may retry after the time.
@@ -42,7 +42,7 @@
     /// A message arrived from a peer, still sealed.
     PeerBytes(Vec<u8>),
     /// A request of this rank needs a slot in the pool, and only other nodes have requests to preempt.
-    AskForRoom(PoolId, TierRank),
+    RequestPeerPreemption(PoolId, TierRank),
     /// The node is to stop gracefully.
     Stop,
 }
@@ -96,7 +96,7 @@
     /// The incarnation of the node: its start time in milliseconds of the Unix epoch.
     pub(crate) incarnation: u64,
     dispatcher: Mutex<Dispatcher>,
-    waiters: Mutex<HashMap<RequestId, Sender<Verdict>>>,
+    waiters: Mutex<HashMap<RequestId, Sender<RequestDecision>>>,
     next_request: AtomicU64,
     open_requests: AtomicU64,
     open_connections: AtomicU64,
@@ -153,11 +153,11 @@
     }
 
     /// Registers a request and submits it to the dispatcher; decisions arrive on the returned channel.
-    pub(crate) fn submit(&self, ticket: RequestTicket) -> Receiver<Verdict> {
+    pub(crate) fn submit(&self, ticket: RequestTicket) -> Receiver<RequestDecision> {
         let (sender, receiver) = async_channel::unbounded();
         self.waiters().insert(ticket.id.clone(), sender);
         let actions = self.dispatcher().submit(ticket, self.clock.now());
-        self.carry_out(actions);
+        self.apply_actions(actions);
         receiver
     }
 
@@ -172,18 +172,18 @@
             .dispatcher()
             .resubmit(ticket, avoid, paid, self.clock.now());
         let is_accepted = actions.is_some();
-        self.carry_out(actions.unwrap_or_default());
+        self.apply_actions(actions.unwrap_or_default());
         is_accepted
     }
 
     /// Reports the end of an attempt to the dispatcher.
     pub(crate) fn finish(&self, request: &RequestId, end: AttemptOutcome) {
         let actions = self.dispatcher().finish(request, end, self.clock.now());
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 
     /// Removes a request that is over: it receives no further decisions.
-    pub(crate) fn forget(&self, request: &RequestId) {
+    pub(crate) fn remove_request(&self, request: &RequestId) {
         self.waiters().remove(request);
         let withdrawn = self.dispatcher().withdraw(request);
         drop(withdrawn);
@@ -191,7 +191,7 @@
     }
 
     /// Applies the dispatcher's actions: sends decisions to their requests and logs them.
-    pub(crate) fn carry_out(&self, actions: Vec<DispatchAction>) {
+    pub(crate) fn apply_actions(&self, actions: Vec<DispatchAction>) {
         for action in actions {
             match action {
                 DispatchAction::Start(order) => self.start(*order),
@@ -204,7 +204,7 @@
                     reason,
                     retry_after,
                 } => {
-                    self.send_decision(&request, Verdict::Refuse(reason, retry_after));
+                    self.send_decision(&request, RequestDecision::Refuse(reason, retry_after));
                 }
                 DispatchAction::Preempt {
                     request,
@@ -216,11 +216,13 @@
                         .with("server", server)
                         .with("for", &for_request)
                         .info(&self.log);
-                    self.send_decision(&request, Verdict::Preempt);
+                    self.send_decision(&request, RequestDecision::Preempt);
                 }
                 DispatchAction::RequestPeerPreemption { pool, rank } => {
                     // Sending fails if the control thread has exited, since the process is stopping.
-                    let _ = self.control.try_send(ControlEvent::AskForRoom(pool, rank));
+                    let _ = self
+                        .control
+                        .try_send(ControlEvent::RequestPeerPreemption(pool, rank));
                 }
             }
         }
@@ -252,13 +254,13 @@
                     .map_or(0, |config| config.version),
             )
             .info(&self.log);
-        self.send_decision(&ticket.id, Verdict::Start(choice));
+        self.send_decision(&ticket.id, RequestDecision::Start(choice));
     }
 
     /// Sends a decision to the request that waits for it.
-    fn send_decision(&self, request: &RequestId, verdict: Verdict) {
+    fn send_decision(&self, request: &RequestId, decision: RequestDecision) {
         let waiter = self.waiters().get(request).cloned();
-        let delivered = waiter.is_some_and(|waiter| waiter.try_send(verdict).is_ok());
+        let delivered = waiter.is_some_and(|waiter| waiter.try_send(decision).is_ok());
         if !delivered {
             // The caller disconnected at the same time: its slot must be released.
             let _ = self
@@ -267,7 +269,7 @@
         }
     }
 
-    fn waiters(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<Verdict>>> {
+    fn waiters(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<RequestDecision>>> {
         self.waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
