--- a/crates/plumgate-node/src/control.rs
+++ b/crates/plumgate-node/src/control.rs
@@ -20,8 +20,8 @@
 use crate::clock::Clock;
 use crate::lifecycle::NodeLifecycle;
 use crate::log::LogLine;
-use crate::observe::{ServerObserver, fetch_report};
-use crate::orders::{OrderEvent, OrderGiver, OrderTask};
+use crate::observe::{ServerObserver, fetch_load_report};
+use crate::orders::{OrderController, OrderEvent, OrderTask};
 use crate::peers::PeerLinks;
 use crate::platform::{ListedVm, ReadFailure, TableRow, VmRole};
 use crate::shared::{ControlEvent, MemberView, NodeShared};
@@ -65,7 +65,7 @@
     links: PeerLinks,
     guard: ReplayGuard,
     lifecycle: NodeLifecycle,
-    orders: OrderGiver<C>,
+    orders: OrderController<C>,
     order_events: Receiver<OrderEvent>,
     observer: ServerObserver,
     last_patch: Option<(u64, u64, TextPatch)>,
@@ -87,7 +87,7 @@
         let (order_sender, order_events) = async_channel::unbounded();
         Self {
             lifecycle: NodeLifecycle::new(&shared.settings),
-            orders: OrderGiver::new(shared.clone(), order_sender),
+            orders: OrderController::new(shared.clone(), order_sender),
             order_events,
             observer: ServerObserver::default(),
             shared,
@@ -264,7 +264,9 @@
         };
         for server in self.observer.tick(&self.members, &config, now) {
             let shared = self.shared.clone();
-            self.spawn(|_| async move { TaskResult::Report(fetch_report(shared, server).await) });
+            self.spawn(
+                |_| async move { TaskResult::Report(fetch_load_report(shared, server).await) },
+            );
         }
     }
 
--- a/crates/plumgate-node/src/observe.rs
+++ b/crates/plumgate-node/src/observe.rs
@@ -67,7 +67,7 @@
 }
 
 /// Fetches the load report of one server; `None` on timeout, failure or a malformed report.
-pub(crate) async fn fetch_report<C: Clock>(
+pub(crate) async fn fetch_load_report<C: Clock>(
     shared: Arc<NodeShared<C>>,
     server: Server,
 ) -> Option<(ServerId, LoadReport)> {
--- a/crates/plumgate-node/src/orders.rs
+++ b/crates/plumgate-node/src/orders.rs
@@ -47,7 +47,7 @@
 }
 
 /// Controller of the models of this node's data centre: holds their leases and sends orders to engines.
-pub(crate) struct OrderGiver<C> {
+pub(crate) struct OrderController<C> {
     shared: Arc<NodeShared<C>>,
     holder: String,
     events: Sender<OrderEvent>,
@@ -57,7 +57,7 @@
 /// Task for the control thread's executor.
 pub(crate) type OrderTask = std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
-impl<C: Clock> OrderGiver<C> {
+impl<C: Clock> OrderController<C> {
     /// Creates a controller that holds no lease.
     pub(crate) fn new(shared: Arc<NodeShared<C>>, events: Sender<OrderEvent>) -> Self {
         // The incarnation makes a restarted process under the same node name a different holder.
