--- a/crates/plumgate-cli/src/store.rs
+++ b/crates/plumgate-cli/src/store.rs
@@ -138,9 +138,9 @@
         let Some(found) = found else {
             return Err(Error::NotApplied);
         };
-        let kept = self.version(head.version).await;
-        match kept {
-            Ok(Some(kept)) if kept.change == head.change => Ok(ApplyOutcome::Accepted(head)),
+        let stored = self.version(head.version).await;
+        match stored {
+            Ok(Some(stored)) if stored.change == head.change => Ok(ApplyOutcome::Accepted(head)),
             Ok(_) => Ok(ApplyOutcome::Conflict(found)),
             Err(_) => Err(Error::InDoubt(head.change)),
         }
