--- a/crates/plumgate-node/src/gateway/checks.rs
+++ b/crates/plumgate-node/src/gateway/checks.rs
@@ -68,7 +68,7 @@
     });
     let body = read_body(shared, body, config.limits, due, &mut hasher).await?;
     let Some(pool) = route.pool_for(xxh3_64(id.as_bytes())).cloned() else {
-        return Err(stale(shared, "no_pool", "the route has no pool now"));
+        return Err(stale(shared, "no_pool", "the route leads nowhere now"));
     };
     let urgency = config.urgency(&route, workspace);
     let class = config.stream_class(&route, &pool);
@@ -114,7 +114,7 @@
         return Err(stale(
             shared,
             "config_stale",
-            "this node's configuration is out of date",
+            "this node's configuration is old",
         ));
     }
     let message = format!("there is no route for {host}{path}");
@@ -139,7 +139,7 @@
         return Err(stale(
             shared,
             "keys_stale",
-            "this node's API keys are out of date",
+            "this node's knowledge of keys is old",
         ));
     }
     let key = metadata.key.as_deref().unwrap_or_default();
@@ -149,7 +149,7 @@
         None if !shared.allows_denials() => Err(stale(
             shared,
             "keys_stale",
-            "this node may not know the API key yet",
+            "this node may not have heard of the key",
         )),
         None => Err(CallerError::invalid(
             StatusCode::UNAUTHORIZED,
--- a/crates/plumgate-node/src/gateway/metrics.rs
+++ b/crates/plumgate-node/src/gateway/metrics.rs
@@ -176,7 +176,7 @@
     }
 
     fn register(&self, mut registry: Registry) -> Registry {
-        registry.register("requests", "Finished requests", self.requests.clone());
+        registry.register("requests", "Requests that ended", self.requests.clone());
         registry.register(
             "failed_attempts",
             "Attempts that failed",
@@ -184,44 +184,40 @@
         );
         registry.register(
             "first_byte_seconds",
-            "Time from arrival to the first byte of the answer",
+            "Arrival to first byte",
             self.first_byte.clone(),
         );
-        registry.register(
-            "pause_seconds",
-            "Pauses between chunks of streams",
-            self.pauses.clone(),
-        );
+        registry.register("pause_seconds", "Pauses in streams", self.pauses.clone());
         registry.register("in_flight", "Requests in flight", self.in_flight.clone());
         registry.register("retries", "Retries sent", self.retries.clone());
         registry.register(
             "retries_refused",
-            "Retries not sent because the retry budget was spent",
+            "Retries without budget",
             self.retries_refused.clone(),
         );
         registry.register(
             "config_version",
-            "Version of the configuration in force",
+            "Configuration in force",
             self.config_version.clone(),
         );
         registry.register(
             "key_age_milliseconds",
-            "Age of this node's API keys",
+            "Age of what is known of keys",
             self.key_age.clone(),
         );
         registry.register(
             "server_ends",
-            "Servers believed to have crashed while running a request",
+            "Servers believed to have ended under a request",
             self.server_crashes.clone(),
         );
         registry.register(
             "suspect_verdicts",
-            "Verdicts on poison requests",
+            "Verdicts on requests under which servers ended",
             self.verdicts.clone(),
         );
         registry.register(
             "held_back",
-            "Requests not sent because they may crash another server",
+            "Requests not sent as servers ended under them",
             self.blocked_requests.clone(),
         );
         registry.register(
@@ -231,27 +227,27 @@
         );
         registry.register(
             "limited_servers",
-            "Servers with a rate limit",
+            "Servers that named a limit",
             self.limited_servers.clone(),
         );
         registry.register(
             "limited_sends",
-            "Requests sent to servers with a rate limit",
+            "Requests sent to servers that had named a limit",
             self.limited_sends.clone(),
         );
         registry.register(
             "limit_issuer",
-            "Whether this node issues permits for servers with a rate limit",
+            "Whether this node issues permits for limited servers",
             self.limit_issuer.clone(),
         );
         registry.register(
             "limit_holds",
-            "Requests deferred at a server because of its rate limit",
+            "Times that a server was passed over for its limit",
             self.limit_deferrals.clone(),
         );
         registry.register(
             "limits_malformed",
-            "Invalid rate limits in answers of servers",
+            "Limits of servers that make no sense",
             self.limits_malformed.clone(),
         );
         registry.register(
@@ -266,17 +262,17 @@
         );
         registry.register(
             "barred_sends",
-            "Requests not sent because of a statement of their server",
+            "Requests not sent as their server's own word was against it",
             self.barred_sends.clone(),
         );
         registry.register(
             "leaving_servers",
-            "Servers with a leave notice",
+            "Servers that said that they leave",
             self.leaving_servers.clone(),
         );
         registry.register(
             "resting_servers",
-            "Servers with a rest notice",
+            "Servers that asked for a rest",
             self.resting_servers.clone(),
         );
         registry.register(
@@ -286,19 +282,19 @@
         );
         registry.register(
             "duty_renewals",
-            "Renewals of the duty lease",
+            "Renewals of the duties' lease",
             self.duty_renewals.clone(),
         );
         registry.register(
             "duty_calls",
-            "Calls to the duty API",
+            "Reports and orders sent",
             self.duty_calls.clone(),
         );
-        registry.register("servers", "Known servers", self.servers.clone());
-        registry.register("nodes", "Known nodes", self.nodes.clone());
+        registry.register("servers", "Servers known", self.servers.clone());
+        registry.register("nodes", "Nodes known", self.nodes.clone());
         registry.register(
             "peer_refused",
-            "Messages of other nodes refused as invalid",
+            "Messages of nodes refused",
             self.peer_refused.clone(),
         );
         registry.register(
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -322,12 +322,12 @@
             RunOutcome::NotRun => CallerError::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
                 reason,
-                "backend servers crashed each time that this request ran; this time it was not run",
+                "backend servers ended each time that this request ran; this time it was not run",
                 blocked.retry_after,
             ),
             RunOutcome::Unknown | RunOutcome::Answered => CallerError::unknown(
                 reason,
-                "backend servers crashed while they ran this request; it is not sent to another one",
+                "backend servers ended under this request; it is not sent to another one",
             ),
         }
     }
@@ -338,7 +338,7 @@
             RunOutcome::NotRun => CallerError::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
                 reason,
-                "no backend server accepts the request now; it was not run",
+                "no backend server takes the request now; it was not run",
                 retry_after,
             ),
             RunOutcome::Unknown | RunOutcome::Answered => CallerError::unknown(
--- a/crates/plumgate-node/src/gateway/snapshots.rs
+++ b/crates/plumgate-node/src/gateway/snapshots.rs
@@ -98,7 +98,7 @@
     };
     match bytes {
         Some(bytes) => text_response(StatusCode::OK, bytes),
-        None => text_response(StatusCode::NOT_FOUND, "no snapshot is available\n"),
+        None => text_response(StatusCode::NOT_FOUND, "there is none\n"),
     }
 }
 
--- a/crates/plumgate-node/src/gateway/suspects.rs
+++ b/crates/plumgate-node/src/gateway/suspects.rs
@@ -144,10 +144,7 @@
         let lifted = self.quarantine().lift(digest, now);
         self.log_suspects();
         if lifted == 0 {
-            return text_response(
-                StatusCode::NOT_FOUND,
-                "nothing is recorded for this digest\n",
-            );
+            return text_response(StatusCode::NOT_FOUND, "nothing is held against it\n");
         }
         text_response(StatusCode::OK, "lifted\n")
     }
