--- a/crates/plumgate-standin/src/engine.rs
+++ b/crates/plumgate-standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine's stand-in: batches with slots and priorities, streams, resumes, cancels.
+//! Stand-in for a model engine: batching with slots and priorities, streaming, resumption and cancellation.
 
 mod options;
 mod report;
@@ -26,18 +26,18 @@
     ConnectionCut, StandinResponse, cut, journal_line, read_body, respond, respond_json, serve,
 };
 
-/// Pieces of a stream that wait for a slow reader.
-const CHUNKS_WAITING: usize = 16;
-/// Runs that are remembered after their end, so that they can be resumed.
-const RUNS_KEPT: usize = 4096;
-/// Requests that the journal keeps.
-const JOURNAL_LENGTH: usize = 1000;
-/// Share of the first token's time that a cached prefix leaves.
-const CACHED_SHARE: f64 = 0.3;
-/// Bytes of a prompt that make its prefix.
+/// Number of stream chunks that are buffered for a slow reader.
+const MAX_BUFFERED_CHUNKS: usize = 16;
+/// Number of runs that are retained after they finish, so that clients can resume them.
+const MAX_RETAINED_RUNS: usize = 4096;
+/// Number of requests that the journal records; later ones are not recorded.
+const MAX_JOURNAL_LINES: usize = 1000;
+/// Factor on the time to the first token when the prompt's prefix is cached.
+const CACHED_FIRST_TOKEN_FACTOR: f64 = 0.3;
+/// Length of the cached prefix of a prompt, in bytes.
 const PREFIX_BYTES: usize = 512;
 
-/// One run of a request.
+/// State of one run of a request.
 #[derive(Debug)]
 struct EngineRun {
     digest: String,
@@ -50,37 +50,38 @@
     orphaned_at: Option<Instant>,
 }
 
-/// An order to load or unload a model.
+/// Order to load or unload a model.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The fencing number of the holder.
+    /// Fencing number of the lease holder that sent the order.
     pub fencing: u64,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Whether the model is to be there.
+    /// Whether the model is to be loaded (`true`) or unloaded.
     pub loaded: bool,
 }
 
-/// The load at a time, for the lagging report.
+/// Load at one point in time; load reports are answered from samples that are `report_lag` old.
 #[derive(Clone, Copy, Debug)]
-struct DatedLoad {
+struct LoadSample {
     at: Instant,
     running: usize,
     waiting: usize,
 }
 
+/// Mutable state of an engine, including the counts that tests read.
 #[derive(Default)]
 struct EngineState {
     faults: EngineFaults,
     runs: HashMap<String, EngineRun>,
-    order_of_runs: VecDeque<String>,
+    run_order: VecDeque<String>,
     waiting: BTreeMap<(u16, u64), String>,
     running: usize,
     arrivals: u64,
     runs_by_key: BTreeMap<String, u64>,
     tokens: u64,
     cancelled: u64,
-    loads: VecDeque<DatedLoad>,
+    loads: VecDeque<LoadSample>,
     prefixes: VecDeque<u64>,
     cache_events: Vec<(u64, u64, bool)>,
     highest_fencing: u64,
@@ -90,7 +91,7 @@
     journal: Vec<String>,
 }
 
-/// The stand-in of one engine.
+/// Stand-in for one model engine.
 #[derive(Clone)]
 pub struct StandinEngine<C> {
     clock: C,
@@ -100,7 +101,7 @@
     changed: Rc<Event>,
 }
 
-/// The part of a request that the engine reads.
+/// Fields of a request body that the engine uses.
 #[derive(Deserialize)]
 struct EngineRequest {
     #[serde(default)]
@@ -108,14 +109,14 @@
     #[serde(default)]
     stream: bool,
     max_tokens: Option<u32>,
-    /// How many tokens this stand-in makes, which the router doesn't know.
+    /// Number of tokens that the stand-in generates (default 8); the gateway doesn't evaluate this field.
     standin_tokens: Option<u32>,
     messages: Option<Value>,
     prompt: Option<Value>,
 }
 
 impl<C: Clock> StandinEngine<C> {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(clock: C, options: EngineOptions, executor: Rc<LocalExecutor<'static>>) -> Self {
         let models = options
             .models
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Serves until the executor ends.
+    /// Serves requests until the executor stops.
     pub async fn run(self, listener: Async<TcpListener>) {
         let executor = self.executor.clone();
         let handler = move |request| {
@@ -154,8 +155,8 @@
             (&Method::GET, "/counts") => return Ok(self.counts()),
             _ => {}
         }
-        self.note(&head, &body);
-        self.until_thawed().await;
+        self.record_request(&head, &body);
+        self.wait_while_frozen().await;
         if let Some(id) = path.strip_prefix("/v1/runs/") {
             return self.handle_run(&head.method, id, &head.headers).await;
         }
@@ -165,22 +166,22 @@
             }
             (&Method::GET, "/load") => Ok(self.load_report()),
             (&Method::GET, "/cache/events") => Ok(self.cache_events(head.uri.query())),
-            (&Method::POST, "/orders") => Ok(self.take_order(&body).await),
+            (&Method::POST, "/orders") => Ok(self.apply_order(&body).await),
             (&Method::GET, "/orders") => Ok(self.orders()),
             _ => Ok(respond(StatusCode::NOT_FOUND, "nothing here")),
         }
     }
 
-    /// Keeps the first requests for a test to look at, not the regular looks at the engine.
-    fn note(&self, head: &hyper::http::request::Parts, body: &[u8]) {
+    /// Records a request below `/v1/` in the journal, up to [`MAX_JOURNAL_LINES`]; polling of the engine is left out.
+    fn record_request(&self, head: &hyper::http::request::Parts, body: &[u8]) {
         let mut state = self.state_mut();
         let is_request = head.uri.path().starts_with("/v1/");
-        if is_request && state.journal.len() < JOURNAL_LENGTH {
+        if is_request && state.journal.len() < MAX_JOURNAL_LINES {
             state.journal.push(journal_line(head, body));
         }
     }
 
-    async fn until_thawed(&self) {
+    async fn wait_while_frozen(&self) {
         loop {
             let changed = self.changed.listen();
             if !self.state().faults.frozen {
@@ -223,13 +224,13 @@
         respond_json(StatusCode::OK, &body)
     }
 
-    /// Takes one of a counted fault, if any is left.
-    fn takes(&self, fault: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
+    /// Returns whether a counted fault applies now, and decrements its counter.
+    fn consume_fault(&self, fault: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
         let mut state = self.state_mut();
         let left = fault(&mut state.faults);
-        let takes = *left > 0;
+        let applies = *left > 0;
         *left = left.saturating_sub(1);
-        takes
+        applies
     }
 
     async fn handle_request(
@@ -256,15 +257,15 @@
         if faults.refuse || faults.leaving {
             return Ok(refuse(faults.leaving));
         }
-        if self.takes(|faults| &mut faults.cut_before_run) {
+        if self.consume_fault(|faults| &mut faults.cut_before_run) {
             return cut();
         }
-        let id = self.begin(headers, &request, body);
-        if self.takes(|faults| &mut faults.cut_before_head) {
+        let id = self.enqueue_run(headers, &request, body);
+        if self.consume_fault(|faults| &mut faults.cut_before_head) {
             return cut();
         }
-        if self.takes(|faults| &mut faults.wrong_ids) {
-            return Ok(answer_of_another());
+        if self.consume_fault(|faults| &mut faults.wrong_ids) {
+            return Ok(mismatched_answer());
         }
         let mut response = self.answer(&id, request.stream, 0).await?;
         if let Ok(value) = HeaderValue::from_str(&id) {
@@ -273,8 +274,8 @@
         Ok(response)
     }
 
-    /// Puts a new run into the batch's queue.
-    fn begin(&self, headers: &HeaderMap, request: &EngineRequest, body: &[u8]) -> String {
+    /// Adds a run to the queue for a slot, starts its task and returns its request id.
+    fn enqueue_run(&self, headers: &HeaderMap, request: &EngineRequest, body: &[u8]) -> String {
         let header = |name| headers.get(name).and_then(|value| value.to_str().ok());
         let prompt = request.messages.as_ref().or(request.prompt.as_ref());
         let prompt = prompt.map_or_else(String::new, Value::to_string);
@@ -297,14 +298,14 @@
             orphaned_at: None,
         };
         state.runs.insert(id.clone(), run);
-        state.order_of_runs.push_back(id.clone());
-        forget_old_runs(&mut state);
+        state.run_order.push_back(id.clone());
+        evict_old_runs(&mut state);
         let priority = header("x-priority")
             .and_then(|text| text.parse().ok())
             .unwrap_or(u16::MAX);
         state.waiting.insert((priority, arrival), id.clone());
         drop(state);
-        self.note_load();
+        self.record_load();
         let prefix = digest(&prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)]);
         let generate = self
             .clone()
@@ -313,61 +314,66 @@
         id
     }
 
-    /// One run from its wait for a slot to its last token.
-    async fn generate(self, id: String, place: (u16, u64), prefix: u64) {
-        if !self.until_admitted(place).await {
+    /// Performs one run from waiting for a slot to the last token.
+    async fn generate(self, id: String, queue_key: (u16, u64), prefix: u64) {
+        if !self.wait_for_slot(queue_key).await {
             return;
         }
-        let cached = self.touch_prefix(prefix);
-        let share = if cached { CACHED_SHARE } else { 1.0 };
-        self.pause(self.options.first_token.mul_f64(share)).await;
+        let cached = self.touch_cached_prefix(prefix);
+        let share = if cached {
+            CACHED_FIRST_TOKEN_FACTOR
+        } else {
+            1.0
+        };
+        self.sleep_scaled(self.options.first_token.mul_f64(share))
+            .await;
         loop {
-            self.until_thawed().await;
-            if self.is_over(&id) || self.produce(&id) {
+            self.wait_while_frozen().await;
+            if self.is_finished(&id) || self.produce_token(&id) {
                 break;
             }
-            self.pause(self.options.token_pause).await;
+            self.sleep_scaled(self.options.token_pause).await;
         }
-        self.leave();
+        self.release_slot();
     }
 
-    /// Waits for a slot; `false` says that the run was cancelled before it got one.
-    async fn until_admitted(&self, place: (u16, u64)) -> bool {
+    /// Waits for a slot; returns `false` if the run was cancelled before it got one.
+    async fn wait_for_slot(&self, queue_key: (u16, u64)) -> bool {
         loop {
             let changed = self.changed.listen();
             {
                 let mut state = self.state_mut();
-                if !state.waiting.contains_key(&place) {
+                if !state.waiting.contains_key(&queue_key) {
                     return false;
                 }
-                let is_first = state.waiting.keys().next() == Some(&place);
+                let is_first = state.waiting.keys().next() == Some(&queue_key);
                 if is_first && state.running < self.options.slots {
-                    state.waiting.remove(&place);
+                    state.waiting.remove(&queue_key);
                     state.running += 1;
                     break;
                 }
             }
             changed.await;
         }
-        self.note_load();
+        self.record_load();
         self.changed.notify(usize::MAX);
         true
     }
 
-    fn leave(&self) {
+    fn release_slot(&self) {
         self.state_mut().running -= 1;
-        self.note_load();
+        self.record_load();
         self.changed.notify(usize::MAX);
     }
 
-    async fn pause(&self, time: Duration) {
+    async fn sleep_scaled(&self, time: Duration) {
         let factor = self.state().faults.slow_factor;
         let factor = if factor > 0.0 { factor } else { 1.0 };
         self.clock.sleep(time.mul_f64(factor)).await;
     }
 
-    /// Makes one token; whether that was the last one.
-    fn produce(&self, id: &str) -> bool {
+    /// Generates one token; returns whether it was the last one. Exits the process if the `crash` fault applies.
+    fn produce_token(&self, id: &str) -> bool {
         let crashes = {
             let mut state = self.state_mut();
             state.tokens += 1;
@@ -392,8 +398,8 @@
         self.state().runs.get(id).is_none_or(|run| run.done)
     }
 
-    /// Whether a run was cancelled, lost or left alone for too long.
-    fn is_over(&self, id: &str) -> bool {
+    /// Returns whether a run is done; a run without listeners for `orphan_time` is marked as lost first.
+    fn is_finished(&self, id: &str) -> bool {
         let now = self.clock.now();
         let mut state = self.state_mut();
         let Some(run) = state.runs.get_mut(id) else {
@@ -446,7 +452,7 @@
             .get("last-event-id")
             .and_then(|value| value.to_str().ok());
         let from: u32 = last.and_then(|text| text.parse().ok()).unwrap_or(0);
-        let repeats = if self.takes(|faults| &mut faults.repeat_events) {
+        let repeats = if self.consume_fault(|faults| &mut faults.repeat_events) {
             2
         } else {
             0
@@ -475,14 +481,14 @@
     }
 }
 
-/// What happens to a stream on its way.
+/// Fault of one stream: its connection is cut, or it stays open and sends nothing more.
 #[derive(Clone, Copy, Debug)]
 enum StreamFault {
     Cut,
     Silent,
 }
 
-/// What comes next in a stream.
+/// Next event of a stream.
 enum NextEvent {
     Token(String),
     End,
@@ -502,16 +508,19 @@
     response
 }
 
-/// A whole answer that belongs to another request, as after a mix-up.
-fn answer_of_another() -> StandinResponse {
+/// Builds an answer with the id and content of another request, as if responses had been swapped.
+fn mismatched_answer() -> StandinResponse {
     let content = token("00000000", 1);
-    let mut response = respond_json(StatusCode::OK, &whole_body("another-request", &content, 1));
+    let mut response = respond_json(
+        StatusCode::OK,
+        &completion_body("another-request", &content, 1),
+    );
     let id = HeaderValue::from_static("another-request");
     response.headers_mut().insert("x-request-id", id);
     response
 }
 
-fn whole_body(id: &str, content: &str, tokens: u32) -> Value {
+fn completion_body(id: &str, content: &str, tokens: u32) -> Value {
     json!({
         "id": id,
         "object": "chat.completion",
@@ -524,9 +533,9 @@
     })
 }
 
-fn forget_old_runs(state: &mut EngineState) {
-    while state.order_of_runs.len() > RUNS_KEPT {
-        let Some(oldest) = state.order_of_runs.pop_front() else {
+fn evict_old_runs(state: &mut EngineState) {
+    while state.run_order.len() > MAX_RETAINED_RUNS {
+        let Some(oldest) = state.run_order.pop_front() else {
             return;
         };
         if state.runs.get(&oldest).is_some_and(|run| run.done) {
@@ -535,13 +544,13 @@
     }
 }
 
-/// Each token names its prompt and its number, so that a reader sees whose answer it has and
-/// whether it is whole.
+/// Returns the text of a token. It contains the digest of the prompt and the token's number, so that a client can
+/// check that the answer is its own and complete.
 pub fn token(digest: &str, number: u32) -> String {
     format!("{digest}:{number} ")
 }
 
-/// The digest of a prompt that its answer's tokens carry.
+/// Returns the digest of a prompt that the tokens of its answer contain.
 pub fn prompt_digest(prompt: &Value) -> String {
     format!("{:08x}", digest(prompt.to_string().as_bytes()) as u32)
 }
--- a/crates/plumgate-standin/src/engine/options.rs
+++ b/crates/plumgate-standin/src/engine/options.rs
@@ -1,36 +1,36 @@
-//! How an engine's stand-in works, and its faults.
+//! Options and faults of the engine stand-in.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How an engine works.
+/// Options of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// The name of the engine.
+    /// Name of the engine.
     pub name: String,
-    /// Runs at once.
+    /// Maximum number of concurrent runs.
     pub slots: usize,
     /// Time to the first token.
     pub first_token: Duration,
     /// Time between tokens.
     pub token_pause: Duration,
-    /// How late the load report is.
+    /// Delay of the load report.
     pub report_lag: Duration,
-    /// Prefixes that the cache holds.
+    /// Number of prefixes that the cache can hold.
     pub cached_prefixes: usize,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fencing: bool,
-    /// How long a run goes on that nobody listens to.
+    /// Time for which a run continues after its last listener disconnected.
     pub orphan_time: Duration,
-    /// Whether requests are refused for models that are not loaded.
+    /// Whether requests for models that are not loaded are refused.
     pub strict_models: bool,
-    /// The models that are loaded from the start.
+    /// Models that are loaded at start.
     pub models: Vec<String>,
 }
 
 impl EngineOptions {
-    /// Options of a small, quick engine.
+    /// Returns the defaults: 8 slots, 20 ms to the first token, 5 ms between tokens, reports delayed by 500 ms.
     pub fn new(name: impl Into<String>) -> Self {
         Self {
             name: name.into(),
@@ -46,62 +46,62 @@
         }
     }
 
-    /// The same with a number of slots.
+    /// Sets the number of slots.
     pub fn with_slots(mut self, slots: usize) -> Self {
         self.slots = slots;
         self
     }
 
-    /// The same with other times.
+    /// Sets the time to the first token and the time between tokens.
     pub fn with_times(mut self, first_token: Duration, token_pause: Duration) -> Self {
         self.first_token = first_token;
         self.token_pause = token_pause;
         self
     }
 
-    /// The same with models that are loaded from the start.
+    /// Sets the models that are loaded at start.
     pub fn with_models(mut self, models: &[&str]) -> Self {
         self.models = models.iter().map(ToString::to_string).collect();
         self
     }
 
-    /// The same, checking fencing numbers or not.
+    /// Sets whether fencing numbers are checked.
     pub fn with_fencing(mut self, checks: bool) -> Self {
         self.checks_fencing = checks;
         self
     }
 }
 
-/// Faults that a test switches on; a new set replaces the old one.
+/// Faults that a test injects over HTTP; each set replaces the previous one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// New requests are refused as not run.
+    /// Refuses new requests as not run.
     pub refuse: bool,
-    /// New requests are refused as not run, and the engine says that it is leaving.
+    /// Refuses new requests as not run, and marks the engine as leaving.
     pub leaving: bool,
-    /// So many requests are cut before they run.
+    /// Number of requests whose connection is cut before they run.
     pub cut_before_run: u32,
-    /// So many requests run and are cut before the head of their answer.
+    /// Number of requests that run, and whose connection is cut before the response head.
     pub cut_before_head: u32,
-    /// So many streams are cut after `after_tokens`; their runs go on.
+    /// Number of streams that are cut after `after_tokens`; their runs continue.
     pub cut_streams: u32,
-    /// So many streams go silent after `after_tokens`; their runs go on.
+    /// Number of streams that stay open and send nothing more after `after_tokens`; their runs continue.
     pub silent_streams: u32,
-    /// So many runs are lost after `after_tokens`, as by a crash that forgets them.
+    /// Number of runs that are lost after `after_tokens`, as in a crash that loses their state.
     pub lose_runs: u32,
-    /// So many requests get another request's answer.
+    /// Number of requests that receive the answer of another request.
     pub wrong_ids: u32,
-    /// So many streams repeat events that they already sent when they are resumed.
+    /// Number of resumed streams that repeat events that were already sent.
     pub repeat_events: u32,
-    /// The process ends once a run has `after_tokens`.
+    /// Exits the process when a run reaches `after_tokens`.
     pub crash: bool,
-    /// After how many tokens the faults of streams and runs happen.
+    /// Number of tokens after which the faults of streams and runs take effect.
     pub after_tokens: u32,
-    /// All times are so many times longer; 0 means 1.
+    /// Factor on all generation times; 0 means 1.
     pub slow_factor: f64,
-    /// Nothing is generated and nothing answered until this is switched off.
+    /// Generates and answers nothing until this is switched off.
     pub frozen: bool,
-    /// Orders take effect only after so long, in milliseconds.
+    /// Delay before an order takes effect, in milliseconds.
     pub order_delay_ms: u64,
 }
--- a/crates/plumgate-standin/src/engine/report.rs
+++ b/crates/plumgate-standin/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! What an engine tells of itself, and the orders that it takes.
+//! Load reports and cache events of an engine, and the orders that it accepts.
 
 use std::time::Duration;
 
@@ -6,11 +6,13 @@
 use plumgate_node::Clock;
 use serde_json::{Value, json};
 
-use super::{DatedLoad, EngineOrder, StandinEngine};
+use super::{EngineOrder, LoadSample, StandinEngine};
 use crate::http::{StandinResponse, respond, respond_json};
 
 impl<C: Clock> StandinEngine<C> {
-    pub(super) fn touch_prefix(&self, prefix: u64) -> bool {
+    /// Moves a prefix to the recently used end of the cache, evicts the least recently used one if the cache is
+    /// full, and returns whether the prefix was cached before.
+    pub(super) fn touch_cached_prefix(&self, prefix: u64) -> bool {
         let mut state = self.state_mut();
         let cached = state.prefixes.contains(&prefix);
         state.prefixes.retain(|held| *held != prefix);
@@ -28,10 +30,11 @@
         cached
     }
 
-    pub(super) fn note_load(&self) {
+    /// Records the current load and drops samples that no report needs any more.
+    pub(super) fn record_load(&self) {
         let at = self.clock.now();
         let mut state = self.state_mut();
-        let load = DatedLoad {
+        let load = LoadSample {
             at,
             running: state.running,
             waiting: state.waiting.len(),
@@ -43,22 +46,22 @@
         }
     }
 
-    /// The load as it was a while ago.
+    /// Answers with the load as it was `report_lag` ago.
     pub(super) fn load_report(&self) -> StandinResponse {
         let now = self.clock.now();
         let lag = self.options.report_lag;
         let state = self.state();
-        let seen = state.loads.iter().rev().find(|load| load.at + lag <= now);
+        let reported = state.loads.iter().rev().find(|load| load.at + lag <= now);
         let body = json!({
-            "running": seen.map_or(0, |load| load.running),
-            "waiting": seen.map_or(0, |load| load.waiting),
+            "running": reported.map_or(0, |load| load.running),
+            "waiting": reported.map_or(0, |load| load.waiting),
             "leaving": state.faults.leaving,
             "age_ms": lag.as_millis() as u64,
         });
         respond_json(StatusCode::OK, &body)
     }
 
-    /// Cache events after a number; every tenth is missing, as from a lossy feed.
+    /// Answers with the cache events after a number. Every tenth event is missing, to simulate a lossy feed.
     pub(super) fn cache_events(&self, query: Option<&str>) -> StandinResponse {
         let after = query
             .and_then(|query| query.strip_prefix("after="))
@@ -75,7 +78,8 @@
         respond_json(StatusCode::OK, &json!(events))
     }
 
-    pub(super) async fn take_order(&self, body: &[u8]) -> StandinResponse {
+    /// Applies an order after the delay of the `order_delay_ms` fault; refuses outdated fencing numbers.
+    pub(super) async fn apply_order(&self, body: &[u8]) -> StandinResponse {
         let Ok(order) = serde_json::from_slice::<EngineOrder>(body) else {
             return respond(StatusCode::BAD_REQUEST, "malformed order");
         };
--- a/crates/plumgate-standin/src/engine/stream.rs
+++ b/crates/plumgate-standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The answers of an engine: whole, or event by event.
+//! Answers of an engine, complete or as an event stream.
 
 use async_channel::Sender;
 use bytes::Bytes;
@@ -8,11 +8,11 @@
 use plumgate_node::Clock;
 use serde_json::json;
 
-use super::{CHUNKS_WAITING, NextEvent, StandinEngine, StreamFault, token, whole_body};
+use super::{MAX_BUFFERED_CHUNKS, NextEvent, StandinEngine, StreamFault, completion_body, token};
 use crate::http::{ConnectionCut, StandinBody, StandinResponse, cut, respond_json};
 
 impl<C: Clock> StandinEngine<C> {
-    /// The answer of a run, from an event on.
+    /// Returns the answer of a run; a stream begins after event number `from`.
     pub(super) async fn answer(
         &self,
         id: &str,
@@ -20,33 +20,35 @@
         from: u32,
     ) -> Result<StandinResponse, ConnectionCut> {
         if !stream {
-            return self.whole_answer(id).await;
+            return self.wait_for_answer(id).await;
         }
-        let (sender, receiver) = async_channel::bounded(CHUNKS_WAITING);
-        let feeding = self.clone().feed(id.to_owned(), from, sender);
-        self.executor.spawn(feeding).detach();
-        let mut response = Response::new(StandinBody::Fed(Box::pin(receiver)));
+        let (sender, receiver) = async_channel::bounded(MAX_BUFFERED_CHUNKS);
+        let feed_task = self.clone().feed_stream(id.to_owned(), from, sender);
+        self.executor.spawn(feed_task).detach();
+        let mut response = Response::new(StandinBody::Streamed(Box::pin(receiver)));
         let content_type = HeaderValue::from_static("text/event-stream");
         response.headers_mut().insert(CONTENT_TYPE, content_type);
         Ok(response)
     }
 
-    pub(super) async fn whole_answer(&self, id: &str) -> Result<StandinResponse, ConnectionCut> {
+    /// Waits until a run is finished and returns its complete answer; cuts the connection if the run was lost.
+    pub(super) async fn wait_for_answer(&self, id: &str) -> Result<StandinResponse, ConnectionCut> {
         loop {
             let changed = self.changed.listen();
-            if let Some((digest, total, lost)) = self.finished(id) {
+            if let Some((digest, total, lost)) = self.finished_run(id) {
                 if lost {
                     return cut();
                 }
                 let content: String = (1..=total).map(|number| token(&digest, number)).collect();
-                let body = whole_body(id, &content, total);
+                let body = completion_body(id, &content, total);
                 return Ok(respond_json(StatusCode::OK, &body));
             }
             changed.await;
         }
     }
 
-    pub(super) fn finished(&self, id: &str) -> Option<(String, u32, bool)> {
+    /// Returns the digest, the token count and whether the run was lost, once the run is finished.
+    pub(super) fn finished_run(&self, id: &str) -> Option<(String, u32, bool)> {
         let state = self.state();
         match state.runs.get(id) {
             Some(run) if run.done => Some((run.digest.clone(), run.total, run.lost)),
@@ -55,14 +57,14 @@
         }
     }
 
-    /// Feeds a stream with a run's events.
-    pub(super) async fn feed(
+    /// Sends the events of a run to a stream until the run ends, the reader disconnects or a fault cuts the stream.
+    pub(super) async fn feed_stream(
         self,
         id: String,
         from: u32,
         chunks: Sender<Result<Bytes, ConnectionCut>>,
     ) {
-        self.attach(&id, 1);
+        self.adjust_listeners(&id, 1);
         let fault = self.stream_fault();
         let mut sent = from;
         let end = loop {
@@ -82,7 +84,7 @@
                 }
                 continue;
             };
-            self.until_thawed().await;
+            self.wait_while_frozen().await;
             match fault {
                 Some(StreamFault::Cut) if sent >= self.state().faults.after_tokens => {
                     break Some(Err(ConnectionCut));
@@ -112,21 +114,23 @@
             }
         };
         if let Some(last) = end {
-            // The reader may be gone by now; the run stays for it to resume.
+            // The reader may have disconnected; the run is retained so that it can resume.
             let _ = chunks.send(last).await;
         }
-        self.attach(&id, -1);
+        self.adjust_listeners(&id, -1);
     }
 
+    /// Takes the fault that applies to a new stream, if any.
     pub(super) fn stream_fault(&self) -> Option<StreamFault> {
-        if self.takes(|faults| &mut faults.cut_streams) {
+        if self.consume_fault(|faults| &mut faults.cut_streams) {
             return Some(StreamFault::Cut);
         }
-        self.takes(|faults| &mut faults.silent_streams)
+        self.consume_fault(|faults| &mut faults.silent_streams)
             .then_some(StreamFault::Silent)
     }
 
-    pub(super) fn attach(&self, id: &str, by: i32) {
+    /// Changes the number of listeners of a run and records since when it has had none.
+    pub(super) fn adjust_listeners(&self, id: &str, by: i32) {
         let now = self.clock.now();
         if let Some(run) = self.state_mut().runs.get_mut(id) {
             run.listeners = run.listeners.saturating_add_signed(by);
@@ -134,6 +138,7 @@
         }
     }
 
+    /// Returns the event after the first `sent` ones, or `None` if it is not generated yet.
     pub(super) fn next_event(&self, id: &str, sent: u32) -> Option<NextEvent> {
         let state = self.state();
         let Some(run) = state.runs.get(id) else {
--- a/crates/plumgate-standin/src/http.rs
+++ b/crates/plumgate-standin/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server and client for the stand-ins.
+//! Small HTTP/1.1 server and client for the stand-ins.
 
 use std::future::Future;
 use std::io;
@@ -20,7 +20,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use smol_hyper::rt::FuturesIo;
 
-/// The error that cuts a connection.
+/// Error that makes the server cut the connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionCut;
 
@@ -32,14 +32,14 @@
 
 impl std::error::Error for ConnectionCut {}
 
-/// The body of an answer: whole, or fed piece by piece.
+/// Body of a response: complete, or streamed in chunks.
 #[derive(Debug)]
 pub enum StandinBody {
-    /// All bytes at once, taken by the first poll.
-    Whole(Option<Bytes>),
-    /// Pieces as they come; an error cuts the connection.
-    Fed(Pin<Box<Receiver<Result<Bytes, ConnectionCut>>>>),
-    /// The connection is cut once all pieces are written.
+    /// All bytes at once; the first poll takes them.
+    Complete(Option<Bytes>),
+    /// Chunks as they are sent; an error cuts the connection.
+    Streamed(Pin<Box<Receiver<Result<Bytes, ConnectionCut>>>>),
+    /// Cuts the connection after all chunks were written.
     Cut,
 }
 
@@ -52,10 +52,10 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, ConnectionCut>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Fed(chunks) => match chunks.as_mut().poll_next(context) {
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Streamed(chunks) => match chunks.as_mut().poll_next(context) {
                 Poll::Ready(Some(Err(ConnectionCut))) => {
-                    // What was sent before the cut arrives: a turn for the connection to write it.
+                    // Yields once, so that the connection writes the chunks before the cut and they arrive.
                     *self = Self::Cut;
                     context.waker().wake_by_ref();
                     Poll::Pending
@@ -67,21 +67,21 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 }
 
-/// An answer of a stand-in.
+/// Response of a stand-in.
 pub type StandinResponse = Response<StandinBody>;
 
-/// A whole answer.
+/// Builds a complete response.
 pub fn respond(status: StatusCode, body: impl Into<Bytes>) -> StandinResponse {
-    let mut response = Response::new(StandinBody::Whole(Some(body.into())));
+    let mut response = Response::new(StandinBody::Complete(Some(body.into())));
     *response.status_mut() = status;
     response
 }
 
-/// A whole answer of JSON.
+/// Builds a complete JSON response.
 pub fn respond_json(status: StatusCode, body: &serde_json::Value) -> StandinResponse {
     let mut response = respond(status, body.to_string());
     let json = hyper::header::HeaderValue::from_static("application/json");
@@ -91,12 +91,12 @@
     response
 }
 
-/// An answer that cuts the connection before its head.
+/// Returns the error that cuts the connection before the response head.
 pub fn cut() -> Result<StandinResponse, ConnectionCut> {
     Err(ConnectionCut)
 }
 
-/// Headers that a journal names.
+/// Headers that a journal line includes.
 const JOURNAL_HEADERS: [&str; 4] = [
     "x-request-id",
     "x-priority",
@@ -104,7 +104,7 @@
     "last-event-id",
 ];
 
-/// One line about a request, for the journal of what a server was asked.
+/// Formats one request as a line for the journal of a server.
 pub fn journal_line(head: &hyper::http::request::Parts, body: &[u8]) -> String {
     let mut line = format!("{} {}", head.method, head.uri.path());
     for name in JOURNAL_HEADERS {
@@ -118,20 +118,20 @@
     line
 }
 
-/// Reads a request's body.
+/// Reads the body of a request; empty if reading fails.
 pub async fn read_body(body: Incoming) -> Bytes {
     body.collect()
         .await
-        .map(|whole| whole.to_bytes())
+        .map(|collected| collected.to_bytes())
         .unwrap_or_default()
 }
 
-/// Binds a listener; port 0 takes any free one.
+/// Binds a listener; port 0 selects any free port.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
 
-/// Serves requests for as long as the executor runs.
+/// Serves requests as long as the executor runs.
 pub async fn serve<H, F>(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
@@ -145,18 +145,18 @@
             continue;
         };
         let handler = handler.clone();
-        let carried = async move {
+        let connection_task = async move {
             let _ = stream.get_ref().set_nodelay(true);
             let connection =
                 http1::Builder::new().serve_connection(FuturesIo::new(stream), service_fn(handler));
-            // How a connection ends is its client's business.
+            // Connection errors show at the client; the server ignores them.
             let _ = connection.await;
         };
-        executor.spawn(carried).detach();
+        executor.spawn(connection_task).detach();
     }
 }
 
-/// Runs a server on a thread of its own, inside a test or a tool.
+/// Runs a server on its own thread inside a test or tool.
 pub fn spawn_server<S>(server: S)
 where
     S: FnOnce(Rc<LocalExecutor<'static>>) -> Pin<Box<dyn Future<Output = ()>>> + Send + 'static,
@@ -168,46 +168,46 @@
     });
 }
 
-/// An answer as a client reads it.
+/// Response as read by a client.
 #[derive(Clone, Debug)]
 pub struct ClientAnswer {
-    /// The status.
+    /// Status code.
     pub status: StatusCode,
-    /// The headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body, as far as it was received.
     pub body: Bytes,
-    /// Whether the body came whole.
+    /// Whether the body was received completely.
     pub complete: bool,
 }
 
 impl ClientAnswer {
-    /// The body as JSON.
+    /// Returns the body as JSON, or `null` if it isn't valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// The body as text.
+    /// Returns the body as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// A request for [`call`].
+/// Request for [`call`].
 #[derive(Clone, Debug)]
 pub struct ClientCall {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path.
+    /// Path and query.
     pub path: String,
-    /// The headers.
+    /// Names and values of the headers.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
 impl ClientCall {
-    /// A request without headers or body.
+    /// Creates a request without headers and body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -217,13 +217,13 @@
         }
     }
 
-    /// The same with a header.
+    /// Adds a header.
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// The same with a body of JSON.
+    /// Sets a JSON body and its content type.
     pub fn with_json(mut self, body: &serde_json::Value) -> Self {
         self.body = body.to_string().into();
         self.with_header("content-type", "application/json")
@@ -243,7 +243,7 @@
     }
 }
 
-/// Sends a request over a connection of its own; `on_chunk` sees each piece of the body.
+/// Sends a request over a new connection; `on_chunk` is called with each chunk of the body.
 pub async fn call_with(
     address: SocketAddr,
     call: &ClientCall,
@@ -279,14 +279,14 @@
             complete,
         })
     };
-    let carry = async {
+    let drive_connection = async {
         let _ = connection.await;
         futures_lite::future::pending().await
     };
-    futures_lite::future::or(exchange, carry).await
+    futures_lite::future::or(exchange, drive_connection).await
 }
 
-/// Sends a request over a connection of its own.
+/// Sends a request over a new connection.
 pub async fn call(address: SocketAddr, call: &ClientCall) -> io::Result<ClientAnswer> {
     call_with(address, call, |_| {}).await
 }
--- a/crates/plumgate-standin/src/lib.rs
+++ b/crates/plumgate-standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what plumgate meets: model engines, plain services and the platform, each
-//! with faults that a test switches on over HTTP, and a load tool that measures.
+//! Stand-ins for the systems that plumgate connects to (model engines, plain services and the platform), each with
+//! faults that a test injects over HTTP, and a load tool that measures attainment, goodput and wasted work.
 
 #![forbid(unsafe_code)]
 
--- a/crates/plumgate-standin/src/link.rs
+++ b/crates/plumgate-standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A network link with faults: a forwarder between two processes that a test cuts or silences.
+//! Network link with faults: a TCP forwarder between two processes that a test can cut, delay or silence.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,32 +12,32 @@
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 
-/// Bytes that are forwarded at a time.
-const PIECE: usize = 16 * 1024;
-/// Set while new connections are refused.
-const REFUSES: u64 = 1;
-/// Set once nobody listens any more.
+/// Size of the forwarding buffer, in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Flag that is set while new connections are closed right after they are accepted.
+const REFUSING: u64 = 1;
+/// Flag that is set once the link no longer listens.
 const CLOSED: u64 = 2;
 
-/// What has happened to a link so far.
+/// Faults of a link, shared by the test and the forwarding thread.
 #[derive(Debug, Default)]
 struct LinkState {
     flags: AtomicU64,
-    /// Connections below this number were cut.
+    /// Connections with a number below this are cut.
     cut_below: AtomicU64,
-    /// Connections below this number are silent: they stay open and carry nothing.
+    /// Connections with a number below this stay open and forward nothing.
     silent_below: AtomicU64,
-    /// Answers of connections below this number are lost, while their requests go through.
-    deaf_below: AtomicU64,
-    /// Milliseconds by which each piece is held up.
+    /// Connections with a number below this forward requests, but lose the answers.
+    answers_lost_below: AtomicU64,
+    /// Delay of each chunk, in milliseconds.
     delay_ms: AtomicU64,
-    /// Bytes of requests after which a connection is cut; 0 for never.
+    /// Number of request bytes after which a connection is cut; 0 for never.
     cut_after: AtomicU64,
     accepted: AtomicU64,
     changed: Event,
 }
 
-/// A forwarder to one address.
+/// Forwarder to one address.
 #[derive(Clone, Debug)]
 pub struct FaultyLink {
     address: SocketAddr,
@@ -45,7 +45,7 @@
 }
 
 impl FaultyLink {
-    /// Starts forwarding from an address to another, on a thread of its own.
+    /// Starts forwarding from one address to another on a separate thread.
     pub fn start(listen: SocketAddr, to: SocketAddr) -> io::Result<Self> {
         let listener = Async::<TcpListener>::bind(listen)?;
         let address = listener.get_ref().local_addr()?;
@@ -62,57 +62,59 @@
         Ok(link)
     }
 
-    /// The address that it forwards from.
+    /// Returns the address that the link listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets new connections through again.
-    pub fn mend(&self) {
+    /// Accepts new connections again and removes delay and byte limit.
+    pub fn restore(&self) {
         self.state.flags.fetch_and(CLOSED, Ordering::SeqCst);
         self.state.cut_after.store(0, Ordering::SeqCst);
         self.state.delay_ms.store(0, Ordering::SeqCst);
     }
 
-    /// Cuts the open connections one way: requests go through, answers are lost; new ones work.
+    /// Loses the answers of open connections while their requests are still forwarded; new connections work.
     pub fn lose_answers(&self) {
         let accepted = self.state.accepted.load(Ordering::SeqCst);
-        self.state.deaf_below.store(accepted, Ordering::SeqCst);
+        self.state
+            .answers_lost_below
+            .store(accepted, Ordering::SeqCst);
     }
 
-    /// Holds up each piece by so many milliseconds.
+    /// Delays each chunk by a number of milliseconds.
     pub fn delay(&self, millis: u64) {
         self.state.delay_ms.store(millis, Ordering::SeqCst);
     }
 
-    /// Cuts all connections and refuses new ones.
+    /// Cuts all connections and closes new ones at once.
     pub fn cut(&self) {
-        self.state.flags.fetch_or(REFUSES, Ordering::SeqCst);
+        self.state.flags.fetch_or(REFUSING, Ordering::SeqCst);
         self.drop_connections();
     }
 
-    /// Ends the link for good: nobody listens any more, so that machines refuse new connections, and then the
-    /// open ones are cut.
+    /// Closes the link permanently: first the listener, so that the operating system refuses new connections, then
+    /// the open connections.
     pub fn close(&self) {
         self.state.flags.fetch_or(CLOSED, Ordering::SeqCst);
         self.state.changed.notify(usize::MAX);
     }
 
-    /// Cuts the open connections; new ones work.
+    /// Cuts open connections; new ones work.
     pub fn drop_connections(&self) {
         let accepted = self.state.accepted.load(Ordering::SeqCst);
         self.state.cut_below.store(accepted, Ordering::SeqCst);
         self.state.changed.notify(usize::MAX);
     }
 
-    /// Makes the open connections silent for good; new ones work.
+    /// Silences open connections permanently: they stay open and forward nothing; new connections work.
     pub fn silence(&self) {
         let accepted = self.state.accepted.load(Ordering::SeqCst);
         self.state.silent_below.store(accepted, Ordering::SeqCst);
         self.state.changed.notify(usize::MAX);
     }
 
-    /// Cuts each connection once it carried so many bytes of requests.
+    /// Cuts each connection after it has forwarded a number of request bytes.
     pub fn cut_after(&self, bytes: u64) {
         self.state.cut_after.store(bytes, Ordering::SeqCst);
     }
@@ -138,22 +140,27 @@
         let Some(Ok((client, _))) = future::or(changing, accepting).await else {
             continue;
         };
-        if state.flags.load(Ordering::SeqCst) & REFUSES != 0 {
+        if state.flags.load(Ordering::SeqCst) & REFUSING != 0 {
             continue;
         }
         let number = state.accepted.fetch_add(1, Ordering::SeqCst);
-        let carried = carry(client, to, number, state.clone());
-        executor.spawn(carried).detach();
+        let forwarding = forward_connection(client, to, number, state.clone());
+        executor.spawn(forwarding).detach();
     }
     drop(listener);
     let accepted = state.accepted.load(Ordering::SeqCst);
     state.cut_below.store(accepted, Ordering::SeqCst);
     state.changed.notify(usize::MAX);
-    // What is open still has to be closed by whoever carries it.
+    // Keeps the executor running, so that the tasks of open connections can close them.
     future::pending().await
 }
 
-async fn carry(client: Async<TcpStream>, to: SocketAddr, number: u64, state: Arc<LinkState>) {
+async fn forward_connection(
+    client: Async<TcpStream>,
+    to: SocketAddr,
+    number: u64,
+    state: Arc<LinkState>,
+) {
     let Ok(server) = Async::<TcpStream>::connect(to).await else {
         return;
     };
@@ -177,7 +184,7 @@
     future::or(cut, carrying).await;
 }
 
-/// Forwards one direction until it ends, falls silent or is cut.
+/// Forwards one direction of a connection until it ends or is cut; a silenced connection is read and discarded.
 async fn forward(
     mut from: &Async<TcpStream>,
     mut to: &Async<TcpStream>,
@@ -185,11 +192,11 @@
     state: &LinkState,
     is_request: bool,
 ) {
-    let mut piece = vec![0; PIECE];
-    let mut carried = 0;
-    while let Ok(mut count @ 1..) = from.read(&mut piece).await {
-        let is_deaf = !is_request && number < state.deaf_below.load(Ordering::SeqCst);
-        if is_deaf || number < state.silent_below.load(Ordering::SeqCst) {
+    let mut chunk = vec![0; CHUNK_BYTES];
+    let mut forwarded = 0;
+    while let Ok(mut count @ 1..) = from.read(&mut chunk).await {
+        let loses_answer = !is_request && number < state.answers_lost_below.load(Ordering::SeqCst);
+        if loses_answer || number < state.silent_below.load(Ordering::SeqCst) {
             continue;
         }
         let delay = state.delay_ms.load(Ordering::SeqCst);
@@ -197,14 +204,14 @@
             async_io::Timer::after(Duration::from_millis(delay)).await;
         }
         let bound = state.cut_after.load(Ordering::SeqCst);
-        let cuts = is_request && bound > 0 && carried + count as u64 >= bound;
+        let cuts = is_request && bound > 0 && forwarded + count as u64 >= bound;
         if cuts {
-            count = (bound - carried) as usize;
+            count = (bound - forwarded) as usize;
         }
-        if to.write_all(&piece[..count]).await.is_err() {
+        if to.write_all(&chunk[..count]).await.is_err() {
             break;
         }
-        carried += count as u64;
+        forwarded += count as u64;
         if cuts {
             let _ = from.get_ref().shutdown(std::net::Shutdown::Both);
             break;
--- a/crates/plumgate-standin/src/load/cost.rs
+++ b/crates/plumgate-standin/src/load/cost.rs
@@ -1,4 +1,4 @@
-//! What a node adds: latency against the direct way, and processor time per token.
+//! Measures the cost of a node: added latency compared with direct requests, processor time per token, and memory.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 
 use crate::http::{ClientCall, call, call_with};
 
-/// Longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
-/// Clock ticks a second in the processor times that the system reports.
+/// Upper bound of the latency histograms, in microseconds; longer times are recorded as this.
+const MAX_TIME_US: u64 = 60_000_000;
+/// Clock ticks per second in the processor times of `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The command line.
+/// Returns the command line.
 pub fn command() -> Command {
     let address = |name| {
         Arg::new(name)
@@ -54,7 +54,7 @@
         .arg(number("tokens", "20000"))
 }
 
-/// Runs the measurement.
+/// Runs the measurement and prints its results.
 pub fn run(matches: &ArgMatches) -> ExitCode {
     match measure(matches) {
         Ok(()) => ExitCode::SUCCESS,
@@ -65,16 +65,17 @@
     }
 }
 
-/// What a process has used so far.
+/// Processor time and resident memory that a process has used.
 #[derive(Clone, Copy, Debug)]
 struct ProcessUse {
     processor: Duration,
     resident_kb: u64,
 }
 
+/// Reads the use of a process from `/proc`.
 fn process_use(pid: u32) -> io::Result<ProcessUse> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The name of the program stands in brackets and may hold blanks.
+    // The program name is in parentheses and may contain spaces.
     let fields: Vec<&str> = stat
         .rsplit(") ")
         .next()
@@ -110,14 +111,14 @@
     println!("resident memory of the idle node: {} KB", idle.resident_kb);
     compare_latency(direct, via, &key, &model, number("requests"))?;
     let before = process_use(pid)?;
-    let (tokens, taken) = stream_tokens(via, &key, &model, number("streams"), number("tokens"))?;
+    let (tokens, elapsed) = stream_tokens(via, &key, &model, number("streams"), number("tokens"))?;
     let after = process_use(pid)?;
     let used = (after.processor - before.processor).as_secs_f64();
     println!(
         "{tokens} tokens over {} streams in {:.2} s: {:.0} a second; {used:.2} s of processor time: {:.0} tokens a second and core",
         number("streams"),
-        taken.as_secs_f64(),
-        tokens as f64 / taken.as_secs_f64(),
+        elapsed.as_secs_f64(),
+        tokens as f64 / elapsed.as_secs_f64(),
         tokens as f64 / used.max(0.01)
     );
     println!("resident memory after: {} KB", after.resident_kb);
@@ -136,7 +137,8 @@
         .with_json(&body)
 }
 
-/// The same requests by turns over both ways, so that both see the same state of the machine.
+/// Compares latency with and without the node. Requests alternate between both paths, so that both see the same state
+/// of the machine.
 fn compare_latency(
     direct: SocketAddr,
     via: SocketAddr,
@@ -144,7 +146,7 @@
     model: &str,
     count: u64,
 ) -> io::Result<()> {
-    let histogram = || Histogram::<u64>::new_with_max(LONGEST_US, 3).map_err(io::Error::other);
+    let histogram = || Histogram::<u64>::new_with_max(MAX_TIME_US, 3).map_err(io::Error::other);
     let mut times = [histogram()?, histogram()?];
     for number in 0..count {
         for (address, times) in [direct, via].into_iter().zip(&mut times) {
@@ -154,8 +156,9 @@
             if !answer.status.is_success() {
                 return Err(io::Error::other(answer.text()));
             }
-            times
-                .saturating_record(u64::try_from(sent.elapsed().as_micros()).unwrap_or(LONGEST_US));
+            times.saturating_record(
+                u64::try_from(sent.elapsed().as_micros()).unwrap_or(MAX_TIME_US),
+            );
         }
     }
     for (name, quantile) in [("median", 0.5), ("99th percentile", 0.99)] {
@@ -166,6 +169,7 @@
     Ok(())
 }
 
+/// Streams through the node and returns the tokens of complete streams and the time taken.
 fn stream_tokens(
     via: SocketAddr,
     key: &str,
--- a/crates/plumgate-standin/src/load/experiment.rs
+++ b/crates/plumgate-standin/src/load/experiment.rs
@@ -1,7 +1,7 @@
-//! Compares plumgate's choices with baselines: same seed, same arrivals, same faults.
+//! Compares plumgate's routing and queueing policies with baselines, with the same seeds, arrivals and faults.
 //!
-//! Each run starts a fleet of its own from an example's inventory and rules: the platform, the
-//! engines, and two nodes in each data centre.
+//! Each run starts its own fleet from the inventory and rules of an example: the platform, the engines, and two
+//! nodes in each data centre.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -22,16 +22,16 @@
 use super::scenario::LoadScenario;
 use crate::http::{ClientCall, call};
 
-/// Nodes in each data centre.
-const NODES: usize = 2;
-/// Longest time that anything is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// The quantile of first bytes that is printed.
-const LATE_QUANTILE: f64 = 0.99;
-/// Slots of each engine in an experiment.
+/// Number of nodes in each data centre.
+const NODES_PER_DATA_CENTRE: usize = 2;
+/// Maximum time to wait for a process to answer.
+const MAX_WAIT: Duration = Duration::from_secs(20);
+/// Quantile of the time to the first byte that is printed.
+const FIRST_BYTE_QUANTILE: f64 = 0.99;
+/// Number of slots of each engine.
 const SLOTS: usize = 4;
 
-/// A choice of policies that is compared.
+/// Route policy and queue policy that are compared under one name.
 #[derive(Clone, Copy, Debug)]
 struct PolicyPair {
     name: &'static str,
@@ -67,7 +67,7 @@
     },
 ];
 
-/// The command line.
+/// Returns the command line.
 pub fn command() -> Command {
     let number = |name, default| {
         Arg::new(name)
@@ -85,7 +85,7 @@
         .arg(number("port", "9000").help("First of some 60 ports"))
 }
 
-/// Runs all combinations and prints their medians.
+/// Runs all combinations of faults, policies and seeds and prints median, minimum and maximum of each measure.
 pub fn run(matches: &ArgMatches) -> ExitCode {
     let list = |name| {
         matches
@@ -131,16 +131,16 @@
     ExitCode::SUCCESS
 }
 
-/// The figures of one class over several runs.
+/// Measures of one class over several runs.
 #[derive(Default)]
 struct ClassRuns {
     attainment: Vec<f64>,
     refused: Vec<f64>,
-    late: Vec<f64>,
+    first_byte_seconds: Vec<f64>,
 }
 
-/// Median, lowest and highest of a figure.
-fn spread(mut values: Vec<f64>) -> String {
+/// Formats values as median, minimum and maximum.
+fn format_range(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let at = |index: usize| values.get(index).copied().unwrap_or_default();
     format!(
@@ -163,28 +163,29 @@
             runs.attainment.push(class.attainment());
             runs.refused
                 .push(class.refused as f64 / class.sent.max(1) as f64);
-            runs.late
-                .push(class.first_byte(LATE_QUANTILE).as_secs_f64());
+            runs.first_byte_seconds
+                .push(class.first_byte(FIRST_BYTE_QUANTILE).as_secs_f64());
         }
     }
     for (name, runs) in classes {
         println!(
             "  attainment {name:<12} {}; refused {}; 99th percentile of first bytes {} s",
-            spread(runs.attainment),
-            spread(runs.refused),
-            spread(runs.late)
+            format_range(runs.attainment),
+            format_range(runs.refused),
+            format_range(runs.first_byte_seconds)
         );
     }
     println!(
         "  goodput a second       {}",
-        spread(runs.iter().map(RunMeasure::goodput).collect())
+        format_range(runs.iter().map(RunMeasure::goodput).collect())
     );
     println!(
         "  wasted work            {}",
-        spread(runs.iter().map(RunMeasure::wasted).collect())
+        format_range(runs.iter().map(RunMeasure::wasted).collect())
     );
 }
 
+/// Runs the load on a new fleet; the fault is active in the middle third of the run.
 fn run_once(
     folder: &Path,
     pair: PolicyPair,
@@ -199,19 +200,19 @@
     fleet.apply()?;
     let arrivals = scenario.arrivals(seed, length);
     let (nodes, engines) = (fleet.nodes.clone(), fleet.engines.clone());
-    let driving = std::thread::spawn(move || drive(&scenario, &arrivals, &nodes, &engines));
+    let load_thread = std::thread::spawn(move || drive(&scenario, &arrivals, &nodes, &engines));
     sleep(length / 3);
     fleet.begin_fault(fault)?;
     sleep(length / 3);
     fleet.end_fault(fault)?;
-    let measure = driving
+    let measure = load_thread
         .join()
         .map_err(|_| io::Error::other("the load tool failed"))?;
     fleet.print_refusals();
     Ok(measure)
 }
 
-/// A fleet of one run; its processes end with it.
+/// Fleet of one run; dropping it ends its processes.
 struct ExperimentFleet {
     processes: Vec<Child>,
     node_processes: Vec<usize>,
@@ -226,11 +227,11 @@
 impl Drop for ExperimentFleet {
     fn drop(&mut self) {
         for process in &mut self.processes {
-            // One that has ended already needs no more.
+            // Fails if the process has already exited, which is fine.
             let _ = process.kill();
             let _ = process.wait();
         }
-        // Whoever asks for more logs wants to read them.
+        // The logs are kept if a log level was set, because they are meant to be read then.
         if std::env::var_os("PLUMGATE_LOG_LEVEL").is_none() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
@@ -240,7 +241,7 @@
 impl ExperimentFleet {
     fn start(example: &Path, pair: PolicyPair, fault: &str, first_port: u16) -> io::Result<Self> {
         let mut port = first_port;
-        let mut next = || {
+        let mut next_address = || {
             loop {
                 let address = SocketAddr::from(([127, 0, 0, 1], port));
                 port += 1;
@@ -252,7 +253,7 @@
         let folder =
             std::env::temp_dir().join(format!("plumgate-experiment-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let platform = next();
+        let platform = next_address();
         let mut fleet = Self {
             processes: Vec::new(),
             node_processes: Vec::new(),
@@ -268,9 +269,9 @@
             &["platform".into(), format!("--listen={platform}")],
             &[],
         )?;
-        let config = fleet.write_config(example, &mut next)?;
+        let config = fleet.write_config(example, &mut next_address)?;
         fleet.start_engines(&config, fault)?;
-        fleet.start_nodes(&config, pair, &mut next)?;
+        fleet.start_nodes(&config, pair, &mut next_address)?;
         for address in fleet.engines.iter().chain(&fleet.nodes) {
             let path = if fleet.nodes.contains(address) {
                 "/healthz"
@@ -282,11 +283,11 @@
         Ok(fleet)
     }
 
-    /// The example's files with the engines' addresses on this machine.
+    /// Writes the files of the example with addresses and slots of this fleet, and returns the configuration.
     fn write_config(
         &self,
         example: &Path,
-        next: &mut impl FnMut() -> SocketAddr,
+        next_address: &mut impl FnMut() -> SocketAddr,
     ) -> io::Result<FleetConfig> {
         let mut inventory = std::fs::read_to_string(example.join("inventory.toml"))?;
         let rules = std::fs::read_to_string(example.join("rules.toml"))?;
@@ -298,7 +299,7 @@
         };
         for server in read(&inventory)?.inventory.servers.values() {
             let old = format!("\"{}\"", server.address);
-            inventory = inventory.replace(&old, &format!("\"{}\"", next()));
+            inventory = inventory.replace(&old, &format!("\"{}\"", next_address()));
         }
         let inventory = inventory.replace("slots = 8", &format!("slots = {SLOTS}"));
         std::fs::write(self.folder.join("inventory.toml"), &inventory)?;
@@ -338,12 +339,12 @@
         &mut self,
         config: &FleetConfig,
         pair: PolicyPair,
-        next: &mut impl FnMut() -> SocketAddr,
+        next_address: &mut impl FnMut() -> SocketAddr,
     ) -> io::Result<()> {
         let mut seeds: Vec<String> = Vec::new();
         for data_centre in config.inventory.data_centres.keys() {
-            for number in 1..=NODES {
-                let (callers, admin, peers) = (next(), next(), next());
+            for number in 1..=NODES_PER_DATA_CENTRE {
+                let (callers, admin, peers) = (next_address(), next_address(), next_address());
                 let variables = [
                     ("PLUMGATE_NODE", format!("{data_centre}-{number}")),
                     ("PLUMGATE_DATA_CENTRE", data_centre.to_string()),
@@ -376,7 +377,7 @@
     ) -> io::Result<()> {
         let log = self.folder.join(format!("{}.log", self.processes.len()));
         let output = File::create(log)?;
-        let child = Process::new(beside(program)?)
+        let child = Process::new(sibling_program(program)?)
             .args(args)
             .envs(
                 variables
@@ -393,14 +394,14 @@
 
     fn apply(&self) -> io::Result<()> {
         let admins: Vec<String> = self.admins.iter().map(ToString::to_string).collect();
-        let status = Process::new(beside("plumgate")?)
+        let status = Process::new(sibling_program("plumgate")?)
             .current_dir(&self.folder)
             .args(["apply", "--wait"])
             .env("PLUMGATE_PLATFORM", self.platform.to_string())
             .env("PLUMGATE_NODES", admins.join(","))
             .stdout(Stdio::null())
             .status()?;
-        // All nodes find each other before the load begins.
+        // Gives the nodes time to discover each other before the load begins.
         sleep(Duration::from_secs(2));
         if status.success() {
             Ok(())
@@ -409,17 +410,17 @@
         }
     }
 
-    /// Why requests were refused, over all nodes, by their own metrics.
+    /// Prints the counts of refusals and failed attempts by label, from the metrics of all nodes.
     fn print_refusals(&self) {
         let mut reasons: BTreeMap<String, u64> = BTreeMap::new();
         for admin in &self.admins {
             let page = async_io::block_on(call(*admin, &ClientCall::new(Method::GET, "/metrics")));
             let Ok(page) = page else { continue };
-            let counted = ["plumgate_refusals_total", "plumgate_failed_attempts_total"];
+            let metrics = ["plumgate_refusals_total", "plumgate_failed_attempts_total"];
             for line in page
                 .text()
                 .lines()
-                .filter(|line| counted.iter().any(|c| line.starts_with(c)))
+                .filter(|line| metrics.iter().any(|c| line.starts_with(c)))
             {
                 let Some((name, count)) = line.rsplit_once(' ') else {
                     continue;
@@ -435,9 +436,9 @@
     fn begin_fault(&mut self, fault: &str) -> io::Result<()> {
         for part in fault.split('+') {
             match part {
-                "straggler" => self.fault(self.engines[0], &json!({ "slow_factor": 5.0 }))?,
+                "straggler" => self.set_faults(self.engines[0], &json!({ "slow_factor": 5.0 }))?,
                 "crash" => self.processes[self.engine_processes[0]].kill()?,
-                "store-away" => self.fault(self.platform, &json!({ "down": true }))?,
+                "store-away" => self.set_faults(self.platform, &json!({ "down": true }))?,
                 "nodes-frozen" => self.signal_nodes("-STOP")?,
                 "none" | "stale-reports" => {}
                 other => return Err(io::Error::other(format!("\"{other}\" is not a fault"))),
@@ -449,8 +450,8 @@
     fn end_fault(&mut self, fault: &str) -> io::Result<()> {
         for part in fault.split('+') {
             match part {
-                "straggler" => self.fault(self.engines[0], &json!({}))?,
-                "store-away" => self.fault(self.platform, &json!({}))?,
+                "straggler" => self.set_faults(self.engines[0], &json!({}))?,
+                "store-away" => self.set_faults(self.platform, &json!({}))?,
                 "nodes-frozen" => self.signal_nodes("-CONT")?,
                 _ => {}
             }
@@ -458,38 +459,39 @@
         Ok(())
     }
 
-    /// All nodes of the first data centre stand still, as behind a cut.
+    /// Sends a signal to all nodes of the first data centre; stopping them simulates a network partition.
     fn signal_nodes(&self, signal: &str) -> io::Result<()> {
-        for index in self.node_processes.iter().take(NODES) {
+        for index in self.node_processes.iter().take(NODES_PER_DATA_CENTRE) {
             let id = self.processes[*index].id().to_string();
             Process::new("kill").args([signal, &id]).status()?;
         }
         Ok(())
     }
 
-    fn fault(&self, address: SocketAddr, faults: &Value) -> io::Result<()> {
+    fn set_faults(&self, address: SocketAddr, faults: &Value) -> io::Result<()> {
         let request = ClientCall::new(Method::POST, "/faults").with_json(faults);
         async_io::block_on(call(address, &request)).map(drop)
     }
 }
 
-/// The nodes' log level: the caller's own setting, or little.
+/// Returns the log level of the nodes: that of the environment, or `warn`.
 fn log_level() -> String {
     std::env::var("PLUMGATE_LOG_LEVEL").unwrap_or_else(|_| "warn".to_owned())
 }
 
-/// A program that was built beside this one.
-fn beside(program: &str) -> io::Result<PathBuf> {
+/// Returns the path of a program in the folder of this one.
+fn sibling_program(program: &str) -> io::Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name(program))
 }
 
+/// Waits until a process answers with success; fails after [`MAX_WAIT`].
 fn wait_for(address: SocketAddr, path: &str) -> io::Result<()> {
     let start = Instant::now();
     let request = ClientCall::new(Method::GET, path);
     while !async_io::block_on(call(address, &request))
         .is_ok_and(|answer| answer.status.is_success())
     {
-        if start.elapsed() > PATIENCE {
+        if start.elapsed() > MAX_WAIT {
             return Err(io::Error::other(format!("{address}{path} does not answer")));
         }
         sleep(Duration::from_millis(50));
--- a/crates/plumgate-standin/src/load/measure.rs
+++ b/crates/plumgate-standin/src/load/measure.rs
@@ -1,4 +1,4 @@
-//! The three measures of the brief: attainment by class, goodput and wasted work.
+//! Measures of a load run: attainment by class, goodput and wasted work.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,51 +7,51 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 
-/// Longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Upper bound of the histograms, in microseconds; longer times are recorded as this.
+const MAX_TIME_US: u64 = 600_000_000;
 
-/// How one request ended.
+/// Outcome of one request.
 #[derive(Clone, Debug)]
-pub struct RequestEnd {
-    /// Its class.
+pub struct RequestOutcome {
+    /// Class of the request.
     pub class: String,
-    /// The target of its class.
+    /// Target of the class for the time to the first byte.
     pub target: Duration,
-    /// The time to the first byte.
+    /// Time to the first byte.
     pub first: Duration,
-    /// The time to the end.
+    /// Time to the end of the answer.
     pub total: Duration,
-    /// Whether the answer was its own, and whole.
+    /// Whether the answer belongs to the request and is complete.
     pub correct: bool,
-    /// Whether it was refused as not run.
+    /// Whether the request was refused as not run.
     pub refused: bool,
-    /// The tokens of its answer.
+    /// Number of tokens of the answer.
     pub tokens: u32,
 }
 
-impl RequestEnd {
+impl RequestOutcome {
     fn in_time(&self) -> bool {
         self.correct && self.first <= self.target
     }
 }
 
-/// What was measured of one class.
+/// Measures of one class.
 #[derive(Clone, Debug)]
 pub struct ClassMeasure {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Requests answered correctly within the target.
+    /// Number of requests answered correctly within the target.
     pub in_time: u64,
-    /// Requests answered correctly.
+    /// Number of requests answered correctly.
     pub correct: u64,
-    /// Requests refused as not run.
+    /// Number of requests refused as not run.
     pub refused: u64,
     first: Histogram<u64>,
 }
 
 impl ClassMeasure {
     fn new() -> Self {
-        let first = Histogram::new_with_max(LONGEST_US, 3);
+        let first = Histogram::new_with_max(MAX_TIME_US, 3);
         let first = first.expect("the bounds of the histogram are constants that fit");
         Self {
             sent: 0,
@@ -62,18 +62,18 @@
         }
     }
 
-    /// Share of the requests answered correctly within the target.
+    /// Returns the share of requests answered correctly within the target.
     pub fn attainment(&self) -> f64 {
         share(self.in_time, self.sent)
     }
 
-    /// A quantile of the time to the first byte of correct answers.
+    /// Returns a quantile of the time to the first byte of correct answers.
     pub fn first_byte(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.first.value_at_quantile(quantile))
     }
 }
 
-/// What was measured of one run.
+/// Measures of one run.
 #[derive(Clone, Debug)]
 pub struct RunMeasure {
     classes: BTreeMap<String, ClassMeasure>,
@@ -89,7 +89,7 @@
 }
 
 impl RunMeasure {
-    /// A run of which nothing was measured yet.
+    /// Creates measures without any request.
     pub fn new() -> Self {
         Self {
             classes: BTreeMap::new(),
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Counts one request.
-    pub fn record(&mut self, end: RequestEnd) {
+    /// Records the outcome of one request.
+    pub fn record(&mut self, end: RequestOutcome) {
         let in_time = end.in_time();
         let class = self
             .classes
@@ -112,33 +112,33 @@
         class.refused += u64::from(end.refused);
         if end.correct {
             self.useful_tokens += u64::from(end.tokens);
-            let micros = u64::try_from(end.first.as_micros()).unwrap_or(LONGEST_US);
+            let micros = u64::try_from(end.first.as_micros()).unwrap_or(MAX_TIME_US);
             class.first.saturating_record(micros);
         }
     }
 
-    /// Says how many tokens the engines made during the run.
+    /// Sets the number of tokens that the engines generated during the run.
     pub fn set_generated(&mut self, tokens: u64) {
         self.generated_tokens = tokens;
     }
 
-    /// Says how long the run took.
+    /// Sets the duration of the run.
     pub fn set_length(&mut self, length: Duration) {
         self.length = length;
     }
 
-    /// The measures by class.
+    /// Returns the measures by class.
     pub fn classes(&self) -> &BTreeMap<String, ClassMeasure> {
         &self.classes
     }
 
-    /// Correct answers in time, a second.
+    /// Returns the number of correct answers in time per second.
     pub fn goodput(&self) -> f64 {
         let in_time: u64 = self.classes.values().map(|class| class.in_time).sum();
         in_time as f64 / self.length.as_secs_f64().max(1e-9)
     }
 
-    /// Share of the generated tokens that reached nobody as part of a correct answer.
+    /// Returns the share of generated tokens that were not delivered as part of a correct answer.
     pub fn wasted(&self) -> f64 {
         share(
             self.generated_tokens.saturating_sub(self.useful_tokens),
@@ -146,7 +146,7 @@
         )
     }
 
-    /// The measures as JSON.
+    /// Returns the measures as JSON.
     pub fn to_json(&self) -> serde_json::Value {
         let classes: BTreeMap<&str, serde_json::Value> = self
             .classes
--- a/crates/plumgate-standin/src/load/mod.rs
+++ b/crates/plumgate-standin/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! The load tool: open-loop arrivals by class from a seed, and the three measures.
+//! Load tool: sends open-loop arrivals by class, generated from a seed, and measures attainment, goodput and wasted
+//! work.
 
 pub mod cost;
 pub mod experiment;
@@ -18,13 +19,13 @@
 
 use crate::engine::{prompt_digest, token};
 use crate::http::{ClientAnswer, ClientCall, call, call_with};
-pub use measure::{ClassMeasure, RequestEnd, RunMeasure};
+pub use measure::{ClassMeasure, RequestOutcome, RunMeasure};
 pub use scenario::{Arrival, LoadClass, LoadScenario};
 
-/// How long a client waits for an answer at most.
+/// Maximum time that a client waits for an answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The command line of the load tool.
+/// Returns the command line of the load tool.
 pub fn command() -> Command {
     Command::new("load")
         .about("Sends requests by class and measures attainment, goodput and wasted work")
@@ -62,7 +63,7 @@
         .value_parser(value_parser!(SocketAddr))
 }
 
-/// Runs the load tool; exit code 2 when the scenario is wrong.
+/// Runs the load tool; the exit code is 2 if the scenario is invalid.
 pub fn run(matches: &ArgMatches) -> ExitCode {
     let path = matches
         .get_one::<String>("scenario")
@@ -97,7 +98,7 @@
     ExitCode::SUCCESS
 }
 
-/// Sends all arrivals at their times and measures what comes of them.
+/// Sends all arrivals at their times and measures the outcomes.
 pub fn drive(
     scenario: &LoadScenario,
     arrivals: &[Arrival],
@@ -142,6 +143,7 @@
     measure
 }
 
+/// Returns the total number of tokens that the engines have generated; unreachable engines count as 0.
 async fn generated_tokens(engines: &[SocketAddr]) -> u64 {
     let mut tokens = 0;
     for engine in engines {
@@ -151,7 +153,12 @@
     tokens
 }
 
-async fn send(target: SocketAddr, class: LoadClass, arrival: Arrival, number: usize) -> RequestEnd {
+async fn send(
+    target: SocketAddr,
+    class: LoadClass,
+    arrival: Arrival,
+    number: usize,
+) -> RequestOutcome {
     let prompt = json!([{ "role": "user", "content": format!("{} {number}", class.name) }]);
     let body = json!({
         "model": class.model,
@@ -188,7 +195,7 @@
             .unwrap_or("")
             .to_owned()
     });
-    RequestEnd {
+    RequestOutcome {
         class: class.name,
         target: Duration::from_millis(class.target_ms),
         first: first.unwrap_or_default(),
@@ -199,7 +206,7 @@
     }
 }
 
-/// Whether an answer is this request's own, and whole.
+/// Returns whether an answer belongs to the request and is complete.
 fn is_correct(
     answer: &ClientAnswer,
     class: &LoadClass,
@@ -214,19 +221,19 @@
     let content = if class.stream {
         stream_content(&answer.text())
     } else {
-        whole_content(answer)
+        completion_content(answer)
     };
     content.as_deref() == Some(&expected)
 }
 
-fn whole_content(answer: &ClientAnswer) -> Option<String> {
+fn completion_content(answer: &ClientAnswer) -> Option<String> {
     let json = answer.json();
     json["choices"][0]["message"]["content"]
         .as_str()
         .map(str::to_owned)
 }
 
-/// The joined content of a stream, if its end mark came.
+/// Returns the concatenated content of a stream, or `None` if its end mark is missing.
 pub fn stream_content(text: &str) -> Option<String> {
     let mut content = String::new();
     for line in text.lines() {
--- a/crates/plumgate-standin/src/load/scenario.rs
+++ b/crates/plumgate-standin/src/load/scenario.rs
@@ -1,38 +1,38 @@
-//! What a load run sends: classes, rates, bursts, and the arrivals that follow from a seed.
+//! Load scenarios: classes, rates, bursts, and the arrivals that are generated from a seed.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// One class of requests of a load run.
+/// Class of requests in a load run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadClass {
-    /// The class as the rules name it.
+    /// Name of the class in the rules.
     pub name: String,
-    /// The API key.
+    /// API key.
     pub key: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Tokens of an answer on average; lengths are spread exponentially.
+    /// Mean number of tokens of an answer; lengths are distributed exponentially and limited to five times the mean.
     pub tokens: u32,
-    /// The time to the first byte that counts as in time, in milliseconds.
+    /// Longest time to the first byte that counts as in time, in milliseconds.
     pub target_ms: u64,
     /// Whether answers are streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Whether each request has an Idempotency-Key.
+    /// Whether each request has an `Idempotency-Key`.
     #[serde(default)]
     pub keyed: bool,
-    /// The rate is multiplied by this during a burst.
+    /// Factor on the rate during a burst.
     #[serde(default = "one")]
     pub burst_factor: f64,
-    /// When a burst begins, in seconds from the start.
+    /// Start of the burst, in seconds from the start of the run.
     #[serde(default)]
     pub burst_from: f64,
-    /// When a burst ends, in seconds from the start.
+    /// End of the burst, in seconds from the start of the run.
     #[serde(default)]
     pub burst_until: f64,
 }
@@ -41,37 +41,37 @@
     1.0
 }
 
-/// All classes of a load run.
+/// Scenario of a load run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadScenario {
-    /// The classes.
+    /// Classes of requests.
     pub classes: Vec<LoadClass>,
-    /// Share of the requests that go to the first target, beyond its even share.
+    /// Share of requests that is sent to the first target; the others are spread evenly over all targets.
     #[serde(default)]
     pub first_target_share: f64,
 }
 
-/// One request to be sent.
+/// One request to send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, from the start.
+    /// Time from the start of the run.
     pub at: Duration,
-    /// The index of its class.
+    /// Index of the class.
     pub class: usize,
-    /// The index of the node that it goes to, to be taken modulo the nodes.
+    /// Index of the node to send to, modulo the number of nodes.
     pub target: usize,
-    /// The tokens of its answer.
+    /// Number of tokens of the answer.
     pub tokens: u32,
 }
 
 impl LoadScenario {
-    /// Reads a scenario file.
+    /// Parses a scenario file (TOML).
     pub fn read(text: &str) -> Result<Self, String> {
         toml::from_str(text).map_err(|error| error.to_string())
     }
 
-    /// All arrivals of a run; the same seed gives the same ones.
+    /// Generates all arrivals of a run; equal seeds give equal arrivals.
     pub fn arrivals(&self, seed: u64, length: Duration) -> Vec<Arrival> {
         let mut arrivals = Vec::new();
         for (index, class) in self.classes.iter().enumerate() {
@@ -104,6 +104,7 @@
     }
 }
 
+/// Draws from the exponential distribution with mean 1.
 fn exponential(rng: &mut fastrand::Rng) -> f64 {
     -(1.0 - rng.f64()).ln()
 }
--- a/crates/plumgate-standin/src/main.rs
+++ b/crates/plumgate-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes, and the load tool.
+//! Command line of the stand-ins and of the load, experiment and cost tools.
 
 #![forbid(unsafe_code)]
 
--- a/crates/plumgate-standin/src/platform.rs
+++ b/crates/plumgate-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: table, object store, weight store and the list of VMs.
+//! Stand-in for the platform: table, object store, weight store and the list of VMs.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -19,34 +19,34 @@
 
 use crate::http::{ConnectionCut, StandinResponse, cut, read_body, respond, respond_json, serve};
 
-/// Faults that a test switches on; a new set replaces the old one.
+/// Faults that a test injects over HTTP; each set replaces the previous one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Every call is cut without an answer and without effect.
+    /// Cuts every call without an answer and without effect.
     pub down: bool,
-    /// Every call takes so much longer, in milliseconds.
+    /// Delay of every call, in milliseconds.
     pub slow_ms: u64,
-    /// So many writes take effect, and their answers are lost.
+    /// Number of writes that take effect, but whose answers are lost.
     pub lose_answers: u32,
-    /// Reads of rows give the value before the last write.
+    /// Returns the value before the last write for reads of rows.
     pub stale_reads: bool,
-    /// Reads answer with something that makes no sense.
+    /// Answers reads with text that can't be parsed.
     pub nonsense: bool,
-    /// Only these calls are affected by the others: the start of their paths.
+    /// Path prefix of the calls that the other faults affect; all calls if absent.
     pub only: Option<String>,
 }
 
-/// What the platform allows.
+/// Limits of the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformLimits {
-    /// Writes a second.
+    /// Writes per second.
     pub writes: u32,
-    /// Reads a second.
+    /// Reads per second.
     pub reads: u32,
-    /// How late the list of VMs is.
+    /// Delay of the list of VMs.
     pub list_lag: Duration,
-    /// Loads a second from the weight store.
+    /// Loads per second from the weight store.
     pub weights: u32,
 }
 
@@ -61,16 +61,16 @@
     }
 }
 
-/// A row with what a stale read would give.
+/// Stored row with its previous version, which stale reads return.
 #[derive(Clone, Debug)]
 struct StoredRow {
     version: u64,
     value: Value,
-    before: Option<(u64, Value)>,
+    previous: Option<(u64, Value)>,
     expires: Option<Instant>,
 }
 
-/// Counts calls within one second.
+/// Call counter for a window of one second.
 #[derive(Clone, Copy, Debug, Default)]
 struct RateWindow {
     started: Option<Instant>,
@@ -99,7 +99,7 @@
     rows: HashMap<String, StoredRow>,
     objects: HashMap<String, Bytes>,
     vms: BTreeMap<String, (Instant, ListedVm)>,
-    shown: BTreeMap<String, ListedVm>,
+    listed: BTreeMap<String, ListedVm>,
     next_version: u64,
     writes: RateWindow,
     reads: RateWindow,
@@ -107,7 +107,7 @@
     counts: BTreeMap<&'static str, u64>,
 }
 
-/// The platform's stand-in.
+/// Stand-in for the platform.
 #[derive(Clone)]
 pub struct StandinPlatform<C> {
     clock: C,
@@ -115,7 +115,7 @@
 }
 
 impl<C: Clock> StandinPlatform<C> {
-    /// An empty platform.
+    /// Creates an empty platform.
     pub fn new(clock: C, limits: PlatformLimits) -> Self {
         let state = PlatformState {
             limits,
@@ -123,7 +123,7 @@
             rows: HashMap::new(),
             objects: HashMap::new(),
             vms: BTreeMap::new(),
-            shown: BTreeMap::new(),
+            listed: BTreeMap::new(),
             next_version: 1,
             writes: RateWindow::default(),
             reads: RateWindow::default(),
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Serves until the executor ends.
+    /// Serves requests until the executor stops.
     pub async fn run(self, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
         let handler = move |request| {
             let platform = self.clone();
@@ -175,9 +175,10 @@
         if affected && faults.nonsense && !is_write {
             return Ok(respond(StatusCode::OK, "<html>gateway</html>"));
         }
-        let response = self.carry_out(&head.method, &path, &head.headers, body, faults.stale_reads);
-        let loses = affected && is_write && self.takes_lost_answer();
-        if loses { cut() } else { Ok(response) }
+        let response =
+            self.route_call(&head.method, &path, &head.headers, body, faults.stale_reads);
+        let loses_answer = affected && is_write && self.consume_lost_answer();
+        if loses_answer { cut() } else { Ok(response) }
     }
 
     fn allows(&self, is_write: bool) -> bool {
@@ -195,11 +196,11 @@
         }
     }
 
-    fn takes_lost_answer(&self) -> bool {
+    fn consume_lost_answer(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        let loses = state.faults.lose_answers > 0;
+        let loses_answer = state.faults.lose_answers > 0;
         state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
-        loses
+        loses_answer
     }
 
     fn set_faults(&self, body: &[u8]) -> StandinResponse {
@@ -230,7 +231,7 @@
         }
     }
 
-    fn carry_out(
+    fn route_call(
         &self,
         method: &Method,
         path: &str,
@@ -277,19 +278,19 @@
         let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
         let absent_only = text(IF_NONE_MATCH) == Some("*");
         let wanted = text(IF_MATCH).and_then(|tag| tag.trim_matches('"').parse::<u64>().ok());
-        let holds = match (&current, wanted) {
+        let condition_holds = match (&current, wanted) {
             (Some(row), Some(version)) => row.version == version,
             (None, Some(_)) => false,
             (Some(_), None) => !absent_only,
             (None, None) => true,
         };
-        if !holds {
+        if !condition_holds {
             let row = current.map(|row| json!({ "version": row.version, "value": row.value }));
             return respond_json(StatusCode::PRECONDITION_FAILED, &row.unwrap_or(Value::Null));
         }
         let version = state.next_version;
         state.next_version += 1;
-        let before = current.map(|row| (row.version, row.value));
+        let previous = current.map(|row| (row.version, row.value));
         let lifetime = text(hyper::header::HeaderName::from_static(ROW_LIFETIME));
         let lifetime = lifetime
             .and_then(|text| text.parse().ok())
@@ -300,7 +301,7 @@
             StoredRow {
                 version,
                 value,
-                before,
+                previous,
                 expires,
             },
         );
@@ -314,11 +315,11 @@
             .rows
             .get(name)
             .filter(|row| row.expires.is_none_or(|at| now < at));
-        let seen = row.map(|row| match &row.before {
-            Some(before) if stale => before.clone(),
+        let visible = row.map(|row| match &row.previous {
+            Some(previous) if stale => previous.clone(),
             _ => (row.version, row.value.clone()),
         });
-        match seen {
+        match visible {
             Some((version, value)) => respond_json(
                 StatusCode::OK,
                 &json!({ "version": version, "value": value }),
@@ -353,16 +354,16 @@
         }
     }
 
-    /// The list as it was a while ago.
+    /// Answers with the list of VMs as it was `list_lag` ago.
     fn list_vms(&self) -> StandinResponse {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let due = state.vms.values().filter(|(shown_at, _)| *shown_at <= now);
         let due: Vec<ListedVm> = due.map(|(_, vm)| vm.clone()).collect();
         for vm in due {
-            state.shown.insert(vm.name.clone(), vm);
+            state.listed.insert(vm.name.clone(), vm);
         }
-        let shown: Vec<&ListedVm> = state.shown.values().collect();
-        respond_json(StatusCode::OK, &json!(shown))
+        let listed: Vec<&ListedVm> = state.listed.values().collect();
+        respond_json(StatusCode::OK, &json!(listed))
     }
 }
--- a/crates/plumgate-standin/src/service.rs
+++ b/crates/plumgate-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in: it counts how often it ran each request.
+//! Stand-in for a plain service that counts how often it ran each request.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,19 +18,19 @@
     ConnectionCut, StandinResponse, cut, journal_line, read_body, respond, respond_json, serve,
 };
 
-/// Faults that a test switches on; a new set replaces the old one.
+/// Faults that a test injects over HTTP; each set replaces the previous one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Every call takes so long, in milliseconds.
+    /// Duration of every call, in milliseconds.
     pub delay_ms: u64,
-    /// So many calls run and are cut before their answer.
+    /// Number of calls that run, and whose connection is cut before the answer.
     pub cut_after_run: u32,
-    /// So many calls are cut before they run.
+    /// Number of calls whose connection is cut before they run.
     pub cut_before_run: u32,
-    /// Calls are refused as not run.
+    /// Refuses calls as not run.
     pub refuse: bool,
-    /// Calls run, and their answers never come.
+    /// Runs calls and never answers them.
     pub silent: bool,
 }
 
@@ -42,7 +42,7 @@
     journal: Vec<String>,
 }
 
-/// The stand-in of one plain service.
+/// Stand-in for one plain service.
 #[derive(Clone)]
 pub struct StandinService<C> {
     clock: C,
@@ -51,7 +51,7 @@
 }
 
 impl<C: Clock> StandinService<C> {
-    /// A service that has run nothing yet.
+    /// Creates a service that has run nothing yet.
     pub fn new(clock: C, name: impl Into<String>) -> Self {
         Self {
             clock,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Serves until the executor ends.
+    /// Serves requests until the executor stops.
     pub async fn run(self, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
         let handler = move |request| {
             let service = self.clone();
@@ -99,10 +99,10 @@
                 .insert("x-not-run", hyper::header::HeaderValue::from_static("full"));
             return Ok(response);
         }
-        if self.takes(|faults| &mut faults.cut_before_run) {
+        if self.consume_fault(|faults| &mut faults.cut_before_run) {
             return cut();
         }
-        let number = self.count(&key);
+        let number = self.record_run(&key);
         if faults.delay_ms > 0 {
             self.clock
                 .sleep(Duration::from_millis(faults.delay_ms))
@@ -111,7 +111,7 @@
         if faults.silent {
             futures_lite::future::pending::<()>().await;
         }
-        if self.takes(|faults| &mut faults.cut_after_run) {
+        if self.consume_fault(|faults| &mut faults.cut_after_run) {
             return cut();
         }
         let answer = json!({
@@ -124,15 +124,15 @@
         Ok(respond_json(StatusCode::OK, &answer))
     }
 
-    fn takes(&self, fault: impl Fn(&mut ServiceFaults) -> &mut u32) -> bool {
+    fn consume_fault(&self, fault: impl Fn(&mut ServiceFaults) -> &mut u32) -> bool {
         let mut state = self.state.borrow_mut();
         let left = fault(&mut state.faults);
-        let takes = *left > 0;
+        let applies = *left > 0;
         *left = left.saturating_sub(1);
-        takes
+        applies
     }
 
-    fn count(&self, key: &str) -> u64 {
+    fn record_run(&self, key: &str) -> u64 {
         let mut state = self.state.borrow_mut();
         *state.runs.entry(key.to_owned()).or_default() += 1;
         state.total += 1;
--- a/crates/plumgate-standin/tests/config_in_force.rs
+++ b/crates/plumgate-standin/tests/config_in_force.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration comes into force everywhere within seconds and never reverts.
+//! Tests that an accepted configuration is in force everywhere within seconds and never reverts.
 
 mod fleet;
 
@@ -9,9 +9,10 @@
 use plumgate_standin::link::FaultyLink;
 use serde_json::{Value, json};
 
-/// How long a change may take to be in force everywhere.
-const BOUND: Duration = Duration::from_secs(4);
+/// Maximum time until a change is in force everywhere.
+const MAX_DELAY: Duration = Duration::from_secs(4);
 
+/// Returns the configuration version of each node; 0 for a node that doesn't answer.
 fn versions(fleet: &Fleet) -> Vec<u64> {
     fleet
         .nodes
@@ -20,6 +21,7 @@
         .collect()
 }
 
+/// Runs `plumgate apply` and returns its exit code and output.
 fn apply(fleet: &Fleet, args: &[&str]) -> (Option<i32>, String) {
     let output = fleet.plumgate(&[&["apply"], args].concat());
     let text = [output.stdout, output.stderr].concat();
@@ -29,13 +31,13 @@
     )
 }
 
-/// Changes the rules file so that there is something to apply.
+/// Changes a target in the rules file, so that there is a change to apply.
 fn edit(fleet: &mut Fleet, from: u64, to: u64) {
     fleet.change_rules(&format!("target_ms = {from}"), &format!("target_ms = {to}"));
 }
 
-// Two operators start from the same version. One of them wins; the other is told what changed
-// under it, and nothing of it is applied.
+// Two operators start from the same version. One succeeds; the other must be shown what changed in the meantime,
+// and nothing of its change is applied.
 #[test]
 fn racing_operators_are_told_exactly_what_changed() {
     let mut fleet = FleetPlan::new().start();
@@ -83,8 +85,8 @@
     fleet.wait_until("all have it", |fleet| versions(fleet) == [2, 2]);
 }
 
-// The write of the head takes effect and its answer is lost. The tool finds out by the change's
-// id that it was its own, and says that it was accepted, once.
+// The write of the head takes effect, but its answer is lost. The tool must recognize its own change by the
+// change id and report it as accepted once.
 #[test]
 fn apply_whose_answer_is_lost_is_accepted_once() {
     let mut fleet = FleetPlan::new().start();
@@ -99,7 +101,7 @@
     assert_eq!(versions(&fleet), [2, 2]);
 }
 
-// The store is down: nothing is applied, and the operator is told so. Nodes go on serving.
+// The store is down: nothing is applied, and the operator's tool says so. Nodes continue to serve requests.
 #[test]
 fn apply_without_a_store_says_that_nothing_was_applied() {
     let fleet = FleetPlan::new().start();
@@ -108,13 +110,13 @@
     assert_eq!(code, Some(4), "{text}");
     assert!(
         fleet
-            .ask(0, &model_call("norte", "caption", "x", 2, false))
+            .call_node(0, &model_call("norte", "caption", "x", 2, false))
             .status
             .is_success()
     );
 }
 
-// A data centre is cut from the platform but not from its neighbours: it follows all the same.
+// A data centre that is cut off from the platform, but not from its peers, must still get the new configuration.
 #[test]
 fn data_centre_without_the_platform_is_in_force_too() {
     let mut fleet = FleetPlan::new()
@@ -126,11 +128,11 @@
     let start = Instant::now();
     let (code, text) = apply(&fleet, &["--wait"]);
     assert_eq!(code, Some(0), "{text}");
-    assert!(start.elapsed() < BOUND, "{text}");
+    assert!(start.elapsed() < MAX_DELAY, "{text}");
     assert_eq!(versions(&fleet), [2, 2, 2]);
 }
 
-// A data centre can't be reached: the operator is told which.
+// The tool must name the data centre that can't be reached.
 #[test]
 fn data_centre_that_is_away_is_named() {
     let mut fleet = FleetPlan::new().start();
@@ -143,8 +145,8 @@
     fleet.wait_until("it catches up", |fleet| versions(fleet) == [2, 2]);
 }
 
-// The store answers with the value before the last write, then with nonsense, then slowly. No
-// node goes back, and all serve on.
+// The store answers with the value before the last write, then with unparsable text, then slowly. No node may
+// return to an older version, and all continue to serve requests.
 #[test]
 fn stale_and_senseless_answers_change_nothing() {
     let mut fleet = FleetPlan::new().start();
@@ -160,15 +162,15 @@
         assert_eq!(versions(&fleet), [2, 2], "{faults}");
         assert!(
             fleet
-                .ask(0, &model_call("norte", "caption", "x", 2, false))
+                .call_node(0, &model_call("norte", "caption", "x", 2, false))
                 .status
                 .is_success()
         );
     }
 }
 
-// A VM is replaced during an outage of the platform. The new one takes the configuration from
-// its peers and is ready; without any peer it would not be.
+// A VM is replaced during an outage of the platform. The new node must get the configuration from its peers and
+// become ready; without any peer it would not.
 #[test]
 fn replaced_node_is_ready_without_the_platform() {
     let mut fleet = FleetPlan::new().start();
@@ -184,7 +186,7 @@
     });
     assert!(
         fleet
-            .ask(fresh, &model_call("norte", "caption", "x", 2, false))
+            .call_node(fresh, &model_call("norte", "caption", "x", 2, false))
             .status
             .is_success()
     );
@@ -195,20 +197,20 @@
     let fleet = FleetPlan::new()
         .with_nodes(&["dc-a"])
         .start_without_config();
-    let answer = fleet.ask(
+    let answer = fleet.call_node(
         0,
         &plumgate_standin::http::ClientCall::new(hyper::Method::GET, "/readyz"),
     );
     assert_eq!(answer.status, 503);
-    let answer = fleet.ask(0, &model_call("norte", "caption", "x", 2, false));
+    let answer = fleet.call_node(0, &model_call("norte", "caption", "x", 2, false));
     assert_eq!(
         (answer.status.as_u16(), fleet::outcome(&answer).as_str()),
         (503, "not_run")
     );
 }
 
-// Forty changes, one after the other, while a node is killed and replaced by turns: versions
-// on every node only go up, and each change is in force everywhere within its bound.
+// Applies forty changes in sequence. Versions on every node must only increase, and each change must be in force
+// everywhere within the bound.
 #[test]
 fn many_changes_are_in_force_within_the_bound_and_in_order() {
     let mut fleet = FleetPlan::new()
@@ -219,11 +221,11 @@
         edit(&mut fleet, 1500 + number, 1501 + number);
         let (code, text) = apply(&fleet, &["--wait", "--wait-ms", "4000", "--json"]);
         assert_eq!(code, Some(0), "{text}");
-        let told: Value = serde_json::from_str(text.trim()).expect("JSON");
+        let reported: Value = serde_json::from_str(text.trim()).expect("JSON");
         assert!(
-            told["in_force_ms"]
+            reported["in_force_ms"]
                 .as_u64()
-                .is_some_and(|taken| taken < 4000),
+                .is_some_and(|elapsed| elapsed < 4000),
             "{text}"
         );
         let now = versions(&fleet);
@@ -236,8 +238,8 @@
     assert_eq!(before, [41; 4]);
 }
 
-// The operator's own way to the platform breaks within the apply. Whatever the tool says must
-// agree with what the table holds.
+// The operator's own connection to the platform breaks during the apply. The reported result must agree with the
+// contents of the table.
 #[test]
 fn apply_over_a_breaking_link_is_told_truthfully() {
     let mut fleet = FleetPlan::new().start();
@@ -248,7 +250,7 @@
         let before = versions(&fleet)[0];
         link.cut_after(bytes);
         let output = fleet.plumgate_at(link.address(), &["apply"]);
-        link.mend();
+        link.restore();
         sleep(Duration::from_millis(1500));
         let after = versions(&fleet)[0];
         match output.status.code() {
--- a/crates/plumgate-standin/tests/fleet/mod.rs
+++ b/crates/plumgate-standin/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Starts a small fleet of real processes for one test, and ends it by id.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Starts a small fleet of real processes for one test, and ends each process by its id.
+#![allow(dead_code, reason = "each test file uses a part of the module")]
 
 use std::fs::File;
 use std::io;
@@ -20,42 +20,43 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
-/// First port that tests take; below the range that the system hands out by itself.
+/// First port that tests use; below the ephemeral port range of the system.
 const FIRST_PORT: u16 = 12_000;
-/// Ports that one test process may take.
-const PORTS: u16 = 18_000;
-/// Longest time that anything is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Number of ports that one test process may use.
+const PORT_RANGE: u16 = 18_000;
+/// Maximum time to wait for a condition.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// Held while a port is tried and while a process is started: a process that is just being
-/// forked holds every socket of this one for a moment, and a port tried then looks taken.
+/// Held while a port is probed and while a process is started: a process that is being forked holds every socket of
+/// this one for a moment, and a port that is probed then appears to be in use.
 static FORK_LOCK: Mutex<()> = Mutex::new(());
 
 fn fork_lock() -> MutexGuard<'static, ()> {
     FORK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A port that is free now, and that no other test of this process takes.
-pub(crate) fn free_port() -> SocketAddr {
+/// Returns a loopback address with a port that is free now and that no other test of this process uses.
+pub(crate) fn free_address() -> SocketAddr {
     let _lock = fork_lock();
     loop {
         let number = NEXT_PORT.fetch_add(1, Ordering::SeqCst);
-        let start = (std::process::id() % u32::from(PORTS)) as u16;
-        let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + (start + number) % PORTS));
+        let start = (std::process::id() % u32::from(PORT_RANGE)) as u16;
+        let address =
+            SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + (start + number) % PORT_RANGE));
         if TcpListener::bind(address).is_ok() {
             return address;
         }
     }
 }
 
-/// A port that the system chooses when it is bound.
-fn any_port() -> SocketAddr {
+/// Returns the loopback address with port 0, for which the system chooses a port when it is bound.
+fn ephemeral_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// One process of the fleet.
+/// Process of the fleet; dropping it kills it.
 pub(crate) struct FleetProcess {
     child: Child,
     log: PathBuf,
@@ -87,29 +88,29 @@
         let _ = kill_process(pid, signal);
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its end.
     pub(crate) fn kill(&mut self) {
         self.signal(Signal::KILL);
         let _ = self.child.wait();
     }
 
-    /// Stops the process where it is.
+    /// Suspends the process (SIGSTOP).
     pub(crate) fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process (SIGCONT).
     pub(crate) fn thaw(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks the process to stop.
+    /// Asks the process to stop (SIGTERM).
     pub(crate) fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Whether the process has ended, with its exit code.
-    pub(crate) fn ended(&mut self) -> Option<i32> {
+    /// Returns the exit code if the process has ended; -1 after a signal.
+    pub(crate) fn exit_code(&mut self) -> Option<i32> {
         self.child
             .try_wait()
             .ok()
@@ -117,7 +118,7 @@
             .map(|status| status.code().unwrap_or(-1))
     }
 
-    /// What the process has logged.
+    /// Returns the log of the process.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -130,40 +131,40 @@
     }
 }
 
-/// The path of a program that scripts/test has built.
+/// Returns the path of a program that scripts/test has built.
 fn binary(program: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_plumgate-standin")).with_file_name(program)
 }
 
-/// One node and its addresses.
+/// Node process and its addresses.
 pub(crate) struct FleetNode {
     /// The process.
     pub(crate) process: FleetProcess,
-    /// Where callers reach it.
+    /// Address for callers.
     pub(crate) callers: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub(crate) operators: SocketAddr,
-    /// Where peers reach it.
+    /// Address for peers.
     pub(crate) peers: SocketAddr,
-    /// Its way to the platform.
+    /// Link from the node to the platform.
     pub(crate) platform: FaultyLink,
     name: String,
     data_centre: String,
 }
 
-/// One backend server and the link to it.
+/// Backend server process and the link to it.
 pub(crate) struct FleetServer {
-    /// The name in the inventory.
+    /// Name in the inventory.
     pub(crate) name: String,
     /// The process.
     pub(crate) process: FleetProcess,
-    /// Its own address, for faults and counts.
+    /// Address of the server itself, for faults and counts.
     pub(crate) direct: SocketAddr,
-    /// The nodes' way to it.
+    /// Link from the nodes to the server.
     pub(crate) link: FaultyLink,
 }
 
-/// What a fleet is to have.
+/// Configuration of a fleet.
 #[derive(Clone)]
 pub(crate) struct FleetPlan {
     nodes: Vec<&'static str>,
@@ -178,7 +179,7 @@
     variables: Vec<(&'static str, String)>,
 }
 
-/// Rules with short times for tests.
+/// Rules with short time limits for tests.
 const RULES: &str = r#"
 default_class = "caption"
 longest_wait_ms = 60000
@@ -214,7 +215,7 @@
 "#;
 
 impl FleetPlan {
-    /// Two nodes in two data centres, one engine, one service.
+    /// Returns a plan with two nodes in two data centres, one engine and one service.
     pub(crate) fn new() -> Self {
         Self {
             nodes: vec!["dc-a", "dc-b"],
@@ -230,13 +231,13 @@
         }
     }
 
-    /// The same with nodes in these data centres.
+    /// Sets the data centre of each node.
     pub(crate) fn with_nodes(mut self, data_centres: &[&'static str]) -> Self {
         self.nodes = data_centres.to_vec();
         self
     }
 
-    /// The same with a number of engines.
+    /// Sets the number of engines, their slots and the time between tokens.
     pub(crate) fn with_engines(mut self, engines: usize, slots: usize, token_ms: u64) -> Self {
         self.engines = engines;
         self.slots = slots;
@@ -244,32 +245,32 @@
         self
     }
 
-    /// The same with engines that refuse what they have no model for.
+    /// Makes engines refuse requests for models that aren't loaded.
     pub(crate) fn with_strict_models(mut self) -> Self {
         self.strict_models = true;
         self
     }
 
-    /// The same with engines that ignore fencing numbers, as the inventory says.
+    /// Makes engines ignore fencing numbers, and the inventory say so.
     pub(crate) fn without_fencing(mut self) -> Self {
         self.checks_fencing = false;
         self
     }
 
-    /// The same with a text of the rules replaced.
+    /// Replaces a text of the rules.
     pub(crate) fn with_rule(mut self, old: &str, new: &str) -> Self {
         assert!(self.rules.contains(old), "{old} is not in the rules");
         self.rules = self.rules.replacen(old, new, 1);
         self
     }
 
-    /// The same with an environment variable of the nodes.
+    /// Adds an environment variable for the nodes.
     pub(crate) fn with_variable(mut self, name: &'static str, value: &str) -> Self {
         self.variables.push((name, value.to_owned()));
         self
     }
 
-    /// Starts everything and waits until all nodes are ready.
+    /// Starts the fleet, applies the configuration and waits until all nodes know each other.
     pub(crate) fn start(self) -> Fleet {
         let mut fleet = self.start_without_config();
         let applied = fleet.plumgate(&["apply", "--wait"]);
@@ -289,26 +290,26 @@
         fleet
     }
 
-    /// Starts everything; no configuration is applied.
+    /// Starts the fleet without applying a configuration.
     pub(crate) fn start_without_config(self) -> Fleet {
         Fleet::start(self)
     }
 }
 
-/// A running fleet.
+/// Running fleet.
 pub(crate) struct Fleet {
     plan: FleetPlan,
     folder: PathBuf,
     settled: bool,
-    /// The platform.
+    /// Platform process.
     pub(crate) platform: FleetProcess,
-    /// The platform's own address.
+    /// Address of the platform itself.
     pub(crate) platform_address: SocketAddr,
-    /// The engines.
+    /// Engines.
     pub(crate) engines: Vec<FleetServer>,
-    /// The plain services.
+    /// Plain services.
     pub(crate) services: Vec<FleetServer>,
-    /// The nodes.
+    /// Nodes.
     pub(crate) nodes: Vec<FleetNode>,
 }
 
@@ -328,7 +329,7 @@
 
 impl Fleet {
     fn start(plan: FleetPlan) -> Self {
-        let platform_address = free_port();
+        let platform_address = free_address();
         let folder = std::env::temp_dir().join(format!(
             "plumgate-{}-{}",
             std::process::id(),
@@ -360,7 +361,7 @@
             let server = fleet.start_server("service", &format!("service-{number}"));
             fleet.services.push(server);
         }
-        fleet.wait_for(platform_address, "/counts");
+        fleet.wait_for_success(platform_address, "/counts");
         for data_centre in &plan.nodes {
             fleet.start_node(data_centre);
         }
@@ -369,7 +370,7 @@
     }
 
     fn start_server(&self, kind: &str, name: &str) -> FleetServer {
-        let direct = free_port();
+        let direct = free_address();
         let mut args = vec![
             kind.to_owned(),
             format!("--listen={direct}"),
@@ -387,8 +388,8 @@
         }
         let log = self.folder.join(format!("{name}.log"));
         let process = FleetProcess::start("plumgate-standin", &args, &[], log);
-        self.wait_for(direct, "/counts");
-        let link = FaultyLink::start(any_port(), direct).expect("the link starts");
+        self.wait_for_success(direct, "/counts");
+        let link = FaultyLink::start(ephemeral_address(), direct).expect("the link starts");
         FleetServer {
             name: name.to_owned(),
             process,
@@ -397,13 +398,13 @@
         }
     }
 
-    /// Starts one more node that the platform's list does not name.
+    /// Starts another node that isn't in the platform's list, and returns its index.
     pub(crate) fn start_node_unlisted(&mut self, data_centre: &str) -> usize {
         let index = self.nodes.len();
         let name = format!("entry-{}", index + 1);
         let platform =
-            FaultyLink::start(any_port(), self.platform_address).expect("the link starts");
-        let (callers, operators, peers) = (free_port(), free_port(), free_port());
+            FaultyLink::start(ephemeral_address(), self.platform_address).expect("the link starts");
+        let (callers, operators, peers) = (free_address(), free_address(), free_address());
         let seeds: Vec<String> = self
             .nodes
             .iter()
@@ -425,7 +426,7 @@
         variables.extend(self.plan.variables.iter().cloned());
         let log = self.folder.join(format!("{name}.log"));
         let process = FleetProcess::start("plumgated", &[], &variables, log);
-        self.wait_for(callers, "/healthz");
+        self.wait_for_success(callers, "/healthz");
         let data_centre = data_centre.to_owned();
         self.nodes.push(FleetNode {
             process,
@@ -439,7 +440,7 @@
         index
     }
 
-    /// Starts one more node.
+    /// Starts another node, adds it to the platform's list, and returns its index.
     pub(crate) fn start_node(&mut self, data_centre: &str) -> usize {
         let index = self.start_node_unlisted(data_centre);
         let node = &self.nodes[index];
@@ -453,7 +454,7 @@
         index
     }
 
-    /// Tells the platform of a VM.
+    /// Sets an entry in the platform's list of VMs.
     pub(crate) fn list_vm(&self, vm: &ListedVm) {
         let request = ClientCall::new(Method::POST, "/vms").with_json(&json!(vm));
         assert!(
@@ -463,7 +464,7 @@
         );
     }
 
-    /// Says in the platform's list whether a backend server is leaving.
+    /// Sets in the platform's list whether a backend server is leaving.
     pub(crate) fn list_server(&self, name: &str, leaving: bool) {
         let address = "127.0.0.1:1".to_owned();
         let data_centre = "dc-a".to_owned();
@@ -518,7 +519,7 @@
             .expect("the rules are written");
     }
 
-    /// Changes a text of the rules file, which is then to be applied.
+    /// Changes a text of the rules file; the caller applies it.
     pub(crate) fn change_rules(&mut self, old: &str, new: &str) {
         assert!(self.plan.rules.contains(old), "{old} is not in the rules");
         self.plan.rules = self.plan.rules.replacen(old, new, 1);
@@ -526,7 +527,7 @@
             .expect("the rules are written");
     }
 
-    /// Runs the operators' tool.
+    /// Runs the operators' tool `plumgate`.
     pub(crate) fn plumgate(&self, args: &[&str]) -> Output {
         self.plumgate_at(self.platform_address, args)
     }
@@ -553,30 +554,30 @@
         child.wait_with_output().expect("the tool ends")
     }
 
-    /// Sends one request.
+    /// Sends a request and returns its answer.
     pub(crate) fn call(&self, address: SocketAddr, request: &ClientCall) -> ClientAnswer {
         try_call(address, request).expect("an answer")
     }
 
-    /// Sends one request to a node.
-    pub(crate) fn ask(&self, node: usize, request: &ClientCall) -> ClientAnswer {
+    /// Sends a request to a node.
+    pub(crate) fn call_node(&self, node: usize, request: &ClientCall) -> ClientAnswer {
         self.call(self.nodes[node].callers, request)
     }
 
-    /// Switches faults of a stand-in on; those that are not named are off.
+    /// Sets the faults of a stand-in; faults that aren't named are off.
     pub(crate) fn faults(&self, address: SocketAddr, faults: &Value) {
         let request = ClientCall::new(Method::POST, "/faults").with_json(faults);
         let answer = self.call(address, &request);
         assert!(answer.status.is_success(), "{}", answer.text());
     }
 
-    /// What a stand-in has counted.
+    /// Returns the counts of a stand-in.
     pub(crate) fn counts(&self, address: SocketAddr) -> Value {
         self.call(address, &ClientCall::new(Method::GET, "/counts"))
             .json()
     }
 
-    /// How often a request was run, over all engines and services, by its key.
+    /// Returns how often a request was run over all engines and services, by its key.
     pub(crate) fn runs_of(&self, key: &str) -> u64 {
         let servers = self.engines.iter().chain(&self.services);
         servers
@@ -588,22 +589,22 @@
             .sum()
     }
 
-    /// The status page of a node.
+    /// Returns the status page of a node.
     pub(crate) fn status(&self, node: &FleetNode) -> Option<NodeStatus> {
         async_io::block_on(fetch_status(node.operators))
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds and returns the time taken; fails the test after [`MAX_WAIT`].
     pub(crate) fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) -> Duration {
         let start = Instant::now();
         while !holds(self) {
-            assert!(start.elapsed() < PATIENCE, "waited in vain until {what}");
+            assert!(start.elapsed() < MAX_WAIT, "timed out waiting until {what}");
             sleep(Duration::from_millis(20));
         }
         start.elapsed()
     }
 
-    fn wait_for(&self, address: SocketAddr, path: &str) {
+    fn wait_for_success(&self, address: SocketAddr, path: &str) {
         let request = ClientCall::new(Method::GET, path);
         self.wait_until(path, |_| {
             try_call(address, &request).is_ok_and(|answer| answer.status.is_success())
@@ -611,12 +612,12 @@
     }
 }
 
-/// Sends one request that may fail.
+/// Sends a request that may fail.
 pub(crate) fn try_call(address: SocketAddr, request: &ClientCall) -> io::Result<ClientAnswer> {
     async_io::block_on(call(address, request))
 }
 
-/// Sends a request on a thread of its own.
+/// Sends a request on a separate thread.
 pub(crate) fn call_later(
     address: SocketAddr,
     request: ClientCall,
@@ -624,7 +625,7 @@
     std::thread::spawn(move || try_call(address, &request))
 }
 
-/// A model request of a workspace.
+/// Builds a model request of a workspace.
 pub(crate) fn model_call(
     workspace: &str,
     class: &str,
@@ -644,12 +645,12 @@
         .with_json(&body)
 }
 
-/// The messages of a prompt.
+/// Returns the messages of a prompt.
 pub(crate) fn messages(prompt: &str) -> Value {
     json!([{ "role": "user", "content": prompt }])
 }
 
-/// A call to issue a receipt.
+/// Builds a call to issue a receipt.
 pub(crate) fn receipt_call(workspace: &str, key: Option<&str>, body: &str) -> ClientCall {
     let mut request = ClientCall::new(Method::POST, "/services/receipts/issue")
         .with_header("authorization", &format!("Bearer key-{workspace}"));
@@ -660,7 +661,7 @@
     request
 }
 
-/// The outcome in an error's body.
+/// Returns the outcome in the body of an error; empty if there is none.
 pub(crate) fn outcome(answer: &ClientAnswer) -> String {
     answer.json()["error"]["outcome"]
         .as_str()
@@ -668,7 +669,7 @@
         .to_owned()
 }
 
-/// The content that a prompt's answer must have.
+/// Returns the content that the answer to a prompt must have.
 pub(crate) fn expected_content(prompt: &str, tokens: u32) -> String {
     let digest = plumgate_standin::engine::prompt_digest(&messages(prompt));
     (1..=tokens)
@@ -676,8 +677,8 @@
         .collect()
 }
 
-/// The content of a whole answer.
-pub(crate) fn whole_content(answer: &ClientAnswer) -> String {
+/// Returns the content of an answer that isn't streamed.
+pub(crate) fn answer_content(answer: &ClientAnswer) -> String {
     answer.json()["choices"][0]["message"]["content"]
         .as_str()
         .unwrap_or("")
--- a/crates/plumgate-standin/tests/golden.rs
+++ b/crates/plumgate-standin/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Whole sessions, byte for byte: what the caller sent and got, what each server was asked, and
-//! the log lines. The clock is paused and the seed fixed.
+//! Compares whole sessions byte for byte with files: requests and answers of the caller, requests to each server, and
+//! log lines. The clock is paused and the seed is fixed.
 //!
 //! `PLUMGATE_GOLDEN=write` rewrites the files under `tests/golden`.
 
@@ -27,8 +27,8 @@
 use spdlog::sink::{Sink, SinkProp, SinkPropAccess};
 use spdlog::{ErrorHandler, LevelFilter, Record};
 
-/// Longest real time that anything is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum real time to wait for a condition.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 const RULES: &str = r#"
 default_class = "caption"
@@ -57,7 +57,7 @@
 non_idempotent = ["POST /issue"]
 "#;
 
-/// Keeps the lines of the log.
+/// Log sink that collects the lines.
 #[derive(Default)]
 struct LineSink {
     prop: SinkProp,
@@ -72,7 +72,7 @@
         self.prop.set_level_filter(filter);
     }
     fn set_formatter(&self, _formatter: Box<dyn Formatter>) {
-        // Lines are kept as they are.
+        // Lines are collected without formatting.
     }
     fn set_error_handler(&self, handler: ErrorHandler) {
         self.prop.set_error_handler(handler);
@@ -93,7 +93,7 @@
     }
 }
 
-/// One session in the making.
+/// Session that is being recorded.
 struct Session {
     clock: PausedClock,
     node: Option<Node>,
@@ -111,7 +111,7 @@
 }
 
 impl Session {
-    /// A node, an engine with so many slots, a service and a platform, all on one paused clock.
+    /// Starts a node, an engine with a number of slots, a service and a platform, all on one paused clock.
     fn start(slots: usize) -> Self {
         let clock = PausedClock::new();
         let (engine_listener, engine) = listener();
@@ -140,7 +140,7 @@
         let sink = Arc::new(LineSink::default());
         let log = sink_log(sink.clone(), LevelFilter::All).expect("a log");
         let settings = NodeSettings::new("entry-1", "here", ([127, 0, 0, 1], 0).into(), platform)
-            .with_peer_listen(fleet::free_port())
+            .with_peer_listen(fleet::free_address())
             .with_peer_key("a key for the tests")
             .with_traffic_threads(1)
             .with_seed(7);
@@ -173,12 +173,12 @@
     fn wait_for_line(&self, part: &str) {
         let start = Instant::now();
         while !self.lines().iter().any(|line| line.contains(part)) {
-            assert!(start.elapsed() < PATIENCE, "waited in vain for {part}");
+            assert!(start.elapsed() < MAX_WAIT, "timed out waiting for {part}");
             sleep(Duration::from_millis(2));
         }
     }
 
-    /// Waits until the engine was asked something.
+    /// Waits until the journal of the engine contains a text.
     fn wait_for_journal(&self, part: &str) {
         let start = Instant::now();
         let counts = ClientCall::new(Method::GET, "/counts");
@@ -188,32 +188,32 @@
                 return;
             }
             assert!(
-                start.elapsed() < PATIENCE,
+                start.elapsed() < MAX_WAIT,
                 "the engine was not asked for {part}"
             );
             sleep(Duration::from_millis(2));
         }
     }
 
-    fn note(&mut self, line: &str) {
+    fn append_line(&mut self, line: &str) {
         self.text.push_str(line);
         self.text.push('\n');
     }
 
-    /// Moves the clock.
+    /// Advances the clock and records it.
     fn advance(&mut self, time: Duration) {
-        self.note(&format!("-- {} ms pass", time.as_millis()));
+        self.append_line(&format!("-- {} ms pass", time.as_millis()));
         self.clock.advance(time);
     }
 
-    /// Switches faults of the service on.
+    /// Sets the faults of the service and records them.
     fn service_faults(&mut self, faults: &serde_json::Value) {
-        self.note(&format!("-- faults of receipt-1: {faults}"));
+        self.append_line(&format!("-- faults of receipt-1: {faults}"));
         let request = ClientCall::new(Method::POST, "/faults").with_json(faults);
         async_io::block_on(call(self.service, &request)).expect("an answer");
     }
 
-    /// Waits until the service has begun so many runs.
+    /// Waits until the service has begun a number of runs.
     fn wait_for_runs(&self, runs: u64) {
         let start = Instant::now();
         let counts = ClientCall::new(Method::GET, "/counts");
@@ -222,41 +222,41 @@
             if answer.json()["total"].as_u64() == Some(runs) {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "the service has not begun");
+            assert!(start.elapsed() < MAX_WAIT, "the service has not begun");
             sleep(Duration::from_millis(2));
         }
     }
 
-    /// Switches faults of the engine on.
+    /// Sets the faults of the engine and records them.
     fn engine_faults(&mut self, faults: &serde_json::Value) {
-        self.note(&format!("-- faults of engine-1: {faults}"));
+        self.append_line(&format!("-- faults of engine-1: {faults}"));
         let request = ClientCall::new(Method::POST, "/faults").with_json(faults);
         async_io::block_on(call(self.engine, &request)).expect("an answer");
     }
 
-    /// Sends a request; its answer is taken in later.
+    /// Sends and records a request; [`Self::receive`] records its answer.
     fn send(&mut self, request: &ClientCall) -> JoinHandle<ClientAnswer> {
-        self.note(&format!("> {} {}", request.method, request.path));
+        self.append_line(&format!("> {} {}", request.method, request.path));
         for (name, value) in &request.headers {
-            self.note(&format!("> {name}: {value}"));
+            self.append_line(&format!("> {name}: {value}"));
         }
-        self.note(&format!("> {}", String::from_utf8_lossy(&request.body)));
+        self.append_line(&format!("> {}", String::from_utf8_lossy(&request.body)));
         let (address, request) = (self.callers, request.clone());
         std::thread::spawn(move || async_io::block_on(call(address, &request)).expect("an answer"))
     }
 
-    /// Takes in an answer.
+    /// Waits for an answer and records it.
     fn receive(&mut self, answer: JoinHandle<ClientAnswer>) {
         let answer = answer.join().expect("no panic");
-        self.note(&format!("< {}", answer.status));
+        self.append_line(&format!("< {}", answer.status));
         for name in ["content-type", "x-request-id", "retry-after"] {
             if let Some(value) = answer.headers.get(name) {
-                self.note(&format!("< {name}: {}", value.to_str().unwrap_or_default()));
+                self.append_line(&format!("< {name}: {}", value.to_str().unwrap_or_default()));
             }
         }
         let end = if answer.complete { "" } else { "\n< (cut)" };
         let body = answer.text().trim_end().replace('\n', "\n< ");
-        self.note(&format!("< {body}{end}"));
+        self.append_line(&format!("< {body}{end}"));
     }
 
     fn exchange(&mut self, request: &ClientCall) {
@@ -264,7 +264,7 @@
         self.receive(answer);
     }
 
-    /// Ends the session and compares it with its file.
+    /// Ends the session and compares its record with its file.
     fn compare(mut self, name: &str) {
         self.wait_for_requests();
         for (server, address) in [("engine-1", self.engine), ("receipt-1", self.service)] {
@@ -273,16 +273,16 @@
                 .expect("an answer")
                 .json();
             for line in counts["journal"].as_array().into_iter().flatten() {
-                self.note(&format!(
+                self.append_line(&format!(
                     "{server} was asked: {}",
                     line.as_str().unwrap_or_default()
                 ));
             }
         }
         for line in self.lines() {
-            // Ports differ from run to run; nothing else does.
+            // This line contains ports, which differ between runs; nothing else differs.
             if !line.contains("event=start") {
-                self.note(&format!("log: {line}"));
+                self.append_line(&format!("log: {line}"));
             }
         }
         self.stop();
@@ -301,7 +301,7 @@
         );
     }
 
-    /// Each request has told its end before the log is read.
+    /// Waits until the log contains the end of each request.
     fn wait_for_requests(&self) {
         let start = Instant::now();
         let count =
@@ -316,7 +316,10 @@
             if count(&lines, "event=request ") + count(&lines, "event=rejected") == asked {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "a request has not told its end");
+            assert!(
+                start.elapsed() < MAX_WAIT,
+                "a request has not logged its end"
+            );
             sleep(Duration::from_millis(2));
         }
     }
@@ -326,11 +329,12 @@
         for _ in 0..3 {
             node.stop();
         }
-        // The control thread looks at its events without the clock, and ends on the third.
+        // The control thread handles its events without the clock, and ends on the third stop.
         node.join();
     }
 }
 
+/// Writes the configuration to the platform.
 fn publish(
     clock: &PausedClock,
     platform: SocketAddr,
@@ -375,7 +379,7 @@
         .with_json(&body)
 }
 
-fn receipt(key: &str, body: &str) -> ClientCall {
+fn receipt_request(key: &str, body: &str) -> ClientCall {
     let mut request = ClientCall::new(Method::POST, "/services/receipts/issue")
         .with_header("authorization", "Bearer key-norte")
         .with_header("idempotency-key", key);
@@ -394,13 +398,13 @@
 #[test]
 fn receipt_and_its_repeat() {
     let mut session = Session::start(4);
-    session.exchange(&receipt("sack-17", "one sack"));
-    session.exchange(&receipt("sack-17", "one sack"));
-    session.exchange(&receipt("sack-17", "two sacks"));
+    session.exchange(&receipt_request("sack-17", "one sack"));
+    session.exchange(&receipt_request("sack-17", "one sack"));
+    session.exchange(&receipt_request("sack-17", "two sacks"));
     session.compare("receipt");
 }
 
-// A stream breaks after two tokens and is resumed; the caller sees no trace of it.
+// A stream breaks after two tokens and is resumed; the caller must not notice it.
 #[test]
 fn stream_that_is_resumed() {
     let mut session = Session::start(4);
@@ -409,17 +413,17 @@
     session.compare("resumed");
 }
 
-// The only place at the service is taken. The next receipt waits as long as it may; then its
-// caller gets its refusal at once, with when to come back, and the first one its answer.
+// The only slot of the service is taken. The next receipt waits for its maximum time and is then refused at once
+// with a `retry-after` header; the first one still gets its answer.
 #[test]
 fn receipt_that_expires() {
     let mut session = Session::start(1);
     session.service_faults(&json!({ "delay_ms": 3000 }));
-    let first = session.send(&receipt("sack-18", "one sack"));
+    let first = session.send(&receipt_request("sack-18", "one sack"));
     session.wait_for_line("server=receipt-1");
-    // The claim is written over a connection: its line may come before or after the next request's.
+    // The claim is written over a connection, so its log line could come before or after that of the next request.
     session.wait_for_line("event=claim");
-    let second = session.send(&receipt("sack-19", "one sack"));
+    let second = session.send(&receipt_request("sack-19", "one sack"));
     session.wait_for_line("event=queued");
     session.wait_for_runs(1);
     session.advance(Duration::from_millis(1600));
@@ -429,7 +433,8 @@
     session.compare("expired");
 }
 
-// The run of a certificate is lost. It may not run again, and its caller is told so.
+// The run of a certificate is lost. It may not run again, and the caller must be told that the outcome is
+// unknown.
 #[test]
 fn certificate_in_doubt() {
     let mut session = Session::start(4);
--- a/crates/plumgate-standin/tests/leaving.rs
+++ b/crates/plumgate-standin/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A backend server that is leaving gets no new work after a few seconds, whoever says so.
+//! Tests that a backend server that is leaving gets no new requests after a few seconds, whatever the source.
 
 mod fleet;
 
@@ -8,10 +8,10 @@
 use fleet::{Fleet, FleetPlan, model_call};
 use serde_json::json;
 
-/// How long a leaving mark may take to reach every node; stated in docs/OPERATORS.md.
-const BOUND: Duration = Duration::from_secs(4);
+/// Maximum time until a leaving mark reaches every node; stated in docs/OPERATORS.md.
+const MAX_DELAY: Duration = Duration::from_secs(4);
 
-/// Sends requests through all nodes and says how many runs the first engine got of them.
+/// Sends 12 requests through all nodes and returns how many of them ran on the first engine.
 fn new_runs(fleet: &Fleet) -> u64 {
     let count = || {
         let runs = fleet.counts(fleet.engines[0].direct)["runs"].clone();
@@ -24,7 +24,7 @@
     let before = count();
     for number in 0..12 {
         let node = number % fleet.nodes.len();
-        let answer = fleet.ask(
+        let answer = fleet.call_node(
             node,
             &model_call("norte", "caption", &format!("p{number}"), 2, false),
         );
@@ -33,7 +33,7 @@
     count() - before
 }
 
-fn all_nodes_say_leaving(fleet: &Fleet, name: &str) -> bool {
+fn all_nodes_report_leaving(fleet: &Fleet, name: &str) -> bool {
     fleet.nodes.iter().all(|node| {
         let status = fleet.status(node).unwrap_or_default();
         status
@@ -43,20 +43,22 @@
     })
 }
 
-// The platform's list says, late, that a server is leaving. No node sends it new work.
+// The platform's list marks a server as leaving, with a delay. No node may send it new requests.
 #[test]
 fn server_on_the_platforms_list_gets_nothing() {
     let fleet = FleetPlan::new().with_engines(2, 4, 1).start();
     assert!(new_runs(&fleet) > 0);
     fleet.list_server("engine-1", true);
-    let taken = fleet.wait_until("all know", |fleet| all_nodes_say_leaving(fleet, "engine-1"));
-    assert!(taken < BOUND, "{taken:?}");
+    let elapsed = fleet.wait_until("all know", |fleet| {
+        all_nodes_report_leaving(fleet, "engine-1")
+    });
+    assert!(elapsed < MAX_DELAY, "{elapsed:?}");
     assert_eq!(new_runs(&fleet), 0);
     fleet.list_server("engine-1", false);
     fleet.wait_until("it is back", |fleet| new_runs(fleet) > 0);
 }
 
-// An operator drains a server, and brings it back.
+// An operator drains a server and later undrains it.
 #[test]
 fn drained_server_gets_nothing_until_it_is_brought_back() {
     let fleet = FleetPlan::new().with_engines(2, 4, 1).start();
@@ -76,8 +78,8 @@
     assert!(new_runs(&fleet) > 0);
 }
 
-// A server itself refuses with the word that it is leaving. The node that heard it, and its
-// peers, send it nothing more; no caller notices.
+// A server marks itself as leaving when it refuses a request. The node that received the refusal, and its peers,
+// must send it no more requests; no caller notices.
 #[test]
 fn server_that_says_so_itself_gets_nothing_from_any_node() {
     let fleet = FleetPlan::new().with_engines(2, 4, 1).start();
@@ -85,30 +87,34 @@
     for _ in 0..4 {
         assert!(
             fleet
-                .ask(0, &model_call("norte", "caption", "x", 2, false))
+                .call_node(0, &model_call("norte", "caption", "x", 2, false))
                 .status
                 .is_success()
         );
     }
-    let taken = fleet.wait_until("all know", |fleet| all_nodes_say_leaving(fleet, "engine-1"));
-    assert!(taken < BOUND, "{taken:?}");
+    let elapsed = fleet.wait_until("all know", |fleet| {
+        all_nodes_report_leaving(fleet, "engine-1")
+    });
+    assert!(elapsed < MAX_DELAY, "{elapsed:?}");
     fleet.faults(fleet.engines[0].direct, &json!({}));
     assert_eq!(new_runs(&fleet), 0);
 }
 
-// One data centre is cut from the platform when a server there starts to leave. Its node hears
-// it from its peer and sends nothing more.
+// A data centre is cut off from the platform when one of its servers starts to leave. Its node must learn of it
+// from its peer and send the server no more requests.
 #[test]
 fn node_without_the_platform_hears_it_from_its_peers() {
     let fleet = FleetPlan::new().with_engines(2, 4, 1).start();
     fleet.nodes[1].platform.cut();
     fleet.list_server("engine-1", true);
-    let taken = fleet.wait_until("all know", |fleet| all_nodes_say_leaving(fleet, "engine-1"));
-    assert!(taken < BOUND, "{taken:?}");
+    let elapsed = fleet.wait_until("all know", |fleet| {
+        all_nodes_report_leaving(fleet, "engine-1")
+    });
+    assert!(elapsed < MAX_DELAY, "{elapsed:?}");
     assert_eq!(new_runs(&fleet), 0);
 }
 
-// A server leaves while it works on requests. They are not cut off.
+// Guards against cutting off requests that are in flight on a server when it starts to leave.
 #[test]
 fn work_in_flight_on_a_leaving_server_is_finished() {
     let fleet = FleetPlan::new().with_engines(1, 4, 20).start();
--- a/crates/plumgate-standin/tests/not_run.rs
+++ b/crates/plumgate-standin/tests/not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" is true, and what may have run is not called so.
+//! Tests that the outcome "not run" is true, and isn't used for requests that may have run.
 
 mod fleet;
 
@@ -7,75 +7,81 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// What the caller was told about a receipt, and how often it was run.
-fn told_and_run(fleet: &fleet::Fleet, key: &str) -> (String, u64) {
-    let answer = fleet.ask(0, &receipt_call("norte", Some(key), "rice"));
-    let told = if answer.status.is_success() {
+/// Sends a receipt and returns the outcome that the caller got, and how often it was run.
+fn outcome_and_runs(fleet: &fleet::Fleet, key: &str) -> (String, u64) {
+    let answer = fleet.call_node(0, &receipt_call("norte", Some(key), "rice"));
+    let reported = if answer.status.is_success() {
         "answered".to_owned()
     } else {
         outcome(&answer)
     };
-    (told, fleet.runs_of(key))
+    (reported, fleet.runs_of(key))
 }
 
-// The way to the service breaks at each point in turn. Whatever the caller is told must agree
-// with the service's own count of runs.
+// The connection to the service breaks at each point in turn. The outcome that the caller gets must agree with
+// the service's own count of runs.
 #[test]
 fn receipt_cut_at_each_point_is_told_truthfully() {
     let mut fleet = FleetPlan::new().start();
     let service = fleet.services[0].direct;
     let link = fleet.services[0].link.clone();
 
-    assert_eq!(told_and_run(&fleet, "all well"), ("answered".into(), 1));
+    assert_eq!(outcome_and_runs(&fleet, "all well"), ("answered".into(), 1));
 
     fleet.faults(service, &json!({ "refuse": true }));
-    assert_eq!(told_and_run(&fleet, "refused"), ("not_run".into(), 0));
+    assert_eq!(outcome_and_runs(&fleet, "refused"), ("not_run".into(), 0));
 
     fleet.faults(service, &json!({ "cut_before_run": 1 }));
     assert_eq!(
-        told_and_run(&fleet, "cut before run"),
+        outcome_and_runs(&fleet, "cut before run"),
         ("unknown".into(), 0)
     );
 
     fleet.faults(service, &json!({ "cut_after_run": 1 }));
-    assert_eq!(told_and_run(&fleet, "cut after run"), ("unknown".into(), 1));
+    assert_eq!(
+        outcome_and_runs(&fleet, "cut after run"),
+        ("unknown".into(), 1)
+    );
 
     fleet.faults(service, &json!({}));
     for bytes in [1, 60, 120] {
         link.cut_after(bytes);
-        let (told, runs) = told_and_run(&fleet, &format!("cut after {bytes} bytes"));
-        assert_eq!((told.as_str(), runs), ("unknown", 0));
+        let (reported, runs) = outcome_and_runs(&fleet, &format!("cut after {bytes} bytes"));
+        assert_eq!((reported.as_str(), runs), ("unknown", 0));
     }
-    link.mend();
-    assert_eq!(told_and_run(&fleet, "mended").0, "answered");
+    link.restore();
+    assert_eq!(outcome_and_runs(&fleet, "mended").0, "answered");
 
     fleet.services[0].process.kill();
     link.cut();
-    let (told, _) = {
-        let answer = fleet.ask(0, &receipt_call("norte", Some("dead"), "rice"));
+    let (reported, _) = {
+        let answer = fleet.call_node(0, &receipt_call("norte", Some("dead"), "rice"));
         (outcome(&answer), ())
     };
-    assert!(["not_run", "unknown"].contains(&told.as_str()), "{told}");
+    assert!(
+        ["not_run", "unknown"].contains(&reported.as_str()),
+        "{reported}"
+    );
 }
 
-// Nothing listens at the service's address any more: no byte can have left, and the caller
-// hears that nothing ran and when to come back.
+// Distinguishes requests of which no byte was sent ("not run") from requests on a connection that was accepted
+// and then closed, of which some bytes may have been sent ("unknown").
 #[test]
 fn refused_connection_is_not_run_with_a_time_to_come_back() {
     let mut fleet = FleetPlan::new().start();
     fleet.engines[0].process.kill();
     fleet.engines[0].link.cut();
-    // The link accepts and closes: some byte may have left. A closed port can't take any.
+    // The link accepts and closes connections, so some bytes may have been sent. A closed port accepts none.
     let dead = FleetPlan::new().with_engines(0, 1, 1).start();
-    let answer = dead.ask(0, &model_call("norte", "caption", "nobody", 4, false));
+    let answer = dead.call_node(0, &model_call("norte", "caption", "nobody", 4, false));
     assert_eq!(answer.status, 404, "no server has the model");
     assert_eq!(outcome(&answer), "not_run");
-    let answer = fleet.ask(0, &model_call("norte", "certificate", "cut", 4, false));
+    let answer = fleet.call_node(0, &model_call("norte", "certificate", "cut", 4, false));
     assert_eq!(outcome(&answer), "unknown");
 }
 
-// An engine refuses for being full and says that it did not run the request. The caption goes
-// to the other engine; when that refuses too, its caller hears "not run", and nothing ran.
+// Both engines refuse the certificate as full and not run: the caller must get "not run" with a `retry-after`
+// header, and nothing ran. When one engine accepts again, a repeat runs once.
 #[test]
 fn refusals_of_engines_are_not_run() {
     let fleet = FleetPlan::new().with_engines(2, 4, 5).start();
@@ -84,7 +90,7 @@
     for engine in &fleet.engines {
         fleet.faults(engine.direct, &json!({ "refuse": true }));
     }
-    let answer = fleet.ask(0, &request);
+    let answer = fleet.call_node(0, &request);
     assert_eq!(
         (answer.status.as_u16(), outcome(&answer).as_str()),
         (503, "not_run")
@@ -92,24 +98,24 @@
     assert!(answer.headers.contains_key("retry-after"));
     assert_eq!(fleet.runs_of("full"), 0);
     fleet.faults(fleet.engines[1].direct, &json!({}));
-    let answer = fleet.ask(1, &request);
+    let answer = fleet.call_node(1, &request);
     assert!(answer.status.is_success(), "{}", answer.text());
     assert_eq!(fleet.runs_of("full"), 1);
 }
 
-// A service runs a receipt and never answers. After a while the caller is told that nobody
-// knows, not that nothing ran.
+// A service runs a receipt and never answers. The caller must be told after a while that the outcome is unknown,
+// not that nothing ran.
 #[test]
 fn silent_service_is_unknown() {
     let fleet = FleetPlan::new().start();
     fleet.faults(fleet.services[0].direct, &json!({ "silent": true }));
-    let answer = fleet.ask(0, &receipt_call("norte", Some("silent"), "rice"));
+    let answer = fleet.call_node(0, &receipt_call("norte", Some("silent"), "rice"));
     assert_eq!(outcome(&answer), "unknown");
     assert_eq!(fleet.runs_of("silent"), 1);
 }
 
-// A frozen engine accepts connections and answers nothing. A caption that nobody has bytes of
-// goes to another engine in the end; its caller gets a whole answer.
+// A suspended engine accepts connections and answers nothing. A caption of which the caller has received nothing
+// must be moved to another engine and answered completely.
 #[test]
 fn frozen_engine_is_left_for_another() {
     let fleet = FleetPlan::new()
@@ -117,12 +123,12 @@
         .with_nodes(&["dc-a"])
         .start();
     fleet.engines[0].process.freeze();
-    let answer = fleet.ask(0, &model_call("norte", "caption", "frozen", 4, false));
+    let answer = fleet.call_node(0, &model_call("norte", "caption", "frozen", 4, false));
     assert!(answer.status.is_success(), "{}", answer.text());
 }
 
-// The node dies under a caller's request. The caller sees a broken connection, no answer; the
-// engine ran it once at most.
+// The node is killed during a caller's request. The caller must see a broken connection and no answer; the engine
+// ran the request at most once.
 #[test]
 fn killed_node_breaks_the_connection_visibly() {
     let mut fleet = FleetPlan::new().with_engines(1, 4, 20).start();
@@ -137,7 +143,7 @@
     assert_eq!(
         outcome(&answer),
         "unknown",
-        "nobody knows what became of the first run"
+        "the outcome of the first run is unknown"
     );
     assert_eq!(fleet.runs_of("killed"), 1);
 }
@@ -169,7 +175,7 @@
         (long_key, 400),
     ];
     for (request, status) in cases {
-        let answer = fleet.ask(0, &request);
+        let answer = fleet.call_node(0, &request);
         assert_eq!(answer.status, status, "{}", answer.text());
         assert_eq!(outcome(&answer), "not_run");
         assert!(answer.json()["error"]["message"].is_string());
--- a/crates/plumgate-standin/tests/orders.rs
+++ b/crates/plumgate-standin/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: one holder at a time, and the wanted end whatever was paused or lost.
+//! Tests that orders to engines come from one lease holder at a time, and that engines reach the wanted state
+//! whatever was suspended or lost.
 
 mod fleet;
 
@@ -28,8 +29,8 @@
     engine_state(fleet, engine)["models"]["m"] == true
 }
 
-/// The node that holds the lease for the engines of its data centre.
-fn holder(fleet: &Fleet) -> Option<usize> {
+/// Returns the index of the node that holds the lease for the engines of its data centre, by its log.
+fn lease_holder(fleet: &Fleet) -> Option<usize> {
     fleet.nodes.iter().position(|node| {
         let log = node.process.log();
         let last = log
@@ -41,8 +42,8 @@
     })
 }
 
-// An engine starts without its model. Captions are refused as not run until the holder of the
-// lease has ordered it to be loaded; then they are answered. The log says who decided what.
+// An engine starts without its model. Captions are refused as not run until the lease holder has ordered the
+// model to be loaded; then they are answered. The log names the decision.
 #[test]
 fn missing_model_is_ordered_and_then_served() {
     let fleet = FleetPlan::new()
@@ -50,7 +51,7 @@
         .with_strict_models()
         .start();
     fleet.wait_until("the model is loaded", |fleet| has_model(fleet, 0));
-    let answer = fleet.ask(0, &model_call("norte", "caption", "x", 2, false));
+    let answer = fleet.call_node(0, &model_call("norte", "caption", "x", 2, false));
     assert!(answer.status.is_success(), "{}", answer.text());
     assert_eq!(orders(&fleet, 0).len(), 1, "one holder ordered it once");
     let logs: String = fleet.nodes.iter().map(|node| node.process.log()).collect();
@@ -60,8 +61,8 @@
     );
 }
 
-// Loads go through a rate-limited weight store. With one load a minute allowed, the second of
-// two engines is not ordered to load right after the first.
+// Loads use a rate-limited weight store: with one load per minute, the second of two engines must not be ordered
+// to load right after the first.
 #[test]
 fn loads_keep_to_the_pace_of_the_weight_store() {
     let fleet = FleetPlan::new()
@@ -76,20 +77,19 @@
     assert!(!(has_model(&fleet, 0) && has_model(&fleet, 1)));
 }
 
-// The holder stands still with an order under way while its lease lapses; another node takes
-// over. When the first one wakes up it must not order any more: the engine's fencing numbers
-// only go up, and its models stay as the new holder wants them.
+// The lease holder is suspended until its lease expires and another node takes over. After it resumes it must not
+// send orders: the engine's fencing numbers only increase, and its models stay as the new holder ordered.
 #[test]
 fn woken_holder_gives_no_order_by_its_old_lease() {
     let fleet = FleetPlan::new().with_nodes(&["dc-a", "dc-a"]).start();
     fleet.wait_until("the model is loaded", |fleet| has_model(fleet, 0));
-    let first = holder(&fleet).expect("a holder");
+    let first = lease_holder(&fleet).expect("a holder");
     fleet.nodes[first].process.freeze();
-    let taken_over = |fleet: &Fleet| {
+    let is_taken_over = |fleet: &Fleet| {
         let log = fleet.nodes[1 - first].process.log();
         log.contains("event=lease model=m held=true fencing=2")
     };
-    fleet.wait_until("the other takes over", taken_over);
+    fleet.wait_until("the other takes over", is_taken_over);
     fleet.nodes[first].process.thaw();
     sleep(Duration::from_secs(2));
     let log = fleet.nodes[first].process.log();
@@ -107,29 +107,29 @@
     assert!(has_model(&fleet, 0));
 }
 
-// An engine that ignores fencing numbers: the holder waits out what an earlier one may still
-// have under way before its first order.
+// The engine ignores fencing numbers, so the holder must wait until orders of an earlier holder can no longer be
+// in flight before it sends its first order.
 #[test]
 fn engine_that_ignores_numbers_is_ordered_only_after_a_wait() {
     let fleet = FleetPlan::new()
         .with_nodes(&["dc-a"])
         .without_fencing()
         .start();
-    fleet.wait_until("the lease is held", |fleet| holder(fleet).is_some());
+    fleet.wait_until("the lease is held", |fleet| lease_holder(fleet).is_some());
     sleep(Duration::from_secs(3));
     assert!(!has_model(&fleet, 0), "too early");
     fleet.wait_until("the model is loaded", |fleet| has_model(fleet, 0));
 }
 
-// The platform goes away: the lease can't be renewed, and the holder gives it up by itself
-// before anyone else could take it. Captions are served all the same.
+// The platform fails, and the lease can't be renewed. The holder must give it up by itself before another node
+// could take it; captions are still served.
 #[test]
 fn holder_without_the_platform_gives_its_lease_up() {
     let fleet = FleetPlan::new().with_nodes(&["dc-a"]).start();
-    fleet.wait_until("the lease is held", |fleet| holder(fleet).is_some());
+    fleet.wait_until("the lease is held", |fleet| lease_holder(fleet).is_some());
     fleet.faults(fleet.platform_address, &json!({ "down": true }));
-    let taken = fleet.wait_until("it is given up", |fleet| holder(fleet).is_none());
-    assert!(taken < Duration::from_secs(10), "{taken:?}");
-    let answer = fleet.ask(0, &model_call("norte", "caption", "x", 2, false));
+    let elapsed = fleet.wait_until("it is given up", |fleet| lease_holder(fleet).is_none());
+    assert!(elapsed < Duration::from_secs(10), "{elapsed:?}");
+    let answer = fleet.call_node(0, &model_call("norte", "caption", "x", 2, false));
     assert!(answer.status.is_success(), "{}", outcome(&answer));
 }
--- a/crates/plumgate-standin/tests/own_answer.rs
+++ b/crates/plumgate-standin/tests/own_answer.rs
@@ -1,11 +1,11 @@
-//! Each caller gets the whole answer to its own request, or a visible failure.
+//! Tests that each caller gets the complete answer to its own request, or a visible failure.
 
 mod fleet;
 
 use std::thread::sleep;
 use std::time::Duration;
 
-use fleet::{FleetPlan, call_later, expected_content, model_call, outcome, whole_content};
+use fleet::{FleetPlan, answer_content, call_later, expected_content, model_call, outcome};
 use plumgate_standin::load::stream_content;
 use serde_json::json;
 
@@ -33,13 +33,13 @@
                 Some(expected.as_str())
             );
         } else {
-            assert_eq!(whole_content(&answer), expected);
+            assert_eq!(answer_content(&answer), expected);
         }
     }
 }
 
-// A stream's connection to its engine breaks after three tokens, and the engine repeats two of
-// them when the stream is resumed. The caller must see each token once, in order, and the end.
+// A stream's connection to its engine breaks after three tokens, and the engine repeats two of them when the
+// stream is resumed. The caller must get each token once, in order, and the end mark.
 #[test]
 fn cut_stream_is_resumed_without_a_token_twice_or_missing() {
     let fleet = FleetPlan::new().start();
@@ -47,7 +47,7 @@
         fleet.engines[0].direct,
         &json!({ "cut_streams": 1, "after_tokens": 3, "repeat_events": 1 }),
     );
-    let answer = fleet.ask(0, &model_call("norte", "caption", "resume me", 12, true));
+    let answer = fleet.call_node(0, &model_call("norte", "caption", "resume me", 12, true));
     assert!(answer.complete);
     assert_eq!(
         stream_content(&answer.text()),
@@ -55,8 +55,8 @@
     );
 }
 
-// Something between node and engine loses track of the stream's connection: it stays open and
-// brings nothing more, while new connections work. The caller must get the rest, not a failure.
+// The connection of a stream stays open but delivers nothing more, while new connections work, as when a
+// middlebox loses its state. The caller must get the rest of the stream, not a failure.
 #[test]
 fn silent_stream_goes_on_over_a_new_connection() {
     let fleet = FleetPlan::new().with_engines(1, 4, 30).start();
@@ -78,7 +78,7 @@
     );
 }
 
-// The same for a whole answer: its connection goes silent while the engine works on it.
+// Same as above for a complete answer: the connection goes silent while the engine works on it.
 #[test]
 fn silent_whole_answer_is_fetched_over_a_new_connection() {
     let fleet = FleetPlan::new().with_engines(1, 4, 30).start();
@@ -89,11 +89,11 @@
     sleep(Duration::from_millis(400));
     fleet.engines[0].link.silence();
     let answer = caller.join().expect("no panic").expect("an answer");
-    assert_eq!(whole_content(&answer), expected_content("whole", 40));
+    assert_eq!(answer_content(&answer), expected_content("whole", 40));
 }
 
-// The only engine dies within a stream. The caller has some tokens; no other run can go on
-// from them. It must see an error and a broken answer, never an end mark.
+// The only engine dies during a stream. The caller has some tokens, and no other run can continue from them; it
+// must get an error and a broken answer, never an end mark.
 #[test]
 fn stream_of_a_dead_engine_never_looks_whole() {
     let mut fleet = FleetPlan::new().with_engines(1, 4, 30).start();
@@ -113,8 +113,8 @@
     );
 }
 
-// One of two engines crashes under a whole answer that nobody has any byte of. The caption may
-// run again: its caller gets a whole answer from the other engine.
+// One of two engines crashes during a complete answer of which the caller has received nothing. The caption may
+// run again, and its caller must get a complete answer from the other engine.
 #[test]
 fn whole_answer_of_a_crashed_engine_comes_from_another() {
     let fleet = FleetPlan::new()
@@ -132,21 +132,20 @@
     let second = &fleet.engines[1];
     fleet.faults(second.direct, &json!({}));
     let answer = caller.join().expect("no panic").expect("an answer");
-    assert_eq!(whole_content(&answer), expected_content("again", 50));
+    assert_eq!(answer_content(&answer), expected_content("again", 50));
 }
 
-// An engine answers with the head of another request's answer, as after a mix-up on a kept
-// connection. That answer must reach nobody; the caption runs again.
+// An engine returns the head of another request's answer, as after a mix-up on a reused connection. No caller may
+// receive that answer; the caption runs again.
 #[test]
 fn answer_to_another_request_reaches_nobody() {
     let fleet = FleetPlan::new().start();
     fleet.faults(fleet.engines[0].direct, &json!({ "wrong_ids": 1 }));
-    let answer = fleet.ask(0, &model_call("norte", "caption", "mine", 6, false));
-    assert_eq!(whole_content(&answer), expected_content("mine", 6));
+    let answer = fleet.call_node(0, &model_call("norte", "caption", "mine", 6, false));
+    assert_eq!(answer_content(&answer), expected_content("mine", 6));
 }
 
-// Two workspaces use the same key and the same prompt. Each has its own run; neither gets the
-// other's answer.
+// Two workspaces use the same key and the same prompt. Each must get its own run and not the answer of the other.
 #[test]
 fn equal_keys_and_prompts_of_two_workspaces_stay_apart() {
     let fleet = FleetPlan::new().start();
@@ -154,15 +153,15 @@
         model_call(workspace, "certificate", "same", 4, false)
             .with_header("idempotency-key", "same key")
     };
-    let first = fleet.ask(0, &request("norte"));
-    let second = fleet.ask(1, &request("azuay"));
+    let first = fleet.call_node(0, &request("norte"));
+    let second = fleet.call_node(1, &request("azuay"));
     assert!(first.status.is_success() && second.status.is_success());
     assert_ne!(first.json()["id"], second.json()["id"]);
     assert_eq!(fleet.runs_of("same key"), 2);
 }
 
-// A run is lost between its tokens and its end mark. The caller of a certificate, which may not
-// run again, is told that nobody knows.
+// A run is lost between its tokens and its end mark. A certificate may not run again, so its caller must be told
+// that the outcome is unknown.
 #[test]
 fn lost_run_of_a_certificate_is_unknown() {
     let fleet = FleetPlan::new().start();
@@ -170,7 +169,7 @@
         fleet.engines[0].direct,
         &json!({ "lose_runs": 1, "after_tokens": 6 }),
     );
-    let answer = fleet.ask(0, &model_call("norte", "certificate", "lost", 8, false));
+    let answer = fleet.call_node(0, &model_call("norte", "certificate", "lost", 8, false));
     assert_eq!(answer.status, 502);
     assert_eq!(outcome(&answer), "unknown");
     let runs = &fleet.counts(fleet.engines[0].direct)["runs"];
--- a/crates/plumgate-standin/tests/stop.rs
+++ b/crates/plumgate-standin/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A graceful stop cuts off nothing that is in flight.
+//! Tests that a graceful stop cuts off no request in flight.
 
 mod fleet;
 
@@ -13,8 +13,8 @@
 use plumgate_standin::load::stream_content;
 use serde_json::json;
 
-// A node is told to stop while a stream, a whole answer and a receipt are under way. Each
-// caller gets all of its answer; then the process ends with 0.
+// A node is asked to stop while a stream, a complete answer and a receipt are in flight. Each caller must get its
+// complete answer; then the process exits with 0.
 #[test]
 fn requests_in_flight_are_answered_whole() {
     let mut fleet = FleetPlan::new().with_engines(1, 4, 20).start();
@@ -31,7 +31,7 @@
         Some(expected_content("stream", 60))
     );
     let whole = whole.join().expect("no panic").expect("an answer");
-    assert_eq!(fleet::whole_content(&whole), expected_content("whole", 60));
+    assert_eq!(fleet::answer_content(&whole), expected_content("whole", 60));
     assert!(
         receipt
             .join()
@@ -41,20 +41,21 @@
             .is_success()
     );
     wait_for_end(&mut fleet, 0);
-    // The receipt's answer was kept before the node was gone.
+    // The answer of the receipt was stored before the node exited.
     assert!(
         fleet
-            .ask(1, &receipt_call("norte", Some("stop"), "rice"))
+            .call_node(1, &receipt_call("norte", Some("stop"), "rice"))
             .status
             .is_success()
     );
     assert_eq!(fleet.runs_of("stop"), 1);
 }
 
+/// Waits until a node exits, and checks that its exit code is 0.
 fn wait_for_end(fleet: &mut fleet::Fleet, node: usize) {
     let start = Instant::now();
     loop {
-        if let Some(code) = fleet.nodes[node].process.ended() {
+        if let Some(code) = fleet.nodes[node].process.exit_code() {
             assert_eq!(code, 0);
             return;
         }
@@ -66,8 +67,8 @@
     }
 }
 
-// The balancer lags: it goes on sending for a while after readiness was withdrawn. Those
-// callers are served, not refused.
+// The load balancer lags: it continues to send requests for a while after the node withdrew its readiness. Those
+// requests must be served, not refused.
 #[test]
 fn new_work_is_taken_while_the_balancer_lags() {
     let mut fleet = FleetPlan::new()
@@ -76,15 +77,15 @@
     fleet.nodes[0].process.terminate();
     let ready = ClientCall::new(Method::GET, "/readyz");
     fleet.wait_until("readiness is withdrawn", |fleet| {
-        fleet.ask(0, &ready).status == 503
+        fleet.call_node(0, &ready).status == 503
     });
-    let answer = fleet.ask(0, &model_call("norte", "caption", "late", 3, false));
+    let answer = fleet.call_node(0, &model_call("norte", "caption", "late", 3, false));
     assert!(answer.status.is_success(), "{}", answer.text());
     wait_for_end(&mut fleet, 0);
 }
 
-// Requests wait in the queue when the node stops taking work. Their callers hear at once that
-// nothing ran, and go to another node.
+// Requests are queued when the node stops accepting work. They must be refused as not run at once, so that their
+// callers can go to another node.
 #[test]
 fn queued_requests_are_refused_as_not_run() {
     let mut fleet = FleetPlan::new()
@@ -113,28 +114,28 @@
     wait_for_end(&mut fleet, 0);
 }
 
-// A caller keeps an idle connection open. It must not hold up the stop.
+// Guards against a stop that waits for an idle connection of a caller.
 #[test]
 fn idle_connections_do_not_hold_up_the_stop() {
     let mut fleet = FleetPlan::new().start();
     let mut idle = TcpStream::connect(fleet.nodes[0].callers).expect("connects");
     idle.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
         .expect("writes");
-    let mut piece = [0; 512];
-    assert!(idle.read(&mut piece).expect("an answer") > 0);
+    let mut buffer = [0; 512];
+    assert!(idle.read(&mut buffer).expect("an answer") > 0);
     let start = Instant::now();
     fleet.nodes[0].process.terminate();
     wait_for_end(&mut fleet, 0);
     assert!(start.elapsed() < Duration::from_secs(3));
     assert_eq!(
-        idle.read(&mut piece).expect("the end"),
+        idle.read(&mut buffer).expect("the end"),
         0,
         "the connection is closed"
     );
 }
 
-// A stream is longer than the grace period. The operator's setting counts: the process ends,
-// and the caller sees a broken answer, not a whole one.
+// A stream lasts longer than the configured grace period. The process must exit all the same, and the caller must
+// see a broken answer, not a complete one.
 #[test]
 fn stream_longer_than_the_grace_period_is_cut_visibly() {
     let mut fleet = FleetPlan::new()
@@ -155,8 +156,8 @@
     assert_eq!(stream_content(&answer.text()), None);
 }
 
-// A second signal shortens the wait for the balancer; what is in flight still finishes. A third
-// ends the process at once.
+// A second signal ends the wait for the load balancer, and requests in flight still finish. A third signal ends
+// the process at once.
 #[test]
 fn second_signal_hurries_and_third_ends() {
     let mut fleet = FleetPlan::new()
@@ -200,7 +201,7 @@
     );
 }
 
-// A stopped node is gone for its peers at once, not only after its silence is noticed.
+// Peers must remove a stopping node at once, not only after it has been silent for a while.
 #[test]
 fn peers_hear_that_a_node_stops() {
     let mut fleet = FleetPlan::new()
@@ -213,7 +214,7 @@
             .is_some_and(|status| status.nodes.len() == 1)
     });
     assert!(
-        fleet.nodes[0].process.ended().is_none(),
+        fleet.nodes[0].process.exit_code().is_none(),
         "it still takes late callers"
     );
     assert!(
--- a/crates/plumgate-standin/tests/tiers.rs
+++ b/crates/plumgate-standin/tests/tiers.rs
@@ -1,15 +1,15 @@
-//! Higher tiers are never refused for lower ones, over several nodes and under overload.
+//! Tests that requests of higher tiers are never refused because of lower ones, across nodes and under overload.
 
 mod fleet;
 
 use std::thread::sleep;
 use std::time::Duration;
 
-use fleet::{FleetPlan, call_later, expected_content, model_call, whole_content};
+use fleet::{FleetPlan, answer_content, call_later, expected_content, model_call};
 
-// Dossiers through one node fill all slots of the only engine, for seconds. Captions come
-// through the other node, which holds nothing itself: it asks its peer to make room. Every
-// caption is answered, and the dossiers that gave way are answered later.
+// Dossiers sent through one node fill all slots of the only engine for seconds. Captions come through the other
+// node, which has no requests of its own to preempt and asks its peer to free slots. Every caption must be
+// answered, and the preempted dossiers must be answered later.
 #[test]
 fn captions_get_room_that_another_node_holds_with_dossiers() {
     let fleet = FleetPlan::new().with_engines(1, 4, 20).start();
@@ -29,7 +29,7 @@
     for (number, caption) in captions.into_iter().enumerate() {
         let answer = caption.join().expect("no panic").expect("an answer");
         assert_eq!(
-            whole_content(&answer),
+            answer_content(&answer),
             expected_content(&format!("caption {number}"), 5),
             "{}",
             answer.text()
@@ -38,7 +38,7 @@
     for (number, dossier) in dossiers.into_iter().enumerate() {
         let answer = dossier.join().expect("no panic").expect("an answer");
         assert_eq!(
-            whole_content(&answer),
+            answer_content(&answer),
             expected_content(&format!("dossier {number}"), 150),
             "{}",
             answer.text()
@@ -46,8 +46,8 @@
     }
 }
 
-// The same on one node: the queue is full of dossiers, the engine works on more, and captions
-// come. Each caption is answered; each dossier is answered or refused as not run or unknown.
+// Same on one node: the queue is full of dossiers and the engine works on more when captions arrive. Each caption
+// must be answered; each dossier is answered or refused as not run or unknown.
 #[test]
 fn captions_go_ahead_of_a_flood_of_dossiers() {
     let fleet = FleetPlan::new()
@@ -63,9 +63,9 @@
     sleep(Duration::from_millis(400));
     for number in 0..6 {
         let prompt = format!("c{number}");
-        let answer = fleet.ask(0, &model_call("norte", "caption", &prompt, 5, false));
+        let answer = fleet.call_node(0, &model_call("norte", "caption", &prompt, 5, false));
         assert_eq!(
-            whole_content(&answer),
+            answer_content(&answer),
             expected_content(&prompt, 5),
             "{}",
             answer.text()
@@ -75,7 +75,7 @@
         let answer = dossier.join().expect("no panic").expect("an answer");
         if answer.status.is_success() {
             assert_eq!(
-                whole_content(&answer),
+                answer_content(&answer),
                 expected_content(&format!("d{number}"), 60)
             );
         } else {
--- a/crates/plumgate-standin/tests/waste.rs
+++ b/crates/plumgate-standin/tests/waste.rs
@@ -1,4 +1,5 @@
-//! Work that nobody receives is stopped and counted, and a failing fleet gets no second load.
+//! Tests that work without a receiver is stopped and counted, and that retries don't multiply the load of a failing
+//! fleet.
 
 mod fleet;
 
@@ -10,7 +11,7 @@
 use plumgate_standin::http::ClientCall;
 use serde_json::json;
 
-/// The sum of a metric over its labels on the first node.
+/// Returns the sum of a metric over its labels on the first node.
 fn metric(fleet: &Fleet, name: &str) -> u64 {
     let request = ClientCall::new(Method::GET, "/metrics");
     let page = fleet.call(fleet.nodes[0].operators, &request).text();
@@ -20,8 +21,8 @@
         .sum()
 }
 
-// A caller goes away within its stream. The engine must stop working on it, its slot must be
-// free for the next caller, and the tokens made for nobody must be counted.
+// A caller disconnects during its stream. The engine must stop working on it, its slot must be free for the next
+// caller, and the wasted tokens must be counted.
 #[test]
 fn run_of_a_caller_that_went_away_is_cancelled_and_counted() {
     let fleet = FleetPlan::new()
@@ -40,8 +41,8 @@
     text.push_str(&format!("content-length: {}\r\n\r\n", request.body.len()));
     caller.write_all(text.as_bytes()).expect("writes");
     caller.write_all(&request.body).expect("writes");
-    let mut piece = [0; 1024];
-    assert!(caller.read(&mut piece).expect("the stream has begun") > 0);
+    let mut buffer = [0; 1024];
+    assert!(caller.read(&mut buffer).expect("the stream has begun") > 0);
     drop(caller);
     fleet.wait_until("the run is cancelled", |fleet| {
         fleet.counts(fleet.engines[0].direct)["cancelled"] == 1
@@ -49,13 +50,13 @@
     fleet.wait_until("its tokens are counted", |fleet| {
         metric(fleet, "plumgate_wasted_tokens_total") > 0
     });
-    let answer = fleet.ask(0, &model_call("norte", "caption", "next", 2, false));
+    let answer = fleet.call_node(0, &model_call("norte", "caption", "next", 2, false));
     assert!(answer.status.is_success(), "{}", answer.text());
 }
 
-// All engines lose every run before its first token. Without a bound each caption would be run
-// five times, and the fleet would get five times its load while it is failing. The budget allows
-// 10 retries and one for each ten requests; past it a caller is told at once that nobody knows.
+// All engines lose every run before its first token. Without a bound each caption would run five times, and the
+// failing fleet would get five times its load. The budget allows 10 retries and one more for each ten requests;
+// beyond it the caller is told at once that the outcome is unknown.
 #[test]
 fn retries_are_bounded_by_the_budget() {
     let fleet = FleetPlan::new()
@@ -70,7 +71,7 @@
     }
     for number in 0..30 {
         let request = model_call("norte", "caption", &format!("p{number}"), 3, true);
-        let answer = fleet.ask(0, &request);
+        let answer = fleet.call_node(0, &request);
         assert_eq!(outcome(&answer), "unknown", "{}", answer.text());
     }
     let attempts = metric(&fleet, "plumgate_failed_attempts_total");
