--- a/crates/plumgate/examples/limit_costs.rs
+++ b/crates/plumgate/examples/limit_costs.rs
@@ -1,5 +1,5 @@
-//! What limits cost a node: bytes and processor time of a round, and of one ask with its answer, at some sizes of
-//! fleets and numbers of limited servers.
+//! Measures what server limits cost a node: bytes and processor time of one round, and of one permit request
+//! with its response, for several sizes of fleets and numbers of limited servers.
 
 #[path = "../tests/entries/mod.rs"]
 mod entries;
@@ -13,17 +13,17 @@
 
 use entries::{node_entries, server_entry};
 
-/// Rounds that are timed.
+/// Rounds that are measured.
 const ROUNDS: u32 = 100;
 /// Fleets: data centres, nodes in each.
 const FLEETS: [(usize, usize); 4] = [(3, 3), (3, 26), (5, 39), (15, 111)];
-/// Servers that are limited.
+/// Numbers of limited servers.
 const LIMITED: [usize; 3] = [1, 30, 500];
 
 struct CostNode {
     exchange: LoadExchange,
     limits: ServerLimits,
-    desk: SyncState,
+    sync_state: SyncState,
     start: Instant,
 }
 
@@ -36,7 +36,7 @@
         Self {
             exchange,
             limits,
-            desk: SyncState::new(Duration::from_secs(5), 1),
+            sync_state: SyncState::new(Duration::from_secs(5), 1),
             start: Instant::now(),
         }
     }
@@ -56,21 +56,23 @@
     fn tick(&mut self, millis: u64) {
         let moment = self.moment(millis);
         self.exchange
-            .tick(std::iter::empty(), &mut self.desk, moment);
+            .tick(std::iter::empty(), &mut self.sync_state, moment);
     }
 
-    fn talk(&mut self, millis: u64) -> Vec<ExchangePacket> {
-        self.limits.run_round(&self.exchange, mail(millis))
+    fn run_limit_round(&mut self, millis: u64) -> Vec<ExchangePacket> {
+        self.limits.run_round(&self.exchange, message_time(millis))
     }
 
-    fn hear(&mut self, from: &NodeEntry, bytes: &[u8], millis: u64) -> Vec<ExchangePacket> {
+    fn receive(&mut self, from: &NodeEntry, bytes: &[u8], millis: u64) -> Vec<ExchangePacket> {
         let moment = self.moment(millis);
-        let taken = self
+        let received = self
             .exchange
-            .receive(bytes, from.address, &mut self.desk, moment);
-        taken.expect("a message");
-        let mails = self.exchange.take_statements();
-        let (packets, _) = self.limits.receive(&self.exchange, mails, mail(millis));
+            .receive(bytes, from.address, &mut self.sync_state, moment);
+        received.expect("a message");
+        let statements = self.exchange.take_statements();
+        let (packets, _) = self
+            .limits
+            .receive(&self.exchange, statements, message_time(millis));
         packets
     }
 
@@ -82,7 +84,7 @@
     }
 }
 
-fn mail(millis: u64) -> MessageTime {
+fn message_time(millis: u64) -> MessageTime {
     MessageTime {
         boot: Duration::from_millis(millis),
         unix_ms: 1_767_225_600_000 + millis,
@@ -93,27 +95,27 @@
     time.as_secs_f64() * 1e6 / f64::from(count)
 }
 
-/// Rounds of a node: bytes and microseconds of one.
-fn rounds(node: &mut CostNode) -> (f64, f64) {
+/// Runs the rounds of a node and returns the bytes and microseconds of one round.
+fn measure_rounds(node: &mut CostNode) -> (f64, f64) {
     let (mut bytes, mut spent) = (0, Duration::ZERO);
     for round in 0..ROUNDS {
         let millis = 2_000 + u64::from(round) * 100;
         node.tick(millis);
-        let begun = Instant::now();
-        let packets = node.talk(millis);
-        spent += begun.elapsed();
+        let started = Instant::now();
+        let packets = node.run_limit_round(millis);
+        spent += started.elapsed();
         bytes += packets.iter().map(|(_, bytes)| bytes.len()).sum::<usize>();
     }
     (bytes as f64 / f64::from(ROUNDS), micros(spent, ROUNDS))
 }
 
 fn main() {
-    for (centres, nodes_each) in FLEETS {
-        let entries = node_entries(centres, nodes_each);
+    for (data_centres, nodes_each) in FLEETS {
+        let entries = node_entries(data_centres, nodes_each);
         for limited in LIMITED {
             let mut nodes: Vec<CostNode> = entries
                 .iter()
-                .take(centres * 2)
+                .take(data_centres * 2)
                 .map(|own| CostNode::new(own, &entries))
                 .collect();
             for node in &mut nodes {
@@ -123,7 +125,7 @@
             let collects = |node: &CostNode| node.exchange.is_collector();
             let (mut most, mut member) = ((0.0, 0.0), (0.0, 0.0));
             for node in &mut nodes {
-                let cost = rounds(node);
+                let cost = measure_rounds(node);
                 if collects(node) {
                     most = cost;
                 } else {
@@ -132,7 +134,7 @@
             }
             println!(
                 "nodes={} limited={limited} member: {:.0} bytes {:.1} us a round; collector: {:.0} bytes {:.1} us",
-                centres * nodes_each,
+                data_centres * nodes_each,
                 member.0,
                 member.1,
                 most.0,
@@ -140,11 +142,11 @@
             );
         }
     }
-    ask_and_answer();
+    request_and_response();
 }
 
-/// One ask and its answer, between two nodes of a data centre.
-fn ask_and_answer() {
+/// Measures one permit request and its response between two nodes of a data centre.
+fn request_and_response() {
     let entries = node_entries(1, 2);
     let mut nodes: Vec<CostNode> = entries
         .iter()
@@ -153,33 +155,33 @@
     for node in &mut nodes {
         node.limit(1);
         node.tick(1_900);
-        node.talk(1_900);
+        node.run_limit_round(1_900);
     }
-    let asker = usize::from(nodes[0].exchange.is_collector());
+    let requester = usize::from(nodes[0].exchange.is_collector());
     let server = server_entry("server-0");
     let (mut spent, mut bytes, mut count) = (Duration::ZERO, 0, 0);
     for round in 0..ROUNDS {
         let millis = 3_000 + u64::from(round) * 2_500;
-        let begun = Instant::now();
+        let started = Instant::now();
         let now = Duration::from_millis(millis);
-        let PermitStatus::Requested(id) = nodes[asker].limits.request_permit(&server, 0, now)
+        let PermitStatus::Requested(id) = nodes[requester].limits.request_permit(&server, 0, now)
         else {
             continue;
         };
         let CostNode {
             limits, exchange, ..
-        } = &mut nodes[asker];
-        let asks = limits.take_requests(exchange, mail(millis));
-        for (_, ask) in asks {
-            bytes += ask.len();
-            let answers = nodes[1 - asker].hear(&entries[asker], &ask, millis);
-            for (_, answer) in answers {
-                bytes += answer.len();
-                nodes[asker].hear(&entries[1 - asker], &answer, millis);
+        } = &mut nodes[requester];
+        let requests = limits.take_requests(exchange, message_time(millis));
+        for (_, request) in requests {
+            bytes += request.len();
+            let responses = nodes[1 - requester].receive(&entries[requester], &request, millis);
+            for (_, response) in responses {
+                bytes += response.len();
+                nodes[requester].receive(&entries[1 - requester], &response, millis);
             }
         }
-        nodes[asker].limits.take_response(id, now);
-        spent += begun.elapsed();
+        nodes[requester].limits.take_response(id, now);
+        spent += started.elapsed();
         count += 1;
     }
     let each = bytes as f64 / f64::from(count);
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -1,4 +1,4 @@
-//! Measures what the decisions cost by size: processor time, bytes and memory.
+//! Measures what the decisions cost by size of the fleet: processor time, bytes and memory.
 //!
 //! `scripts/slopes` runs it; `docs/CAPACITY.md` multiplies what it prints.
 
@@ -17,12 +17,12 @@
     NodeDigest, PeerEnvelope, PeerKey, PeerMessage, PoolLoad, ReplayGuard, ServerLoad, TextPatch,
 };
 
-/// Times that each figure is taken; the median is printed.
+/// Times that each figure is measured; the median is printed.
 const RUNS: usize = 5;
 /// Slots of each server: eight accelerators with eight answers each.
 const SLOTS: u32 = 64;
 
-/// The size of a fleet, as far as one node sees it.
+/// The size of a fleet, as one node sees it.
 #[derive(Clone, Copy)]
 struct FleetSize {
     servers: usize,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The median time of one call.
+/// Returns the median time of [`RUNS`] calls.
 fn median(mut work: impl FnMut() -> Duration) -> Duration {
     let mut times: Vec<Duration> = (0..RUNS).map(|_| work()).collect();
     times.sort();
@@ -109,11 +109,11 @@
     Arc::new(
         bundle
             .read(1)
-            .expect("the made-up configuration has no findings"),
+            .expect("the generated configuration has no findings"),
     )
 }
 
-/// Resident memory of this process in KB.
+/// Returns the resident memory of this process in KB.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -121,7 +121,8 @@
         .unwrap_or(0)
 }
 
-/// One change: a patch comes, is applied and read, and the dispatcher takes it over.
+/// Measures one change of the configuration: a patch arrives, is applied and parsed, and the dispatcher
+/// adopts the result.
 fn measure_config(size: FleetSize) {
     let before = resident_kb();
     let old = ConfigBundle::new(inventory(size), RULES);
@@ -134,7 +135,7 @@
     let digest = new.digest();
     let mut dispatcher = Dispatcher::new(DispatchOptions::new(RouteOptions::new("dc-00")));
     let now = Instant::now();
-    let taken = median(|| {
+    let elapsed = median(|| {
         let mut follower = ConfigFollower::new();
         follower.apply_bundle(1, texts[0].clone(), None);
         let start = Instant::now();
@@ -153,7 +154,7 @@
         size.workspaces,
         texts[0].len() / 1024,
         patch.inserted.len() + 16,
-        taken.as_secs_f64() * 1000.0,
+        elapsed.as_secs_f64() * 1000.0,
         resident_kb().saturating_sub(before)
     );
 }
@@ -175,13 +176,13 @@
     }
 }
 
-/// A request from its arrival to its end, with 832 others in flight as at the aimed-for size.
+/// Measures a request from its arrival to its end, with 832 others in flight as at the target size.
 fn measure_dispatch(size: FleetSize) {
     const IN_FLIGHT: u64 = 832;
     const REQUESTS: u64 = 2_000;
     let config = config(size);
     let now = Instant::now();
-    let taken = median(|| {
+    let elapsed = median(|| {
         let options = DispatchOptions::new(RouteOptions::new("dc-00").with_node("node-000"));
         let mut dispatcher = Dispatcher::new(options);
         dispatcher.set_config(config.clone(), now);
@@ -217,7 +218,7 @@
     println!(
         "dispatch: {} servers: {:.1} us a request, start to end",
         size.servers,
-        taken.as_secs_f64() * 1e6
+        elapsed.as_secs_f64() * 1e6
     );
     let mut dispatcher = Dispatcher::new(DispatchOptions::new(RouteOptions::new("dc-00")));
     dispatcher.set_config(config, now);
@@ -248,7 +249,7 @@
     )])
 }
 
-/// A digest as full as the bounds allow at the aimed-for size.
+/// A digest as full as its limits allow at the target size.
 fn full_digest(number: usize) -> NodeDigest {
     let counts = vec![(1, 1), (3, 1)];
     NodeDigest {
@@ -278,8 +279,8 @@
     }
 }
 
-/// Gossip among the nodes of one data centre: bytes that a node sends and receives a second,
-/// processor time for them, and how old what a node knows of the others gets.
+/// Measures gossip among the nodes of one data centre: bytes that a node sends and receives a second, the
+/// processor time for them, and the age of what a node knows of the others.
 fn measure_gossip(nodes: usize) {
     const SECONDS: u64 = 120;
     let mut now = Instant::now();
--- a/crates/plumgate/tests/charts.rs
+++ b/crates/plumgate/tests/charts.rs
@@ -1,4 +1,4 @@
-//! State charts: what the reader refuses, and what the charts of the program allow.
+//! State charts: what the parser refuses, and what the charts of the program allow.
 
 use plumgate::attempt::{ATTEMPT_CHART, AttemptEvent, AttemptRun};
 use plumgate::chart::{NODE_CHART, StateChart};
@@ -53,9 +53,9 @@
     }
 }
 
-// A caller is told "not run" only while no byte of its request can have reached a model.
-// From the first byte on it is told "unknown", and an attempt that was refused later must not
-// turn that back.
+// Guards against a false "not run": it may be reported only while no byte of the request can have reached a
+// model. After the first byte the outcome is "unknown", and an attempt that is refused later must not turn
+// that back.
 #[test]
 fn not_run_is_said_only_before_the_first_byte() {
     use AttemptEvent::{ConnectFailed, ConnectionLost, FirstByte, RunAgain, ServerRefused};
--- a/crates/plumgate/tests/claim.rs
+++ b/crates/plumgate/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of keys: one run at most, and truthful answers.
+//! Claims of keys: at most one run for each key, and truthful answers.
 
 use plumgate::RunOutcome;
 use plumgate::claim::{ClaimAction, ClaimRow, ClaimRun, ClaimState, claim_row_name};
@@ -17,9 +17,9 @@
     }
 }
 
-// The caller of a receipt sees one receipt, or a refusal that says so, never two.
-// The claim's write takes effect, but its answer is lost. The node must read the row
-// back: retrying the write blindly would find its own claim and refuse its own request.
+// Guards against a node that refuses its own request: the claim is written but its answer is lost, and a
+// blind retry of the write finds the node's own claim. The node must read the row back, so that the caller
+// gets one receipt, or a refusal that says so, and never two.
 #[test]
 fn claim_whose_answer_is_lost_is_read_back_and_granted() {
     let mut claim = run("a");
@@ -56,8 +56,8 @@
     );
 }
 
-// A caller reuses a key for another request by mistake. Giving it the first one's answer
-// would put a wrong certificate on its heat lot.
+// Guards against a caller that reuses a key for another request by mistake: with the answer of the first
+// request a wrong certificate would be put on its heat lot.
 #[test]
 fn key_of_another_request_is_refused() {
     let found = ClaimRow {
@@ -97,22 +97,22 @@
     );
 }
 
-/// What the platform does to one call.
+/// What happens to one call of the platform.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Answers,
-    LosesAnswer,
-    LosesCall,
+enum CallFate {
+    Answered,
+    AnswerLost,
+    CallLost,
 }
 
-impl Arbitrary for Fate {
+impl Arbitrary for CallFate {
     fn arbitrary(g: &mut Gen) -> Self {
-        *g.choose(&[Self::Answers, Self::LosesAnswer, Self::LosesCall])
+        *g.choose(&[Self::Answered, Self::AnswerLost, Self::CallLost])
             .expect("not empty")
     }
 }
 
-/// A table of one row.
+/// A table with one row.
 #[derive(Default)]
 struct RowStore {
     row: Option<(ClaimRow, u64)>,
@@ -121,7 +121,7 @@
 
 impl RowStore {
     fn put(&mut self, row: ClaimRow, version: Option<u64>) -> bool {
-        if self.row.as_ref().map(|(_, held)| *held) != version {
+        if self.row.as_ref().map(|(_, current)| *current) != version {
             return false;
         }
         self.writes += 1;
@@ -130,33 +130,33 @@
     }
 }
 
-/// One step of a claim against the store.
+/// Runs one step of a claim against the store.
 fn step(
     claim: &mut ClaimRun,
     action: ClaimAction,
     store: &mut RowStore,
-    fate: Fate,
+    fate: CallFate,
 ) -> ClaimAction {
     match (action, fate) {
-        (ClaimAction::Put(..) | ClaimAction::Read, Fate::LosesCall) => claim.apply_unanswered(),
+        (ClaimAction::Put(..) | ClaimAction::Read, CallFate::CallLost) => claim.apply_unanswered(),
         (ClaimAction::Put(row, version), fate) => {
             let written = store.put(row, version);
             match fate {
-                Fate::LosesAnswer => claim.apply_unanswered(),
+                CallFate::AnswerLost => claim.apply_unanswered(),
                 _ if written => claim.apply_written(store.writes),
                 _ => claim.apply_row(store.row.clone()),
             }
         }
-        (ClaimAction::Read, Fate::LosesAnswer) => claim.apply_unanswered(),
+        (ClaimAction::Read, CallFate::AnswerLost) => claim.apply_unanswered(),
         (ClaimAction::Read, _) => claim.apply_row(store.row.clone()),
         (end, _) => end,
     }
 }
 
 quickcheck! {
-    // Four attempts race for one key; calls and answers get lost in any order. However the
-    // steps interleave, one attempt at most may run the request.
-    fn one_attempt_at_most_is_granted(schedule: Vec<(u8, Fate)>) -> bool {
+    // Four attempts claim the same key, and calls and answers get lost in any order. However the steps
+    // interleave, at most one attempt may run the request.
+    fn one_attempt_at_most_is_granted(schedule: Vec<(u8, CallFate)>) -> bool {
         let mut store = RowStore::default();
         let names = ["a", "b", "c", "d"];
         let mut claims: Vec<_> = names.iter().map(|name| {
@@ -164,8 +164,8 @@
             let action = claim.start();
             (claim, action)
         }).collect();
-        for (who, fate) in schedule {
-            let (claim, action) = &mut claims[usize::from(who) % names.len()];
+        for (index, fate) in schedule {
+            let (claim, action) = &mut claims[usize::from(index) % names.len()];
             *action = step(claim, action.clone(), &mut store, fate);
         }
         let granted = claims.iter().filter(|(_, action)| matches!(action, ClaimAction::Granted(_)));
--- a/crates/plumgate/tests/config.rs
+++ b/crates/plumgate/tests/config.rs
@@ -1,4 +1,4 @@
-//! What operators write, and what they are told about it.
+//! Validation of the configuration files, and the findings that operators get.
 
 mod support;
 
@@ -52,15 +52,15 @@
     assert!(text.starts_with("inventory.toml:1: "), "{text}");
 }
 
-// Two names for one address would each be given the server's full load, and its callers
-// would see twice the wait that was predicted.
+// Guards against two names for one address: each would be given the server's full load, and callers would
+// wait twice as long as predicted.
 #[test]
 fn one_address_under_two_names_is_a_finding() {
     let text = inventory(2, 1).replace(":1002", ":1001");
     assert!(findings(&text, RULES).contains("has the address 127.0.0.1:1001 of \"s1\""));
 }
 
-// One key in two workspaces would give one customer another's data.
+// Guards against one key in two workspaces, which would give one customer another's data.
 #[test]
 fn one_key_in_two_workspaces_is_a_finding() {
     let keys = format!("key_digests = [\"{}\"]\n", key_digest("secret"));
--- a/crates/plumgate/tests/dispatch.rs
+++ b/crates/plumgate/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Order of service: tiers, floors, patience, room for a higher tier.
+//! Order of service: tiers, floors, patience, and preemption for a higher tier.
 
 mod support;
 
@@ -29,9 +29,9 @@
     assert_eq!(order, [urgent, middle, late]);
 }
 
-// A clerk's caption meets a node whose queue is full of dossiers. The caption must be queued
-// and served first: refusing it for want of places would shed it for the lower tier. The
-// dossier that comes too many gets its refusal at once, with the reason.
+// Guards against a lower tier that takes a higher tier's places in the queue: a caption arrives while the
+// queue is full of dossiers and must be queued and served first. The first dossier beyond the queue's length
+// is refused at once, with the reason.
 #[test]
 fn flood_of_a_lower_tier_leaves_the_places_of_a_higher_one_alone() {
     let mut bench = Bench::new(1, 1);
@@ -46,9 +46,8 @@
     assert_eq!(started(&bench.answer(&running))[0].0, caption);
 }
 
-// Dossiers hold all slots when a caption comes, and slots are held for 20 s. The caption's
-// caller must not wait for them: the dossier that has done the least gives way, and its caller
-// still gets its answer later.
+// Guards against a caption that waits for slots which dossiers hold for 20 s: the dossier that has done the
+// least is preempted, and its caller still gets an answer later.
 #[test]
 fn running_lower_tier_gives_way_to_a_caption_that_would_wait_too_long() {
     let mut bench = Bench::new(1, 2);
@@ -70,8 +69,8 @@
     assert_eq!(started(&bench.answer(&first)).len(), 1);
 }
 
-// A caller of a dossier already reads its stream. Cancelling it would cut an answer that is
-// under way, so it is not among those that give way.
+// Guards against preempting a dossier whose caller already receives the stream: its answer would be cut
+// short.
 #[test]
 fn request_whose_caller_has_bytes_does_not_give_way() {
     let mut bench = Bench::new(1, 1);
@@ -81,8 +80,8 @@
     assert!(preempted(&actions).is_empty());
 }
 
-// A receipt in flight may have run. Cancelling it to run it again would bill it twice, so a
-// non-idempotent request never gives way, whatever waits.
+// Guards against preempting a receipt in flight, which may have run: running it again would bill it twice. A
+// non-idempotent request is never preempted.
 #[test]
 fn non_idempotent_request_does_not_give_way() {
     let mut bench = Bench::new(1, 1);
@@ -93,9 +92,8 @@
     assert!(preempted(&actions).is_empty());
 }
 
-// The predicted wait is longer than a caption may wait, but another node holds room with
-// dossiers. Refusing the caption at once would shed it for them; instead that node is asked
-// to make room.
+// Guards against refusing a caption at once because its predicted wait is too long while another node runs
+// dossiers on the server: that node is asked to preempt one.
 #[test]
 fn caption_is_not_refused_while_a_peer_holds_room_with_a_lower_tier() {
     let mut bench = Bench::new(1, 1);
@@ -108,7 +106,7 @@
     assert_eq!(
         refused(&actions)[0].1,
         RefusalReason::WaitTooLong,
-        "nobody else is to blame"
+        "no peer runs a lower tier"
     );
     let loads = [PeerServerLoad {
         server: "s1".into(),
@@ -130,9 +128,9 @@
     assert!(actions.iter().any(asks), "{actions:?}");
 }
 
-// Captions come without end for an hour, 50% more than the servers can do. Without a floor
-// no dossier would ever run. With one, each tier gets its share of the dispatches, and no
-// request waits longer than it may: past that, its caller gets its refusal.
+// Guards against starvation of lower tiers: for an hour captions come 50% faster than the servers can serve
+// them. Floors give each tier its share of the dispatches, and no request waits longer than its patience;
+// after that it is refused.
 #[test]
 fn every_tier_is_served_under_endless_overload() {
     let mut bench = Bench::new(2, 2);
@@ -140,15 +138,16 @@
     let mut arrived = HashMap::new();
     let mut ends: Vec<(std::time::Instant, plumgate::ids::RequestId)> = Vec::new();
     let mut longest: BTreeMap<u8, Duration> = BTreeMap::new();
-    let mut note = |actions: &[DispatchAction], now, ends: &mut Vec<_>, arrived: &HashMap<_, _>| {
-        for (id, rank) in started(actions) {
-            *served.entry(rank).or_default() += 1;
-            ends.push((now + Duration::from_millis(400), id.clone()));
-            let waited = now - arrived[&id];
-            let held = longest.entry(rank).or_default();
-            *held = (*held).max(waited);
-        }
-    };
+    let mut record =
+        |actions: &[DispatchAction], now, ends: &mut Vec<_>, arrived: &HashMap<_, _>| {
+            for (id, rank) in started(actions) {
+                *served.entry(rank).or_default() += 1;
+                ends.push((now + Duration::from_millis(400), id.clone()));
+                let waited = now - arrived[&id];
+                let wait = longest.entry(rank).or_default();
+                *wait = (*wait).max(waited);
+            }
+        };
     for step in 0..36_000_u32 {
         for class in ["caption", "caption", "note", "dossier"] {
             if class != "caption" && step % 20 != 0 {
@@ -157,15 +156,15 @@
             let ticket = bench.ticket(class);
             arrived.insert(ticket.id.clone(), bench.now);
             let actions = bench.dispatcher.submit(ticket, bench.now);
-            note(&actions, bench.now, &mut ends, &arrived);
+            record(&actions, bench.now, &mut ends, &arrived);
         }
         let actions = bench.advance(100);
-        note(&actions, bench.now, &mut ends, &arrived);
+        record(&actions, bench.now, &mut ends, &arrived);
         let (due, rest): (Vec<_>, Vec<_>) = ends.drain(..).partition(|(at, _)| *at <= bench.now);
         ends = rest;
         for (_, id) in due {
             let actions = bench.answer(&id);
-            note(&actions, bench.now, &mut ends, &arrived);
+            record(&actions, bench.now, &mut ends, &arrived);
         }
         arrived.retain(|_, at| bench.now - *at < Duration::from_secs(120));
     }
@@ -181,8 +180,8 @@
     );
 }
 
-// A dossier runs by its tier's floor when a caption comes. Taking its slot away would make
-// the floor serve nobody: it would start and be cancelled again and again.
+// Guards against preempting a dossier that runs by its tier's floor: it would be started and cancelled again
+// and again, and the floor would serve nobody.
 #[test]
 fn request_that_runs_by_its_floor_does_not_give_way() {
     let mut bench = Bench::new(1, 1);
@@ -191,7 +190,7 @@
     let mut by_floor = false;
     for _ in 0..40 {
         bench.submit("caption");
-        // Slots are held for 2 s, so that a caption that waits wants another to give way.
+        // Slots are held for 2 s, so that a waiting caption calls for preemption.
         bench.now += Duration::from_secs(2);
         let actions = bench.answer(&running);
         let Some(DispatchAction::Start(order)) = actions.into_iter().next() else {
@@ -203,13 +202,13 @@
             break;
         }
     }
-    assert!(by_floor, "the floor never came");
+    assert!(by_floor, "no request ran by the floor");
     let (_, actions) = bench.submit("caption");
     assert!(preempted(&actions).is_empty(), "{actions:?}");
 }
 
-// One caller's request waits as long as it may and no server comes free. It must get its
-// refusal then, with when to come back, not be kept until its connection breaks.
+// Guards against a request that is kept until its connection breaks: when its patience ends without a free
+// server, it is refused with a time to retry after.
 #[test]
 fn request_that_waited_as_long_as_it_may_is_refused() {
     let mut bench = Bench::new(1, 1);
@@ -224,8 +223,8 @@
     assert!(*retry_after >= Duration::from_millis(200));
 }
 
-// A large workspace fills the queue of a tier before a small one comes. By deadline alone the
-// small one would wait behind all of it.
+// Guards against a small workspace that waits behind all requests of a large one which filled the tier's
+// queue before: by deadline alone it would.
 #[test]
 fn small_workspace_does_not_wait_behind_a_large_one() {
     let mut bench = Bench::new(1, 2);
@@ -254,8 +253,8 @@
     assert_eq!(started(&bench.submit("caption").1).len(), 1);
 }
 
-// A node stops while requests wait. Their callers must hear at once that nothing ran, so that
-// they can go to another node.
+// Guards against callers that learn too late that a node stops: waiting requests are refused at once as not
+// run, so that callers can go to another node.
 #[test]
 fn stopping_refuses_what_waits_and_what_comes() {
     let mut bench = Bench::new(1, 1);
--- a/crates/plumgate/tests/duty_model/mod.rs
+++ b/crates/plumgate/tests/duty_model/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of a few nodes without a network, before a store that may come back old and a party that judges: drawn
-//! from a seed, so that each order of events can be played again.
+//! A simulated fleet of a few nodes without a network, with a store that may be restored to an earlier state
+//! and a duty API that checks the rules. Faults are drawn from a seed, so that each order of events can be
+//! repeated.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::collections::{BTreeMap, HashMap};
@@ -11,54 +12,54 @@
 };
 use plumgate::{StoreEra, StoreVersion};
 
-/// The grain of the simulated time in milliseconds.
+/// Step of the simulated time in milliseconds.
 const STEP: u64 = 20;
-/// When a run begins, as the time of day.
+/// The start of a run, in milliseconds since the Unix epoch.
 const START: u64 = 1_767_225_600_000;
-/// The length of the lease, and of the span in which holders must not return.
+/// Duration of the lease in milliseconds, and of the span in which a former holder must not return.
 pub(crate) const LEASE: u64 = 3_000;
-/// The longest call to the party.
-pub(crate) const CALL: u64 = 800;
-/// The length of a window.
+/// Longest call of the duty API in milliseconds.
+pub(crate) const MAX_CALL_TIME: u64 = 800;
+/// Length of a window in milliseconds.
 pub(crate) const WINDOW: u64 = 5_000;
-/// One that makes calls dense.
+/// A window length that makes calls frequent, in milliseconds.
 pub(crate) const SHORT_WINDOW: u64 = 1_000;
-/// How late a report may come.
+/// How late a report may come, in milliseconds.
 pub(crate) const LATE: u64 = 10_000;
 /// Share of the steps in which a holder gives an order.
 const ORDER_SHARE: f64 = 0.5;
-/// How long after a thaw a call is excused.
-const THAW_SLACK: u64 = 300;
+/// How long after a resumption a call is excused, in milliseconds.
+const RESUME_SLACK: u64 = 300;
 
-/// What may strike, each as a chance a second.
+/// Probabilities of faults, each per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FaultRates {
     pub(crate) suspend: f64,
     pub(crate) kill: f64,
     pub(crate) cut_store: f64,
-    pub(crate) cut_party: f64,
+    pub(crate) cut_duty_api: f64,
     pub(crate) lose_answer: f64,
     pub(crate) late_write: f64,
-    pub(crate) slow_party: f64,
-    pub(crate) era: f64,
-    pub(crate) rewant: f64,
+    pub(crate) slow_duty_api: f64,
+    pub(crate) restore: f64,
+    pub(crate) change_wanted: f64,
     /// Whether all nodes want the duties all the time.
     pub(crate) all_want: bool,
 }
 
 impl FaultRates {
-    /// All kinds, as dense as a run still gets anything done.
+    /// All kinds of faults, as frequent as possible while a run still makes progress.
     pub(crate) fn all() -> Self {
         Self {
             suspend: 0.06,
             kill: 0.04,
             cut_store: 0.05,
-            cut_party: 0.04,
+            cut_duty_api: 0.04,
             lose_answer: 0.10,
             late_write: 0.06,
-            slow_party: 0.04,
-            era: 0.05,
-            rewant: 0.08,
+            slow_duty_api: 0.04,
+            restore: 0.05,
+            change_wanted: 0.08,
             all_want: false,
         }
     }
@@ -78,7 +79,7 @@
 }
 
 impl ModelStore {
-    fn carry_out(&mut self, call: &DutyCall, now: u64) -> DutyAnswer {
+    fn execute(&mut self, call: &DutyCall, now: u64) -> DutyAnswer {
         match call {
             DutyCall::Read => DutyAnswer::Row {
                 era: self.era,
@@ -101,12 +102,12 @@
         DutyAnswer::Written(StoreVersion::new(self.era, version))
     }
 
-    /// Comes back as it was some time ago.
-    fn come_back(&mut self, as_of: u64) {
-        let kept = self.history.partition_point(|(at, _)| *at <= as_of);
-        if let Some((_, image)) = self.history.get(kept) {
+    /// Restores the state of an earlier time and begins a new era.
+    fn restore(&mut self, as_of: u64) {
+        let retained = self.history.partition_point(|(at, _)| *at <= as_of);
+        if let Some((_, image)) = self.history.get(retained) {
             self.image = image.clone();
-            self.history.truncate(kept);
+            self.history.truncate(retained);
         }
         self.era += 1;
     }
@@ -114,14 +115,14 @@
 
 struct StoreCallState {
     call: DutyCall,
-    carried_out_at: u64,
+    executed_at: u64,
     answered_at: Option<u64>,
     answer: Option<DutyAnswer>,
 }
 
-struct PartyCallState {
+struct ApiCallState {
     credential: DutyCredential,
-    /// What it reports; none for an order.
+    /// The report; none for an order.
     report: Option<UsageReport>,
     arrives_at: u64,
     answered_at: Option<u64>,
@@ -135,79 +136,81 @@
     wanted: bool,
     down_until: u64,
     suspended_until: u64,
-    thawed_at: u64,
+    resumed_at: u64,
     no_store_until: u64,
-    no_party_until: u64,
+    no_api_until: u64,
     store_call: Option<(u64, Option<u64>)>,
-    party_call: Option<(u64, Option<WindowId>, u64)>,
+    api_call: Option<(u64, Option<WindowId>, u64)>,
 }
 
-/// What the party saw.
+/// Checks the calls that the duty API receives.
 #[derive(Debug, Default)]
-pub(crate) struct Judge {
+pub(crate) struct DutyApiChecker {
     reports: BTreeMap<WindowId, UsageCounts>,
     numbers: HashMap<u64, usize>,
     highest: u64,
-    acts: Vec<(u64, usize)>,
+    calls: Vec<(u64, usize)>,
     /// Rules that were broken.
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
-impl Judge {
-    fn take(&mut self, call: &PartyCallState, machine: usize, now: u64) {
+impl DutyApiChecker {
+    fn record_call(&mut self, call: &ApiCallState, machine: usize, now: u64) {
         if let Some(report) = &call.report {
-            self.take_report(report, now);
+            self.record_report(report, now);
         }
         let number = call.credential.number;
         let owner = *self.numbers.entry(number).or_insert(machine);
         if owner != machine {
-            self.broken
-                .push(format!("{now}: number {number} of {owner} and {machine}"));
+            self.violations.push(format!(
+                "{now}: number {number} used by {owner} and {machine}"
+            ));
         }
         if call.is_excused {
             return;
         }
         if number < self.highest {
             let highest = self.highest;
-            self.broken
+            self.violations
                 .push(format!("{now}: number {number} after {highest}"));
         }
         self.highest = self.highest.max(number);
         let recent = self
-            .acts
+            .calls
             .iter()
             .rev()
             .take_while(|(at, _)| now - at < LEASE);
         let mut between = false;
         for (_, other) in recent {
             if *other == machine && between {
-                self.broken.push(format!("{now}: {machine} acts again"));
+                self.violations
+                    .push(format!("{now}: {machine} acts again after another holder"));
                 break;
             }
             between |= *other != machine;
         }
-        self.acts.push((now, machine));
+        self.calls.push((now, machine));
     }
 
-    fn take_report(&mut self, report: &UsageReport, now: u64) {
+    fn record_report(&mut self, report: &UsageReport, now: u64) {
         let window = report.window;
         let known = self
             .reports
             .entry(window)
             .or_insert_with(|| report.counts.clone());
         if *known != report.counts {
-            self.broken
+            self.violations
                 .push(format!("{now}: two reports of window {window}"));
         }
     }
 
-    /// Windows that were reported.
+    /// Returns the windows that were reported.
     pub(crate) fn windows(&self) -> Vec<WindowId> {
         self.reports.keys().copied().collect()
     }
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub(crate) struct DutyFleet {
     rng: fastrand::Rng,
     rates: FaultRates,
@@ -216,10 +219,10 @@
     store: ModelStore,
     nodes: Vec<ModelNode>,
     store_calls: BTreeMap<u64, StoreCallState>,
-    party_calls: BTreeMap<u64, (usize, PartyCallState)>,
+    api_calls: BTreeMap<u64, (usize, ApiCallState)>,
     next_call: u64,
-    pub(crate) judge: Judge,
-    pub(crate) eras: u32,
+    pub(crate) checker: DutyApiChecker,
+    pub(crate) restores: u32,
 }
 
 fn coordinator(machine: usize, incarnation: u64, window: u64) -> DutyCoordinator {
@@ -228,7 +231,10 @@
             node: format!("node-{machine}").as_str().into(),
             incarnation,
         },
-        lease: DutyTimes::new(Duration::from_millis(LEASE), Duration::from_millis(CALL)),
+        lease: DutyTimes::new(
+            Duration::from_millis(LEASE),
+            Duration::from_millis(MAX_CALL_TIME),
+        ),
         reports: ReportTimes {
             window: Duration::from_millis(window),
             late: Duration::from_millis(LATE),
@@ -237,12 +243,12 @@
 }
 
 impl DutyFleet {
-    /// Some nodes, of which the first is wanted.
+    /// Creates a fleet of some nodes, of which the first is wanted.
     pub(crate) fn new(seed: u64, nodes: usize, rates: FaultRates) -> Self {
         Self::with_window(seed, nodes, rates, WINDOW)
     }
 
-    /// The same with windows of a length.
+    /// Creates a fleet with windows of some length.
     pub(crate) fn with_window(seed: u64, nodes: usize, rates: FaultRates, window: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = (0..nodes).map(|machine| ModelNode {
@@ -251,11 +257,11 @@
             wanted: machine == 0 || rates.all_want,
             down_until: 0,
             suspended_until: 0,
-            thawed_at: 0,
+            resumed_at: 0,
             no_store_until: 0,
-            no_party_until: 0,
+            no_api_until: 0,
             store_call: None,
-            party_call: None,
+            api_call: None,
         });
         let nodes = nodes.collect();
         Self {
@@ -266,61 +272,61 @@
             store: ModelStore::default(),
             nodes,
             store_calls: BTreeMap::new(),
-            party_calls: BTreeMap::new(),
+            api_calls: BTreeMap::new(),
             next_call: 0,
-            judge: Judge::default(),
-            eras: 0,
+            checker: DutyApiChecker::default(),
+            restores: 0,
         }
     }
 
-    /// Lets time pass.
-    pub(crate) fn play(&mut self, seconds: u64) {
+    /// Advances the simulated time.
+    pub(crate) fn run(&mut self, seconds: u64) {
         let end = self.now + seconds * 1_000;
         while self.now < end {
             self.now += STEP;
-            self.strike();
-            self.carry_out();
+            self.apply_faults();
+            self.deliver_calls();
             for node in 0..self.nodes.len() {
                 self.run_node(node);
             }
         }
     }
 
-    /// Makes a node wanted, and the others not.
+    /// Makes one node wanted, and the others not.
     pub(crate) fn want(&mut self, wanted: usize) {
         for (at, node) in self.nodes.iter_mut().enumerate() {
             node.wanted = at == wanted;
         }
     }
 
-    /// Ends a node for a time.
+    /// Ends a node for a time in milliseconds.
     pub(crate) fn kill(&mut self, node: usize, time: u64) {
         let incarnation = self.rng.u64(..);
         let node = &mut self.nodes[node];
         node.coordinator = coordinator(node.machine, incarnation, self.window);
         node.down_until = self.now + time;
         node.store_call = None;
-        node.party_call = None;
+        node.api_call = None;
     }
 
-    /// Suspends a node for a time.
+    /// Suspends a node for a time in milliseconds.
     pub(crate) fn suspend(&mut self, node: usize, time: u64) {
         let until = self.now + time;
         self.nodes[node].suspended_until = until;
-        self.nodes[node].thawed_at = until;
+        self.nodes[node].resumed_at = until;
     }
 
-    /// The store comes back as it was so long ago.
-    pub(crate) fn come_back(&mut self, age: u64) {
-        self.store.come_back(self.now.saturating_sub(age));
-        self.eras += 1;
+    /// Restores the store to its state of so many milliseconds ago.
+    pub(crate) fn restore(&mut self, age: u64) {
+        self.store.restore(self.now.saturating_sub(age));
+        self.restores += 1;
     }
 
     fn chance(&mut self, per_second: f64) -> bool {
         self.rng.f64() < per_second * STEP as f64 / 1_000.0
     }
 
-    fn strike(&mut self) {
+    fn apply_faults(&mut self) {
         let rates = self.rates;
         for node in 0..self.nodes.len() {
             if self.chance(rates.suspend) {
@@ -334,19 +340,19 @@
             if self.chance(rates.cut_store) {
                 self.nodes[node].no_store_until = self.now + self.rng.u64(500..8_000);
             }
-            if self.chance(rates.cut_party) {
-                self.nodes[node].no_party_until = self.now + self.rng.u64(500..8_000);
+            if self.chance(rates.cut_duty_api) {
+                self.nodes[node].no_api_until = self.now + self.rng.u64(500..8_000);
             }
         }
-        if self.chance(rates.era) {
+        if self.chance(rates.restore) {
             let age = self.rng.u64(100..8_000);
-            self.come_back(age);
+            self.restore(age);
             if self.rng.f64() < 0.3 {
                 let age = self.rng.u64(100..3_000);
-                self.come_back(age);
+                self.restore(age);
             }
         }
-        if self.chance(rates.rewant) {
+        if self.chance(rates.change_wanted) {
             let wanted = self.rng.usize(0..self.nodes.len());
             self.want(wanted);
             if self.rng.f64() < 0.3 {
@@ -356,24 +362,24 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn deliver_calls(&mut self) {
         let now = self.now;
         for call in self.store_calls.values_mut() {
-            if call.answer.is_none() && now >= call.carried_out_at {
-                call.answer = Some(self.store.carry_out(&call.call, now));
+            if call.answer.is_none() && now >= call.executed_at {
+                call.answer = Some(self.store.execute(&call.call, now));
             }
         }
-        for (machine, call) in self.party_calls.values_mut() {
+        for (machine, call) in self.api_calls.values_mut() {
             if !call.arrived && now >= call.arrives_at {
                 call.arrived = true;
-                self.judge.take(call, *machine, now);
+                self.checker.record_call(call, *machine, now);
             }
         }
-        // An answer that came while a node stood still waits for it.
+        // An answer that arrives while a node is suspended waits for it.
         let is_over = |at: Option<u64>| at.is_none_or(|at| now > at + 20_000);
         self.store_calls
             .retain(|_, call| call.answer.is_none() || !is_over(call.answered_at));
-        self.party_calls
+        self.api_calls
             .retain(|_, (_, call)| !call.arrived || !is_over(call.answered_at));
     }
 
@@ -384,39 +390,39 @@
             return;
         }
         self.take_store_answer(at);
-        self.take_party_answer(at);
+        self.take_api_answer(at);
         if !self.nodes[at].wanted {
             return;
         }
         let moment = moment(now);
         let counts = self.rng.u64(1..1_000_000);
-        let is_whole = self.rng.f64() < 0.5;
+        let is_complete = self.rng.f64() < 0.5;
         let node = &mut self.nodes[at];
         if node.store_call.is_none() {
-            let counts = |_| (UsageCounts::from([("lab".to_owned(), counts)]), is_whole);
+            let counts = |_| (UsageCounts::from([("lab".to_owned(), counts)]), is_complete);
             if let Some(call) = node.coordinator.tick(counts, moment) {
-                self.send_store(at, call);
+                self.send_store_call(at, call);
             }
         }
-        if self.nodes[at].party_call.is_some() {
+        if self.nodes[at].api_call.is_some() {
             return;
         }
         if let Some((credential, report)) = self.nodes[at].coordinator.next_report(moment) {
-            self.send_party(at, credential, Some(report));
+            self.send_api_call(at, credential, Some(report));
         } else if self.rng.f64() < ORDER_SHARE
             && let Some(credential) = self.nodes[at].coordinator.credential(moment.boot)
         {
-            self.send_party(at, credential, None);
+            self.send_api_call(at, credential, None);
         }
     }
 
-    fn send_store(&mut self, at: usize, call: DutyCall) {
+    fn send_store_call(&mut self, at: usize, call: DutyCall) {
         let now = self.now;
         let node = &self.nodes[at];
         let id = self.next_call;
         self.next_call += 1;
-        let mut carried_out_at = now + self.rng.u64(0..3) * STEP;
-        let mut answered_at = Some(carried_out_at + self.rng.u64(0..2) * STEP);
+        let mut executed_at = now + self.rng.u64(0..3) * STEP;
+        let mut answered_at = Some(executed_at + self.rng.u64(0..2) * STEP);
         let is_cut = now < node.no_store_until;
         if is_cut {
             self.nodes[at].store_call = Some((now + 400, None));
@@ -424,14 +430,14 @@
         }
         let is_write = matches!(call, DutyCall::Write(_));
         if is_write && self.rng.f64() < self.rates.late_write {
-            carried_out_at = now + self.rng.u64(200..6_000);
+            executed_at = now + self.rng.u64(200..6_000);
             answered_at = None;
         } else if self.rng.f64() < self.rates.lose_answer {
             answered_at = None;
         }
         let state = StoreCallState {
             call,
-            carried_out_at,
+            executed_at,
             answered_at,
             answer: None,
         };
@@ -457,7 +463,12 @@
         node.coordinator.apply(answer, Duration::from_millis(now));
     }
 
-    fn send_party(&mut self, at: usize, credential: DutyCredential, report: Option<UsageReport>) {
+    fn send_api_call(
+        &mut self,
+        at: usize,
+        credential: DutyCredential,
+        report: Option<UsageReport>,
+    ) {
         let now = self.now;
         let id = self.next_call;
         self.next_call += 1;
@@ -465,16 +476,16 @@
         let node = &self.nodes[at];
         let mut arrives_at = now + self.rng.u64(0..3) * STEP;
         let mut answered_at = Some(arrives_at + STEP);
-        let mut is_excused = now < node.thawed_at + THAW_SLACK;
-        if now < node.no_party_until {
-            self.nodes[at].party_call = Some((now + CALL, window, u64::MAX));
+        let mut is_excused = now < node.resumed_at + RESUME_SLACK;
+        if now < node.no_api_until {
+            self.nodes[at].api_call = Some((now + MAX_CALL_TIME, window, u64::MAX));
             return;
         }
-        if self.rng.f64() < self.rates.slow_party {
+        if self.rng.f64() < self.rates.slow_duty_api {
             // Within the time that a call may take, nothing is excused.
-            arrives_at = now + CALL - STEP - self.rng.u64(0..CALL / 4);
+            arrives_at = now + MAX_CALL_TIME - STEP - self.rng.u64(0..MAX_CALL_TIME / 4);
             answered_at = Some(arrives_at + STEP);
-        } else if self.rng.f64() < self.rates.slow_party {
+        } else if self.rng.f64() < self.rates.slow_duty_api {
             arrives_at = now + self.rng.u64(0..5_000);
             answered_at = Some(arrives_at + STEP);
             is_excused = true;
@@ -483,13 +494,13 @@
         }
         let pause = self.rng.u64(0..6_000);
         if self.rng.f64() < self.rates.suspend {
-            // It stands still after it has looked at its lease, and sends as it wakes.
+            // The node is suspended after it has checked its lease, and sends when it resumes.
             self.suspend(at, pause);
             arrives_at += pause;
             answered_at = answered_at.map(|at| at + pause);
             is_excused = true;
         }
-        let call = PartyCallState {
+        let call = ApiCallState {
             credential,
             report,
             arrives_at,
@@ -498,16 +509,16 @@
             arrived: false,
         };
         let machine = self.nodes[at].machine;
-        self.party_calls.insert(id, (machine, call));
-        self.nodes[at].party_call = Some((now + CALL, window, id));
+        self.api_calls.insert(id, (machine, call));
+        self.nodes[at].api_call = Some((now + MAX_CALL_TIME, window, id));
     }
 
-    fn take_party_answer(&mut self, at: usize) {
+    fn take_api_answer(&mut self, at: usize) {
         let now = self.now;
-        let Some((give_up_at, window, id)) = self.nodes[at].party_call else {
+        let Some((give_up_at, window, id)) = self.nodes[at].api_call else {
             return;
         };
-        let call = self.party_calls.get(&id);
+        let call = self.api_calls.get(&id);
         let is_answered = call
             .is_some_and(|(_, call)| call.arrived && call.answered_at.is_some_and(|at| now >= at));
         let node = &mut self.nodes[at];
@@ -515,7 +526,7 @@
             node.coordinator.record_sent(window, moment(now).unix);
         }
         if is_answered || now >= give_up_at {
-            node.party_call = None;
+            node.api_call = None;
         }
     }
 }
@@ -527,7 +538,7 @@
     }
 }
 
-/// The window that a moment of a run lies in.
+/// The window that a time of a run is in.
 pub(crate) fn window_at(now: u64) -> WindowId {
     (START + now) / WINDOW
 }
--- a/crates/plumgate/tests/duty_scale.rs
+++ b/crates/plumgate/tests/duty_scale.rs
@@ -1,4 +1,4 @@
-//! How many servers are ordered: the load is played, and what callers find is counted.
+//! How many servers are ordered: a load is simulated, and cost and late prompts are counted.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,16 +9,16 @@
 };
 use plumgate::ids::DataCentreId;
 
-/// Prompt tokens that a server reads in a second.
+/// Prompt tokens that a server prefills in a second.
 const SPEED: f64 = 40_000.0;
-/// Time from an order to its servers.
+/// Time from an order until its servers are ready.
 const BOOT: Duration = Duration::from_secs(4);
-/// The grain of the simulated time.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(400);
-/// Length of the played load in steps.
+/// Length of the simulated load in steps.
 const STEPS: u32 = 150;
 /// The data centres.
-const SITES: [&str; 3] = ["a", "b", "c"];
+const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 
 fn scaling(reclaimable_price: Option<u32>) -> PoolScaling {
     PoolScaling {
@@ -26,12 +26,15 @@
         max: 60,
         boot: BOOT,
         reclaimable_price,
-        data_centre_prices: SITES.iter().map(|site| ((*site).into(), 1_000)).collect(),
+        data_centre_prices: DATA_CENTRES
+            .iter()
+            .map(|data_centre| ((*data_centre).into(), 1_000))
+            .collect(),
     }
 }
 
-/// A policy that keeps the operator's number, whatever the load.
-fn keeps_the_number() -> LoadScaling {
+/// A policy that keeps the operator's number of servers, whatever the load.
+fn fixed_number_policy() -> LoadScaling {
     let options = LoadScalingOptions {
         floor: 1.0,
         lasting_floor: 0.6,
@@ -48,18 +51,18 @@
     ordered: u32,
 }
 
-/// A pool under load, with what it costs and what comes too late.
+/// A pool under load, with its cost and its late prompts.
 struct SimPool {
     now: Instant,
     start: Instant,
     servers: BTreeMap<(DataCentreId, ServerKind), SimServers>,
-    dry_until: BTreeMap<DataCentreId, Instant>,
+    unavailable_until: BTreeMap<DataCentreId, Instant>,
     tracker: OrderTracker,
     backlog: f64,
-    /// Prompt tokens that came, and those that waited for more than a second.
+    /// Prompt tokens that arrived, and those of them that waited for more than a second.
     tokens: f64,
     late: f64,
-    /// Seconds of servers, the cheap ones at their price.
+    /// Server seconds, with reclaimable servers counted at their price.
     cost: f64,
     orders: u32,
 }
@@ -67,19 +70,19 @@
 impl SimPool {
     fn new(lasting_each: u32) -> Self {
         let start = Instant::now();
-        let servers = SITES.iter().map(|site| {
+        let servers = DATA_CENTRES.iter().map(|data_centre| {
             let servers = SimServers {
                 ready: lasting_each,
                 ordered: lasting_each,
                 ..SimServers::default()
             };
-            (((*site).into(), ServerKind::Lasting), servers)
+            (((*data_centre).into(), ServerKind::Lasting), servers)
         });
         Self {
             now: start,
             start,
             servers: servers.collect(),
-            dry_until: BTreeMap::new(),
+            unavailable_until: BTreeMap::new(),
             tracker: OrderTracker::new(),
             backlog: 0.0,
             tokens: 0.0,
@@ -96,26 +99,26 @@
             server_speed: SPEED,
             ..PoolLoad::default()
         };
-        for site in SITES {
+        for data_centre in DATA_CENTRES {
             let of_kind = |kind| {
-                let servers = self.servers.get(&(site.into(), kind));
+                let servers = self.servers.get(&(data_centre.into(), kind));
                 servers.map_or(0, |servers| servers.ready)
             };
-            let site_load = DataCentreServers {
+            let counts = DataCentreServers {
                 lasting: of_kind(ServerKind::Lasting),
                 reclaimable: of_kind(ServerKind::Reclaimable),
             };
-            load.data_centres.insert(site.into(), site_load);
+            load.data_centres.insert(data_centre.into(), counts);
         }
         load
     }
 
-    /// All cheap servers of a data centre are taken away, and none is to be had there for a time.
-    fn reclaim(&mut self, site: &str) {
-        let key = (site.into(), ServerKind::Reclaimable);
+    /// Takes away all reclaimable servers of a data centre; none is available there for ten seconds.
+    fn reclaim(&mut self, data_centre: &str) {
+        let key = (data_centre.into(), ServerKind::Reclaimable);
         self.servers.remove(&key);
-        let dry = self.now + Duration::from_secs(10);
-        self.dry_until.insert(site.into(), dry);
+        let until = self.now + Duration::from_secs(10);
+        self.unavailable_until.insert(data_centre.into(), until);
     }
 
     fn step(&mut self, policy: &mut impl ScalePolicy, scaling: &PoolScaling, rate: f64) {
@@ -124,11 +127,11 @@
         self.boot();
         let load = self.load(rate);
         let capacity = f64::from(load.servers()) * SPEED * seconds;
-        let came = rate * seconds;
-        self.tokens += came;
-        self.backlog = (self.backlog + came - capacity).max(0.0);
+        let arrived = rate * seconds;
+        self.tokens += arrived;
+        self.backlog = (self.backlog + arrived - capacity).max(0.0);
         if self.backlog > f64::from(load.servers()) * SPEED {
-            self.late += came;
+            self.late += arrived;
         }
         let price = f64::from(scaling.reclaimable_price.unwrap_or(1_000)) / 1_000.0;
         for ((_, kind), servers) in &self.servers {
@@ -155,20 +158,20 @@
 
     fn order(&mut self, policy: &mut impl ScalePolicy, scaling: &PoolScaling, load: &PoolLoad) {
         let now = self.now;
-        let subject = |site: &DataCentreId, kind| ScaleSubject {
+        let subject = |data_centre: &DataCentreId, kind| ScaleSubject {
             pool: "models".into(),
-            data_centre: site.clone(),
+            data_centre: data_centre.clone(),
             kind,
         };
         let tracker = self.tracker.clone();
         let is_unavailable =
-            |site: &DataCentreId, kind| tracker.is_unavailable(&subject(site, kind));
-        for ((site, kind), count) in policy.wanted(scaling, load, &is_unavailable, now) {
+            |data_centre: &DataCentreId, kind| tracker.is_unavailable(&subject(data_centre, kind));
+        for ((data_centre, kind), count) in policy.wanted(scaling, load, &is_unavailable, now) {
             let present = self
                 .servers
-                .get(&(site.clone(), kind))
+                .get(&(data_centre.clone(), kind))
                 .map_or(0, |servers| servers.ready);
-            let subject = subject(&site, kind);
+            let subject = subject(&data_centre, kind);
             let Some(order) = self
                 .tracker
                 .next(&subject, count, present, scaling.boot, now)
@@ -176,13 +179,16 @@
                 continue;
             };
             self.orders += 1;
-            let is_gone = self.dry_until.get(&site).is_some_and(|until| now < *until);
-            if kind == ServerKind::Reclaimable && is_gone {
+            let lacks_reclaimable = self
+                .unavailable_until
+                .get(&data_centre)
+                .is_some_and(|until| now < *until);
+            if kind == ServerKind::Reclaimable && lacks_reclaimable {
                 self.tracker.record_unavailable(&subject, now);
                 continue;
             }
             self.tracker.record_ordered(&order, now);
-            let servers = self.servers.entry((site, kind)).or_default();
+            let servers = self.servers.entry((data_centre, kind)).or_default();
             let under_way: u32 = servers.booting.iter().map(|(_, count)| count).sum();
             servers.ordered = order.count;
             servers.ready = servers.ready.min(order.count);
@@ -191,55 +197,57 @@
         }
     }
 
-    fn passed(&self) -> f64 {
+    fn elapsed(&self) -> f64 {
         self.now.saturating_duration_since(self.start).as_secs_f64()
     }
 }
 
-/// A calm load with a burst of three times in the middle of each twenty seconds; cheap servers are taken away twice.
-fn play(policy: &mut impl ScalePolicy, scaling: &PoolScaling) -> SimPool {
+/// Simulates a steady load with a burst of three times as much in each twenty seconds; reclaimable servers
+/// are taken away twice.
+fn simulate(policy: &mut impl ScalePolicy, scaling: &PoolScaling) -> SimPool {
     let mut pool = SimPool::new(30);
     for step in 0..STEPS {
-        let rate = match pool.passed() {
-            passed if passed < 8.0 => 0.0,
-            passed if passed % 20.0 > 14.0 => 3.6e6,
+        let rate = match pool.elapsed() {
+            elapsed if elapsed < 8.0 => 0.0,
+            elapsed if elapsed % 20.0 > 14.0 => 3.6e6,
             _ => 1.2e6,
         };
         if step == 45 || step == 100 {
-            pool.reclaim(SITES[step as usize % 2]);
+            pool.reclaim(DATA_CENTRES[step as usize % 2]);
         }
         pool.step(policy, scaling, rate);
     }
     pool
 }
 
-// Servers stand idle most of the time. Following the load, they cost less than half, and no more callers wait for
-// their prompts to be read, though bursts come faster than servers do and cheap ones are taken away.
+// Guards against paying for servers that are idle most of the time: following the load costs less than half,
+// and no more prompts are late, though bursts come faster than servers boot and reclaimable ones are taken
+// away.
 #[test]
 fn load_is_followed_at_half_of_the_cost() {
     let limits = scaling(Some(180));
-    let still = play(&mut NoScaling, &limits);
-    let followed = play(&mut LoadScaling::default(), &limits);
+    let unscaled = simulate(&mut NoScaling, &limits);
+    let scaled = simulate(&mut LoadScaling::default(), &limits);
     assert!(
-        followed.cost < still.cost / 2.0,
+        scaled.cost < unscaled.cost / 2.0,
         "{:.0} of {:.0}",
-        followed.cost,
-        still.cost
+        scaled.cost,
+        unscaled.cost
     );
     assert!(
-        followed.late <= still.late,
+        scaled.late <= unscaled.late,
         "{} {}",
-        followed.late,
-        still.late
+        scaled.late,
+        unscaled.late
     );
-    assert!(followed.orders < 120, "{} orders", followed.orders);
+    assert!(scaled.orders < 120, "{} orders", scaled.orders);
 }
 
-// There are no cheap servers: the operator's number stands until the load asks for more, and is not undercut.
+// Without reclaimable servers the operator's number is kept until the load needs more, and is not undercut.
 #[test]
 fn lasting_servers_alone_follow_too() {
     let limits = scaling(None);
-    let pool = play(&mut LoadScaling::default(), &limits);
+    let pool = simulate(&mut LoadScaling::default(), &limits);
     assert!(
         pool.late / pool.tokens < 0.01,
         "{}",
@@ -249,37 +257,42 @@
     assert!((90..=180).contains(&lasting), "{lasting}");
 }
 
-// At the start servers write their entries one after another, and a new holder sees some of them. Nothing is ordered
-// by that, or the rest would be taken away.
+// Guards against orders by a partial view: at the start servers write their entries one after another, and a
+// new holder sees only some of them. An order by that number would take the rest away.
 #[test]
 fn nothing_is_ordered_before_the_pool_was_seen() {
-    let mut policy = keeps_the_number();
+    let mut policy = fixed_number_policy();
     let limits = scaling(Some(180));
     let now = Instant::now();
-    let no_dry = |_: &DataCentreId, _| false;
+    let none_unavailable = |_: &DataCentreId, _| false;
     let mut load = PoolLoad::default();
     for (step, present) in [4, 16, 30].into_iter().enumerate() {
-        for site in SITES {
+        for data_centre in DATA_CENTRES {
             let servers = DataCentreServers {
                 lasting: present,
                 reclaimable: 0,
             };
-            load.data_centres.insert(site.into(), servers);
+            load.data_centres.insert(data_centre.into(), servers);
         }
         let at = now + Duration::from_secs(step as u64);
-        assert!(policy.wanted(&limits, &load, &no_dry, at).is_empty());
+        assert!(
+            policy
+                .wanted(&limits, &load, &none_unavailable, at)
+                .is_empty()
+        );
     }
     let later = now + Duration::from_secs(4);
-    let wanted = policy.wanted(&limits, &load, &no_dry, later);
-    let cheap = wanted.get(&("a".into(), ServerKind::Reclaimable));
-    assert_eq!(cheap, Some(&30));
+    let wanted = policy.wanted(&limits, &load, &none_unavailable, later);
+    let reclaimable = wanted.get(&("a".into(), ServerKind::Reclaimable));
+    assert_eq!(reclaimable, Some(&30));
     let lasting = wanted.get(&("a".into(), ServerKind::Lasting));
     assert!(lasting.is_some_and(|count| *count >= 18), "{lasting:?}");
 }
 
-// Wanted numbers waver from look to look: servers are not given back and ordered again for that.
+// Guards against servers that are given back and ordered again because the wanted number fluctuates from one
+// evaluation to the next.
 #[test]
-fn numbers_that_waver_lead_to_no_orders() {
+fn fluctuating_numbers_lead_to_no_orders() {
     let mut tracker = OrderTracker::new();
     let subject = ScaleSubject {
         pool: "models".into(),
@@ -301,37 +314,38 @@
     assert!(orders == 0, "{orders} orders");
 }
 
-// All cheap servers of one data centre are taken away, and none is to be had there: the others get as many more, and
-// go back once it has some again.
+// Guards against lost capacity when all reclaimable servers of one data centre are taken away and none is
+// available there: the others get as many more, and return to their number once it has some again.
 #[test]
-fn what_is_dry_in_one_place_is_ordered_in_the_others() {
-    let mut policy = keeps_the_number();
+fn servers_unavailable_in_one_data_centre_are_ordered_in_the_others() {
+    let mut policy = fixed_number_policy();
     let limits = scaling(Some(180));
     let now = Instant::now();
     let mut load = PoolLoad::default();
-    for site in SITES {
+    for data_centre in DATA_CENTRES {
         let servers = DataCentreServers {
             lasting: 1,
             reclaimable: 29,
         };
-        load.data_centres.insert(site.into(), servers);
+        load.data_centres.insert(data_centre.into(), servers);
     }
-    let none_dry = |_: &DataCentreId, _| false;
-    policy.wanted(&limits, &load, &none_dry, now);
+    let none_unavailable = |_: &DataCentreId, _| false;
+    policy.wanted(&limits, &load, &none_unavailable, now);
     let later = now + Duration::from_secs(4);
-    let cheap = |wanted: &BTreeMap<_, u32>, site: &str| {
-        let key = (DataCentreId::from(site), ServerKind::Reclaimable);
+    let reclaimable = |wanted: &BTreeMap<_, u32>, data_centre: &str| {
+        let key = (DataCentreId::from(data_centre), ServerKind::Reclaimable);
         wanted.get(&key).copied()
     };
-    let a_dry = |site: &DataCentreId, _| **site == *"a";
-    let wanted = policy.wanted(&limits, &load, &a_dry, later);
-    assert_eq!(cheap(&wanted, "b"), Some(45));
-    assert_eq!(cheap(&wanted, "a"), Some(30));
-    let wanted = policy.wanted(&limits, &load, &none_dry, later);
-    assert_eq!(cheap(&wanted, "b"), Some(30));
+    let a_unavailable = |data_centre: &DataCentreId, _| **data_centre == *"a";
+    let wanted = policy.wanted(&limits, &load, &a_unavailable, later);
+    assert_eq!(reclaimable(&wanted, "b"), Some(45));
+    assert_eq!(reclaimable(&wanted, "a"), Some(30));
+    let wanted = policy.wanted(&limits, &load, &none_unavailable, later);
+    assert_eq!(reclaimable(&wanted, "b"), Some(30));
 }
 
-// A thousand servers of a data centre are needed no more. They go in steps: all nodes have to learn of each in time.
+// A thousand servers of a data centre are no longer needed. They are given back in steps, so that all nodes
+// learn of each removal in time.
 #[test]
 fn many_servers_are_given_back_in_steps() {
     let mut tracker = OrderTracker::new();
--- a/crates/plumgate/tests/duty_search.rs
+++ b/crates/plumgate/tests/duty_search.rs
@@ -1,15 +1,15 @@
-//! A search over drawn orders of events: whatever strikes a few nodes, the store and the party, the party sees one
-//! holder at a time, one report a window, and numbers that only go up.
+//! A search over random orders of events: whatever faults occur in a few nodes, the store and the duty API,
+//! the API sees one holder at a time, one report a window, and numbers that only increase.
 //!
-//! `DUTY_SEEDS` sets the number of drawn runs; CI takes the short default.
+//! `DUTY_SEEDS` sets the number of random runs; CI uses the short default.
 
 mod duty_model;
 
 use duty_model::{DutyFleet, FaultRates, SHORT_WINDOW};
 
-/// Runs in CI: some seconds.
+/// Runs in CI, which take some seconds.
 const SEEDS: u64 = 400;
-/// Seconds that each run lasts.
+/// Simulated seconds of each run.
 const SECONDS: u64 = 90;
 
 fn seeds() -> u64 {
@@ -21,55 +21,56 @@
     let mut windows = 0;
     for seed in 0..seeds() {
         let mut fleet = DutyFleet::with_window(seed, 3, rates, SHORT_WINDOW);
-        fleet.play(SECONDS);
-        let broken = &fleet.judge.broken;
-        assert!(broken.is_empty(), "{name}, seed {seed}: {broken:?}");
-        windows += fleet.judge.windows().len();
+        fleet.run(SECONDS);
+        let violations = &fleet.checker.violations;
+        assert!(violations.is_empty(), "{name}, seed {seed}: {violations:?}");
+        windows += fleet.checker.windows().len();
     }
     println!("{name}: {} runs, {windows} windows reported", seeds());
 }
 
-// The party gets one report a window and sees one holder at a time, though nodes are suspended, killed and cut
-// off, answers get lost, writes take effect seconds late, and the store comes back old.
+// The duty API gets one report a window and sees one holder at a time, though nodes are suspended, killed
+// and cut off, answers are lost, writes take effect seconds late, and the store is restored to earlier
+// states.
 #[test]
-fn nothing_that_strikes_breaks_a_rule() {
+fn random_faults_break_no_rule() {
     search("all", FaultRates::all());
 }
 
-// The store comes back old again and again, and nodes are suspended meanwhile.
+// The store is restored to earlier states repeatedly while nodes are suspended.
 #[test]
-fn store_that_comes_back_old_breaks_no_rule() {
+fn restored_store_breaks_no_rule() {
     let rates = FaultRates {
-        era: 0.25,
+        restore: 0.25,
         suspend: 0.05,
         late_write: 0.15,
-        rewant: 0.15,
+        change_wanted: 0.15,
         ..FaultRates::default()
     };
     search("era", rates);
 }
 
-// Nodes are killed and suspended all the time, and the party is slow.
+// Nodes are killed and suspended all the time, and the duty API is slow.
 #[test]
-fn holders_that_are_struck_break_no_rule() {
+fn killed_and_suspended_holders_break_no_rule() {
     let rates = FaultRates {
         kill: 0.12,
         suspend: 0.15,
-        slow_party: 0.2,
+        slow_duty_api: 0.2,
         lose_answer: 0.2,
-        rewant: 0.1,
+        change_wanted: 0.1,
         ..FaultRates::default()
     };
-    search("struck", rates);
+    search("holders", rates);
 }
 
-// All nodes want the duties; the holder loses the store and goes on until its lease ends, and its calls take as long
-// as they may. The next one waits for the last of them.
+// All nodes want the duties; the holder loses the store and continues until its lease ends, and its calls
+// take as long as they may. The next holder waits for the last of them.
 #[test]
 fn last_call_of_a_holder_is_waited_for() {
     let rates = FaultRates {
         cut_store: 0.25,
-        slow_party: 0.8,
+        slow_duty_api: 0.8,
         all_want: true,
         ..FaultRates::default()
     };
--- a/crates/plumgate/tests/entries/mod.rs
+++ b/crates/plumgate/tests/entries/mod.rs
@@ -1,4 +1,4 @@
-//! Entries of servers and nodes, as several tests need them.
+//! Entries of servers and nodes for several tests.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use plumgate::duty::ServerKind;
 use plumgate::gateway::{NodeEntry, ServerEntry, ServerState};
 
-/// A server that takes work and does not say when it was born.
+/// Returns the entry of a ready server without a start time.
 pub(crate) fn server_entry(id: &str) -> ServerEntry {
     ServerEntry {
         id: id.into(),
@@ -23,21 +23,21 @@
     }
 }
 
-/// A server that was born at a moment.
-pub(crate) fn born_entry(id: &str, start_time: u64) -> ServerEntry {
+/// Returns the entry of a ready server with a start time.
+pub(crate) fn entry_with_start_time(id: &str, start_time: u64) -> ServerEntry {
     ServerEntry {
         start_time: Some(start_time),
         ..server_entry(id)
     }
 }
 
-/// Nodes that stand in their data centres by turns, the port of each 1,000 and its number.
-pub(crate) fn node_entries(centres: usize, nodes_each: usize) -> Vec<NodeEntry> {
-    let nodes = 0..centres * nodes_each;
+/// Returns nodes that are spread over their data centres in turn, with port 1,000 plus the node's index.
+pub(crate) fn node_entries(data_centres: usize, nodes_each: usize) -> Vec<NodeEntry> {
+    let nodes = 0..data_centres * nodes_each;
     nodes
         .map(|index| NodeEntry {
             node: format!("node-{index}").into(),
-            data_centre: format!("hall-{}", index % centres).into(),
+            data_centre: format!("hall-{}", index % data_centres).into(),
             address: SocketAddr::from(([127, 0, 0, 1], 1000 + index as u16)),
             capacity: 0,
         })
--- a/crates/plumgate/tests/gateway_apart.rs
+++ b/crates/plumgate/tests/gateway_apart.rs
@@ -1,4 +1,4 @@
-//! Where a request goes that may end its server.
+//! Placement of suspect requests, which may crash their server.
 
 mod entries;
 
@@ -21,10 +21,11 @@
     }
 }
 
-// A popular read was held back although it does no harm: in doubt already, it went to the server with the least
-// work, which had gone dark under another request and had none for that reason, and counted as one more end.
+// Guards against blocking a harmless popular request: once suspected, it was placed on the server with the
+// least work, which was unresponsive under another request and idle for that reason, and the crash there
+// counted against it too.
 #[test]
-fn dark_server_does_not_pass_for_the_emptiest() {
+fn unresponsive_server_is_not_taken_for_an_idle_one() {
     let mut table = LoadTable::new(PlacementOptions::new("hall-a"));
     let pool: PoolId = "models".into();
     let mut now = Instant::now();
@@ -41,7 +42,7 @@
         if name == "dark" {
             table.finish(ticket, WorkOutcome::Answered, now);
         } else {
-            // Those that live have work under way, and answer now and then.
+            // Responsive servers have work in progress and keep answering.
             now += Duration::from_millis(1_500);
             table.record_first_byte(&mut ticket, now);
         }
@@ -49,7 +50,7 @@
     now += Duration::from_millis(900);
     let pick = table.pick(&request(&pool, true, &[]), now);
     assert_eq!(&*pick.expect("a server").server.id, "b");
-    // Where none answers, any is better than none.
+    // Where no server answers, any server is better than none.
     now += Duration::from_secs(9);
     let pick = table.pick(&request(&pool, true, &[]), now);
     assert_eq!(&*pick.expect("a server").server.id, "dark");
--- a/crates/plumgate/tests/gateway_budget.rs
+++ b/crates/plumgate/tests/gateway_budget.rs
@@ -1,4 +1,4 @@
-//! The fleet's retries, each node's share of them, and what ends a request.
+//! Retry budgets: the limit of the whole fleet and each node's share of it.
 
 use std::time::{Duration, Instant};
 
@@ -51,7 +51,8 @@
     assert_eq!(spent, 2);
 }
 
-/// All nodes of a large fleet started again while its size could not be read, and each took a share as of a small one.
+/// Guards against too many retries when all nodes of a large fleet restart while the fleet's size can't be
+/// read: each then took a share as of a small fleet.
 #[test]
 fn nodes_that_do_not_know_how_many_they_are_spend_no_extra() {
     let now = Instant::now();
@@ -66,8 +67,8 @@
 }
 
 quickcheck! {
-    /// A server that fails everything gets no second load: however requests and failures fall,
-    /// the retries of all nodes stay within the ratio and the extra in each sliding window.
+    /// A server that fails every request gets no second load: for any order of requests and failures, the
+    /// retries of all nodes stay within the ratio plus the extra in each sliding window.
     fn retries_of_all_nodes_stay_within_the_bound(steps: Vec<(u8, u16)>) -> bool {
         let start = Instant::now();
         let nodes = 4;
@@ -89,7 +90,7 @@
             let since = |times: &[Instant], span| {
                 times.iter().filter(|at| **at <= *end && *end - **at < span).count() as f64
             };
-            // The budget counts a little more than the window, so that it never counts less.
+            // The budget counts requests over slightly more than the window, so that it never counts fewer.
             since(&retries, WINDOW) <= 0.2 * since(&requests, WINDOW * 2) + 20.0
         })
     }
--- a/crates/plumgate/tests/gateway_config.rs
+++ b/crates/plumgate/tests/gateway_config.rs
@@ -32,7 +32,7 @@
     GatewayConfig::new(7, CallerLimits::default()).with_routes(routes)
 }
 
-fn found<'a>(config: &'a GatewayConfig, host: &str, path: &str) -> Option<&'a str> {
+fn matched_route<'a>(config: &'a GatewayConfig, host: &str, path: &str) -> Option<&'a str> {
     let route = config.route(RouteMatch { host, path })?;
     Some(&route.name)
 }
@@ -44,11 +44,14 @@
         route("long", "a.example", "/x/y/"),
         route("other", "b.example", "/x/y/z/"),
     ]);
-    assert_eq!(found(&config, "a.example", "/x/y/z/1"), Some("long"));
-    assert_eq!(found(&config, "A.Example", "/x/1"), Some("short"));
-    assert_eq!(found(&config, "b.example", "/x/1"), None);
     assert_eq!(
-        found(&config, "a.example", "/xy"),
+        matched_route(&config, "a.example", "/x/y/z/1"),
+        Some("long")
+    );
+    assert_eq!(matched_route(&config, "A.Example", "/x/1"), Some("short"));
+    assert_eq!(matched_route(&config, "b.example", "/x/1"), None);
+    assert_eq!(
+        matched_route(&config, "a.example", "/xy"),
         None,
         "a prefix ends with a slash"
     );
@@ -98,12 +101,15 @@
         workspace: "w".into(),
         priority: Some(priority),
     };
-    let of = |route: &GatewayRoute, priority| config.urgency(route, Some(&keys(priority)));
+    let urgency_of = |route: &GatewayRoute, priority| config.urgency(route, Some(&keys(priority)));
     assert!(
-        of(&urgent, 0) < of(&bulk, 0),
+        urgency_of(&urgent, 0) < urgency_of(&bulk, 0),
         "the route decides within a rank"
     );
-    assert!(of(&bulk, 0) < of(&urgent, 1), "the workspace goes first");
+    assert!(
+        urgency_of(&bulk, 0) < urgency_of(&urgent, 1),
+        "the workspace's priority counts first"
+    );
     assert_eq!(config.urgency(&bulk, None), 2);
 }
 
@@ -126,12 +132,12 @@
     assert_eq!(
         config.stream_class(&dossier, &"elsewhere".into()),
         StreamClass::Interactive,
-        "alone in its pool a stream gives way to nobody"
+        "alone in its pool a stream yields to no other"
     );
 }
 
-// Callers of an urgent route were sent away from servers that went on taking less urgent requests:
-// its target is the shortest, so its queue counted as too long first.
+// Guards against refusing callers of an urgent route at servers that still accept less urgent requests: the
+// urgent route has the shortest target, so its queue would count as too long first.
 #[test]
 fn urgent_route_is_not_refused_by_a_shorter_target_than_less_urgent_ones() {
     let with_target = |name: &str, priority, target| {
@@ -145,38 +151,41 @@
     let draft = with_target("draft", 2, 1_500);
     let config = config(vec![caption.clone(), check.clone(), draft.clone()]);
     let pool = "models".into();
-    let of = |route: &GatewayRoute| config.refusal_target(route, &pool);
-    assert!(of(&caption) >= of(&check) && of(&check) >= of(&draft));
-    assert_eq!(of(&draft), draft.target);
+    let target_of = |route: &GatewayRoute| config.refusal_target(route, &pool);
+    assert!(target_of(&caption) >= target_of(&check) && target_of(&check) >= target_of(&draft));
+    assert_eq!(target_of(&draft), draft.target);
     assert_eq!(
         config.refusal_target(&check, &"elsewhere".into()),
         check.target
     );
 }
 
-// The caller's key was taken away, but the request still runs. The VM was suspended: its steady
-// clock stood still, so that what it had read long ago seemed fresh when it went on.
+// Guards against accepting a revoked key after a suspension of the VM: its monotonic clock stands still
+// meanwhile, so that a configuration read long before looks fresh when the VM resumes.
 #[test]
 fn keys_are_not_trusted_after_a_suspension() {
     let mut lease = FreshnessLease::new(Duration::from_secs(5));
-    let asked_at = Duration::from_secs(100);
-    assert!(!lease.allows_keys(asked_at), "nothing was read yet");
-    lease.renew(asked_at);
-    assert!(lease.allows_keys(asked_at + Duration::from_secs(4)));
-    assert!(!lease.allows_keys(asked_at + Duration::from_secs(60)));
+    let requested_at = Duration::from_secs(100);
+    assert!(
+        !lease.allows_keys(requested_at),
+        "no configuration was read yet"
+    );
+    lease.renew(requested_at);
+    assert!(lease.allows_keys(requested_at + Duration::from_secs(4)));
+    assert!(!lease.allows_keys(requested_at + Duration::from_secs(60)));
 }
 
 quickcheck! {
-    /// Whatever order answers come in, knowledge is never taken for older or newer than the
-    /// newest read that was answered, and never trusted beyond its bound.
-    fn lease_follows_the_newest_read(asked: Vec<u16>, now: u16) -> bool {
+    /// In whatever order answers arrive, the age is that of the newest answered read, and keys are never
+    /// trusted beyond the bound.
+    fn lease_follows_the_newest_read(requests: Vec<u16>, now: u16) -> bool {
         let longest = Duration::from_millis(5_000);
         let mut lease = FreshnessLease::new(longest);
-        for at in &asked {
+        for at in &requests {
             lease.renew(Duration::from_millis(u64::from(*at)));
         }
         let now = Duration::from_millis(u64::from(now));
-        let newest = asked.iter().max().map(|at| Duration::from_millis(u64::from(*at)));
+        let newest = requests.iter().max().map(|at| Duration::from_millis(u64::from(*at)));
         let age = newest.map(|newest| now.saturating_sub(newest));
         lease.age(now) == age
             && (!lease.allows_keys(now) || age.is_some_and(|age| age < longest))
@@ -184,20 +193,20 @@
     }
 }
 
-// A key that was taken away works for too long at a node that got its configuration from another one. The
-// answer lay in a queue for seconds: it counts from the moment of the question, and the giver's own
-// knowledge was already old.
+// Guards against accepting a revoked key at a node that got its configuration from another node. The answer
+// was queued for seconds: its age counts from the time of the request, and includes the age of the sender's
+// own state.
 #[test]
 fn passed_on_configuration_is_as_old_as_its_giver_knows() {
-    let held = Arc::new(GatewayConfig::new(7, CallerLimits::default()));
-    let copy = ConfigSnapshot::new(held.clone(), Duration::from_millis(1_200));
-    let bytes = copy.encode().expect("it is encoded");
-    let copy = ConfigSnapshot::decode(&bytes).expect("it is decoded");
-    assert_eq!(*copy.state(), held);
-    let known_at = copy.known_at(Duration::from_secs(10));
+    let original = Arc::new(GatewayConfig::new(7, CallerLimits::default()));
+    let snapshot = ConfigSnapshot::new(original.clone(), Duration::from_millis(1_200));
+    let bytes = snapshot.encode().expect("it is encoded");
+    let snapshot = ConfigSnapshot::decode(&bytes).expect("it is decoded");
+    assert_eq!(*snapshot.state(), original);
+    let known_at = snapshot.known_at(Duration::from_secs(10));
     assert_eq!(known_at, Some(Duration::from_millis(8_799)));
     assert_eq!(
-        copy.known_at(Duration::from_secs(1)),
+        snapshot.known_at(Duration::from_secs(1)),
         None,
         "before the VM started"
     );
@@ -211,8 +220,8 @@
         priority: Some(1),
     };
     let routes = vec![route("a", "a.example", "/x/"), route("b", "b.example", "/")];
-    let held = config(routes).with_workspace(&workspace, ["k1".to_owned()]);
-    let bytes = ConfigSnapshot::new(Arc::new(held.clone()), Duration::ZERO).encode();
-    let copy = ConfigSnapshot::decode(&bytes.expect("it is encoded")).expect("it is decoded");
-    assert_eq!(**copy.state(), held);
+    let original = config(routes).with_workspace(&workspace, ["k1".to_owned()]);
+    let bytes = ConfigSnapshot::new(Arc::new(original.clone()), Duration::ZERO).encode();
+    let snapshot = ConfigSnapshot::decode(&bytes.expect("it is encoded")).expect("it is decoded");
+    assert_eq!(**snapshot.state(), original);
 }
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -14,7 +14,7 @@
 
 use entries::server_entry;
 
-/// A node before some servers.
+/// A node in front of eight servers.
 struct CopyBench {
     table: LoadTable,
     pool: PoolId,
@@ -45,7 +45,7 @@
         self.table.pick(&request, self.now).expect("a server")
     }
 
-    /// A request goes to the server that is chosen for it, which reads it and answers.
+    /// Sends a request to the server that is picked for it, which prefills the prompt and answers.
     fn serve(&mut self, shape: &PromptShape) -> ServerPick {
         let pick = self.pick(shape, &[]);
         let pool = self.pool.clone();
@@ -57,7 +57,7 @@
         pick
     }
 
-    /// Requests without shared parts begin at one server and are not answered yet.
+    /// Starts requests without shared parts at one server, and leaves them unanswered.
     fn occupy(&mut self, server: &ServerId, count: u64) {
         let servers = ["a", "b", "c", "d", "e", "f", "g", "h"];
         let others: Vec<ServerId> = servers.map(ServerId::from).into();
@@ -93,7 +93,7 @@
     }
 }
 
-/// A prompt with a shared document and some tokens of its own.
+/// Returns a prompt with a shared document and 900 tokens of its own.
 fn shape(document: u64, shared_tokens: u32) -> PromptShape {
     let part = |id, tokens| PromptPart { id, tokens };
     PromptShape {
@@ -106,44 +106,44 @@
     pick.copy_from.as_ref().map(|server| &server.id)
 }
 
-// A caller waits for a quarter of a second while a server reads a document that another one keeps: its own
-// home takes no more work, and the next server begins from nothing.
+// Guards against a prefill of a quarter of a second for a document that another server has cached: the
+// preferred server accepts no more work, and the next server has none of the prompt.
 #[test]
-fn server_that_is_no_home_copies_from_the_one_that_keeps_the_part() {
+fn server_without_the_part_copies_it_from_a_cache_holder() {
     let mut bench = CopyBench::new(PolicySwitches::new());
-    let asked = shape(1, 13_300);
-    let first = bench.serve(&asked).server.id;
-    let again = bench.pick(&asked, &[]);
+    let prompt = shape(1, 13_300);
+    let first = bench.serve(&prompt).server.id;
+    let again = bench.pick(&prompt, &[]);
     assert_eq!(again.server.id, first);
-    assert_eq!(copy_from(&again), None, "it keeps the document itself");
-    let other = bench.pick(&asked, std::slice::from_ref(&first));
+    assert_eq!(copy_from(&again), None, "its own cache holds the document");
+    let other = bench.pick(&prompt, std::slice::from_ref(&first));
     assert_eq!(copy_from(&other), Some(&first));
-    let unread = other.prefill_tokens;
-    assert!(unread < 900 + 13_300 / 5, "{unread} tokens");
+    let prefill = other.prefill_tokens;
+    assert!(prefill < 900 + 13_300 / 5, "{prefill} tokens");
 }
 
-// Documents are read again one after another while servers are replaced: the one that leaves still serves,
-// and still keeps them.
+// Guards against repeated prefills of documents while servers are replaced: a draining server still serves,
+// and its cache can still be copied from.
 #[test]
-fn next_home_copies_from_a_server_that_leaves() {
+fn next_preferred_server_copies_from_a_draining_one() {
     let mut bench = CopyBench::new(PolicySwitches::new());
-    let asked = shape(1, 13_300);
-    let first = bench.serve(&asked).server;
+    let prompt = shape(1, 13_300);
+    let first = bench.serve(&prompt).server;
     bench.put(ServerEntry {
         state: ServerState::Draining,
         ..first.clone()
     });
-    let next = bench.pick(&asked, &[]);
+    let next = bench.pick(&prompt, &[]);
     assert_ne!(next.server.id, first.id);
     assert_eq!(copy_from(&next), Some(&first.id));
     bench
         .table
         .apply(&ServerChange::Gone(first.id.clone()), bench.now);
-    let alone = bench.pick(&asked, &[]);
-    assert_eq!(copy_from(&alone), None, "nobody keeps it any more");
+    let alone = bench.pick(&prompt, &[]);
+    assert_eq!(copy_from(&alone), None, "no server holds it any more");
 }
 
-// What nobody has read yet, and what is read in a few milliseconds, is not looked for elsewhere.
+// A part that no server has prefilled, or that is prefilled in a few milliseconds, is not copied.
 #[test]
 fn nothing_is_copied_that_nobody_keeps_or_that_is_small() {
     let mut bench = CopyBench::new(PolicySwitches::new());
@@ -156,50 +156,55 @@
 #[test]
 fn copies_can_be_switched_off() {
     let mut bench = CopyBench::new(PolicySwitches::new().without(PolicyPart::PartCopies));
-    let asked = shape(1, 13_300);
-    let first = bench.serve(&asked).server.id;
-    let other = bench.pick(&asked, &[first]);
+    let prompt = shape(1, 13_300);
+    let first = bench.serve(&prompt).server.id;
+    let other = bench.pick(&prompt, &[first]);
     assert_eq!(copy_from(&other), None);
     assert_eq!(other.prefill_tokens, 900 + 13_300);
 }
 
-// All callers of a fleet wait longer: as copying is cheap, documents move to whichever server has least to do,
-// push others out of its memory, and nobody knows any more who keeps what. A home that is a little busier
-// keeps its requests; one that is much busier gives them away, and the next one copies.
+// Guards against longer waits of all callers: as copying is cheap, documents would move to whichever server
+// has the least work, evict others from its cache, and leave it unknown which server holds what. A slightly
+// busier preferred server keeps its requests; a much busier one loses them, and the next server copies.
 #[test]
-fn home_keeps_its_requests_unless_it_is_much_busier() {
+fn preferred_server_keeps_its_requests_unless_much_busier() {
     let mut bench = CopyBench::new(PolicySwitches::new());
-    let asked = shape(1, 13_300);
-    let home = bench.serve(&asked).server.id;
-    bench.occupy(&home, 3);
-    assert_eq!(bench.pick(&asked, &[]).server.id, home, "0.2 s behind");
-    bench.occupy(&home, 100);
-    let other = bench.pick(&asked, &[]);
-    assert_ne!(other.server.id, home, "seconds behind");
-    assert_eq!(copy_from(&other), Some(&home));
+    let prompt = shape(1, 13_300);
+    let preferred = bench.serve(&prompt).server.id;
+    bench.occupy(&preferred, 3);
+    assert_eq!(
+        bench.pick(&prompt, &[]).server.id,
+        preferred,
+        "a wait 0.2 s longer"
+    );
+    bench.occupy(&preferred, 100);
+    let other = bench.pick(&prompt, &[]);
+    assert_ne!(other.server.id, preferred, "a wait seconds longer");
+    assert_eq!(copy_from(&other), Some(&preferred));
 }
 
-/// A server in need was copied from by all others, beside the requests that it had asked to be kept from.
+/// Guards against copies from a server that asked for fewer requests by a limit: they came from all other
+/// servers, beside the requests that it had asked to be spared.
 #[test]
 fn limited_server_is_not_copied_from() {
     let mut bench = CopyBench::new(PolicySwitches::new());
     let prompt = shape(1, 13_300);
-    let keeper = bench.serve(&prompt).server;
-    let elsewhere = bench.pick(&prompt, std::slice::from_ref(&keeper.id));
-    assert_eq!(copy_from(&elsewhere), Some(&keeper.id));
+    let holder = bench.serve(&prompt).server;
+    let elsewhere = bench.pick(&prompt, std::slice::from_ref(&holder.id));
+    assert_eq!(copy_from(&elsewhere), Some(&holder.id));
     let observation = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: Duration::from_secs(1),
         seen: Duration::from_secs(1),
     };
     let mut limits = ServerLimits::new(false, 1);
-    limits.record_answer(&keeper, observation);
+    limits.record_answer(&holder, observation);
     bench.table.set_limits(&limits);
-    let elsewhere = bench.pick(&prompt, std::slice::from_ref(&keeper.id));
+    let elsewhere = bench.pick(&prompt, std::slice::from_ref(&holder.id));
     assert_eq!(copy_from(&elsewhere), None);
 }
 
-/// A server that leaves or rests was copied from, for requests that others took.
+/// Guards against copies from a server that leaves or rests, for requests that other servers run.
 #[test]
 fn leaving_or_resting_server_is_not_copied_from() {
     for availability in [
@@ -214,13 +219,13 @@
     ] {
         let mut bench = CopyBench::new(PolicySwitches::new());
         let prompt = shape(1, 13_300);
-        let keeper = bench.serve(&prompt).server;
-        let elsewhere = bench.pick(&prompt, std::slice::from_ref(&keeper.id));
-        assert_eq!(copy_from(&elsewhere), Some(&keeper.id));
+        let holder = bench.serve(&prompt).server;
+        let elsewhere = bench.pick(&prompt, std::slice::from_ref(&holder.id));
+        assert_eq!(copy_from(&elsewhere), Some(&holder.id));
         bench
             .table
-            .set_availability(&keeper, availability, bench.now);
-        let elsewhere = bench.pick(&prompt, std::slice::from_ref(&keeper.id));
-        assert_ne!(copy_from(&elsewhere), Some(&keeper.id), "{availability:?}");
+            .set_availability(&holder, availability, bench.now);
+        let elsewhere = bench.pick(&prompt, std::slice::from_ref(&holder.id));
+        assert_ne!(copy_from(&elsewhere), Some(&holder.id), "{availability:?}");
     }
 }
--- a/crates/plumgate/tests/gateway_events.rs
+++ b/crates/plumgate/tests/gateway_events.rs
@@ -1,4 +1,4 @@
-//! Streams cut into whole events.
+//! Splitting of streams into whole events.
 
 use plumgate::gateway::EventSplitter;
 use quickcheck::quickcheck;
@@ -20,10 +20,10 @@
     assert_eq!(splitter.partial(), b"id: 3\nda");
 }
 
-// The caller sees one stream without a gap or a repeat. Its server stops in the middle of an
-// event; the beginning of that event must not go out, since the next server sends it whole.
+// Guards against a gap or a repeat in the caller's stream when the server stops in the middle of an event:
+// the partial event must not be sent, as the next server sends that event whole.
 #[test]
-fn torn_event_is_dropped_before_another_server_goes_on() {
+fn partial_event_is_dropped_before_another_server_continues() {
     let mut splitter = EventSplitter::new(None);
     let first = splitter.push(format!("{}id: 2\ndata: pie", event(1)).as_bytes());
     splitter.drop_partial();
@@ -40,8 +40,8 @@
 }
 
 quickcheck! {
-    /// However the network cuts a stream, all its bytes come out in order, and whatever came out
-    /// ends with a whole event.
+    /// However the network splits a stream, all its bytes come out in order, and every output ends with a
+    /// whole event.
     fn any_cuts_give_the_same_bytes(sizes: Vec<u8>, crlf: bool) -> bool {
         let mut text: String = (1..6).map(event).collect();
         if crlf {
--- a/crates/plumgate/tests/gateway_exchange.rs
+++ b/crates/plumgate/tests/gateway_exchange.rs
@@ -1,4 +1,4 @@
-//! Nodes that tell each other of their work.
+//! Exchange of load reports between nodes.
 
 mod entries;
 
@@ -10,24 +10,24 @@
     ExchangeMoment, LoadExchange, NodeEntry, ServerEntry, ServerWork, SyncState,
 };
 
-use entries::{born_entry, node_entries, server_entry};
+use entries::{entry_with_start_time, node_entries, server_entry};
 
 const ROUND: Duration = Duration::from_millis(200);
 
-/// Nodes in one process, whose packets arrive unless a test drops them.
-struct TalkBench {
+/// Nodes in one process. Packets arrive unless the receiver is down or the data centres are cut off.
+struct ExchangeBench {
     nodes: BTreeMap<SocketAddr, LoadExchange>,
-    desks: BTreeMap<SocketAddr, SyncState>,
+    sync_states: BTreeMap<SocketAddr, SyncState>,
     work: BTreeMap<SocketAddr, Vec<(ServerEntry, ServerWork)>>,
     down: Vec<SocketAddr>,
     /// Whether the data centres are cut off from each other.
     is_cut: bool,
-    centres: usize,
+    data_centres: usize,
     packets: usize,
     now: Instant,
 }
 
-fn new_desk(address: SocketAddr) -> SyncState {
+fn new_sync_state(address: SocketAddr) -> SyncState {
     SyncState::new(Duration::from_secs(5), address.port().into())
 }
 
@@ -38,23 +38,25 @@
     }
 }
 
-impl TalkBench {
-    fn new(centres: usize, nodes_each: usize) -> Self {
-        let entries = node_entries(centres, nodes_each);
+impl ExchangeBench {
+    fn new(data_centres: usize, nodes_each: usize) -> Self {
+        let entries = node_entries(data_centres, nodes_each);
         let nodes = entries.iter().map(|own| {
             let mut exchange = LoadExchange::new(own.clone());
             exchange.set_nodes(entries.clone());
             (own.address, exchange)
         });
         let nodes: BTreeMap<SocketAddr, LoadExchange> = nodes.collect();
-        let desks = nodes.keys().map(|address| (*address, new_desk(*address)));
+        let sync_states = nodes
+            .keys()
+            .map(|address| (*address, new_sync_state(*address)));
         Self {
-            desks: desks.collect(),
+            sync_states: sync_states.collect(),
             nodes,
             work: BTreeMap::new(),
             down: Vec::new(),
             is_cut: false,
-            centres,
+            data_centres,
             packets: 0,
             now: Instant::now(),
         }
@@ -85,58 +87,69 @@
                 }
                 let work = self.work.get(&from).cloned().unwrap_or_default();
                 let node = self.nodes.get_mut(&from).expect("a node");
-                let desk = self.desks.entry(from).or_insert_with(|| new_desk(from));
+                let sync = self
+                    .sync_states
+                    .entry(from)
+                    .or_insert_with(|| new_sync_state(from));
                 let moment = moment(self.now);
-                let packets = node.tick(work.iter().map(|(id, work)| (id, *work)), desk, moment);
+                let packets = node.tick(work.iter().map(|(id, work)| (id, *work)), sync, moment);
                 for (to, bytes) in packets {
                     self.packets += 1;
-                    let centre = |address: SocketAddr| usize::from(address.port()) % self.centres;
-                    let is_lost = self.is_cut && centre(from) != centre(to);
+                    let data_centre =
+                        |address: SocketAddr| usize::from(address.port()) % self.data_centres;
+                    let is_lost = self.is_cut && data_centre(from) != data_centre(to);
                     if !self.down.contains(&to) && !is_lost {
                         let node = self.nodes.get_mut(&to).expect("a node");
-                        let desk = self.desks.entry(to).or_insert_with(|| new_desk(to));
-                        node.receive(&bytes, from, desk, moment).expect("a message");
+                        let sync = self
+                            .sync_states
+                            .entry(to)
+                            .or_insert_with(|| new_sync_state(to));
+                        node.receive(&bytes, from, sync, moment).expect("a message");
                     }
                 }
             }
         }
     }
 
-    fn peers_of(&self, index: usize, server: &str) -> ServerWork {
+    fn peer_work_at(&self, index: usize, server: &str) -> ServerWork {
         self.nodes[&self.address(index)].peer_work(&server_entry(server), self.now)
     }
 }
 
 #[test]
 fn all_nodes_learn_of_the_others_work_but_not_of_their_own() {
-    let mut bench = TalkBench::new(3, 3);
+    let mut bench = ExchangeBench::new(3, 3);
     bench.set_work(0, "a", 3, 6_400);
     bench.set_work(4, "a", 5, 12_800);
     bench.rounds(6);
-    assert_eq!(bench.peers_of(8, "a").in_flight, 8);
-    assert_eq!(bench.peers_of(8, "a").pending_prefill[2], 19_200);
-    assert_eq!(bench.peers_of(0, "a").in_flight, 5, "without its own");
-    assert_eq!(bench.peers_of(4, "a").in_flight, 3);
-    assert_eq!(bench.peers_of(8, "b"), ServerWork::default());
+    assert_eq!(bench.peer_work_at(8, "a").in_flight, 8);
+    assert_eq!(bench.peer_work_at(8, "a").pending_prefill[2], 19_200);
+    assert_eq!(
+        bench.peer_work_at(0, "a").in_flight,
+        5,
+        "without its own work"
+    );
+    assert_eq!(bench.peer_work_at(4, "a").in_flight, 3);
+    assert_eq!(bench.peer_work_at(8, "b"), ServerWork::default());
 }
 
 #[test]
 fn work_that_is_over_is_forgotten() {
-    let mut bench = TalkBench::new(2, 4);
+    let mut bench = ExchangeBench::new(2, 4);
     bench.set_work(1, "a", 9, 640);
     bench.rounds(6);
-    assert_eq!(bench.peers_of(6, "a").in_flight, 9);
+    assert_eq!(bench.peer_work_at(6, "a").in_flight, 9);
     bench.work.clear();
     bench.rounds(8);
-    assert_eq!(bench.peers_of(6, "a").in_flight, 0);
+    assert_eq!(bench.peer_work_at(6, "a").in_flight, 0);
 }
 
-// Requests pile up at a server that looks idle: the node that adds up its data centre is killed,
-// and the others go on with what it said last. They must choose another one within a second or
-// two, and forget what they no longer hear.
+// Guards against requests that pile up at a server that looks idle: the collector of a data centre is killed,
+// and the other nodes go on with its last report. They must choose another collector within a second or two,
+// and expire reports that are no longer renewed.
 #[test]
 fn nodes_choose_another_collector_when_theirs_is_silent() {
-    let mut bench = TalkBench::new(2, 6);
+    let mut bench = ExchangeBench::new(2, 6);
     bench.set_work(3, "a", 7, 0);
     bench.rounds(6);
     let collectors: Vec<SocketAddr> = bench
@@ -145,36 +158,37 @@
         .filter(|(_, node)| node.is_collector())
         .map(|(address, _)| *address)
         .collect();
-    assert_eq!(collectors.len(), 2, "one a data centre");
+    assert_eq!(collectors.len(), 2, "one per data centre");
     bench.down = collectors;
     bench.rounds(14);
     let alive = (0..12).filter(|index| !bench.down.contains(&bench.address(*index)));
     for index in alive.filter(|index| *index != 3) {
-        assert_eq!(bench.peers_of(index, "a").in_flight, 7, "node {index}");
+        assert_eq!(bench.peer_work_at(index, "a").in_flight, 7, "node {index}");
     }
 }
 
-// Requests pile up at servers that look idle after a cut: each data centre has passed over the
-// collectors of the others meanwhile, and must find them again at once when the cut is over.
+// Guards against requests that pile up at servers that look idle after a network partition: each data centre
+// has passed over the collectors of the others meanwhile, and must find them again at once when the partition
+// ends.
 #[test]
 fn data_centres_find_each_other_again_after_a_cut() {
-    let mut bench = TalkBench::new(3, 21);
+    let mut bench = ExchangeBench::new(3, 21);
     bench.set_work(0, "a", 7, 0);
     bench.rounds(6);
-    assert_eq!(bench.peers_of(1, "a").in_flight, 7);
+    assert_eq!(bench.peer_work_at(1, "a").in_flight, 7);
     bench.is_cut = true;
     bench.rounds(50);
-    assert_eq!(bench.peers_of(1, "a").in_flight, 0);
+    assert_eq!(bench.peer_work_at(1, "a").in_flight, 0);
     bench.is_cut = false;
     bench.rounds(6);
     for index in 1..63 {
-        assert_eq!(bench.peers_of(index, "a").in_flight, 7, "node {index}");
+        assert_eq!(bench.peer_work_at(index, "a").in_flight, 7, "node {index}");
     }
 }
 
 #[test]
-fn newcomer_is_met_by_talking() {
-    let mut bench = TalkBench::new(1, 3);
+fn unregistered_node_joins_by_messages() {
+    let mut bench = ExchangeBench::new(1, 3);
     let address = SocketAddr::from(([127, 0, 0, 1], 2000));
     let mut newcomer = LoadExchange::new(NodeEntry {
         node: "newcomer".into(),
@@ -194,17 +208,17 @@
     bench.nodes.insert(address, newcomer);
     bench.set_work(3, "a", 4, 0);
     bench.rounds(12);
-    assert_eq!(bench.peers_of(0, "a").in_flight, 4);
+    assert_eq!(bench.peer_work_at(0, "a").in_flight, 4);
     let collector = bench.nodes.values().find(|node| node.is_collector());
     assert_eq!(collector.map(LoadExchange::node_count), Some(4));
 }
 
-// With many nodes the exchange must not eat the links. Messages grow with the nodes, not with
-// their square: 113 nodes in one data centre, beside two others of that size.
+// The exchange must not saturate the links in a large fleet. The number of messages grows linearly with the
+// nodes, not with their square: 113 nodes in one data centre, beside two others of that size.
 #[test]
 fn messages_grow_with_the_nodes_only() {
     let packets = |nodes_each| {
-        let mut bench = TalkBench::new(3, nodes_each);
+        let mut bench = ExchangeBench::new(3, nodes_each);
         bench.set_work(0, "a", 1, 0);
         bench.rounds(5);
         bench.packets
@@ -215,34 +229,34 @@
 
 #[test]
 fn bytes_that_are_no_message_are_refused() {
-    let mut bench = TalkBench::new(1, 1);
+    let mut bench = ExchangeBench::new(1, 1);
     let now = bench.now;
     let address = bench.address(0);
     let node = bench.nodes.get_mut(&address).expect("a node");
-    let taken = node.receive(
+    let result = node.receive(
         &[255, 255, 255, 1],
         address,
-        &mut new_desk(address),
+        &mut new_sync_state(address),
         moment(now),
     );
-    assert!(taken.is_err());
+    assert!(result.is_err());
 }
 
-// A server that just started again gets no requests: the other nodes told of much work there shortly
-// before, but that was its predecessor's, and is lost.
+// Guards against a restarted server that gets no requests: the other nodes reported much work there shortly
+// before, but it belonged to the previous incarnation and is lost.
 #[test]
 fn work_at_an_earlier_incarnation_says_nothing_of_the_next() {
-    let mut bench = TalkBench::new(1, 3);
+    let mut bench = ExchangeBench::new(1, 3);
     bench.set_work(0, "a", 5, 6_400);
     let address = bench.address(0);
     for (server, _) in bench.work.get_mut(&address).expect("work") {
-        *server = born_entry("a", 100);
+        *server = entry_with_start_time("a", 100);
     }
     bench.rounds(4);
     let node = &bench.nodes[&bench.address(1)];
-    let told = |start_time| {
-        node.peer_work(&born_entry("a", start_time), bench.now)
+    let reported = |start_time| {
+        node.peer_work(&entry_with_start_time("a", start_time), bench.now)
             .in_flight
     };
-    assert_eq!((told(100), told(200)), (5, 0));
+    assert_eq!((reported(100), reported(200)), (5, 0));
 }
--- a/crates/plumgate/tests/gateway_identity.rs
+++ b/crates/plumgate/tests/gateway_identity.rs
@@ -1,4 +1,4 @@
-//! Requests that are the same one, sent again under other ids, and those that are not.
+//! Identity of requests: the same request sent again under another id, and requests that differ.
 
 use plumgate::gateway::{IdentityHasher, RequestHead, RequestIdentity};
 use plumgate::ids::WorkspaceId;
@@ -19,7 +19,7 @@
 }
 
 quickcheck! {
-    /// How a body is cut into pieces on its way is not the caller's doing.
+    /// The identity doesn't depend on how the network splits a body.
     fn body_counts_whatever_its_pieces(body: Vec<u8>, at: usize) -> bool {
         let (head, tail) = body.split_at(at % (body.len() + 1));
         identity(Some("lab"), "/a/", &[&body]) == identity(Some("lab"), "/a/", &[head, tail])
@@ -31,8 +31,8 @@
     }
 }
 
-// A caller must not be able to have another's requests held back: the same path and body under another
-// key is another request.
+// Guards against a caller that gets another caller's requests blocked: the same path and body under another
+// workspace's key is another request.
 #[test]
 fn workspace_path_and_body_tell_requests_apart() {
     let own = identity(Some("lab"), "/a/", &[b"x"]);
--- a/crates/plumgate/tests/gateway_load.rs
+++ b/crates/plumgate/tests/gateway_load.rs
@@ -1,19 +1,19 @@
-//! What callers get under load, by the way servers are chosen and requests refused.
+//! Results of callers under load, by placement policy and admission.
 
 mod load;
 
 use load::engine::TOKENS_PER_SECOND;
-use load::{LoadPlan, LoadResult, LoadRun, RestWay, ShedPlan, TrafficKind};
+use load::{LoadPlan, LoadResult, LoadRun, RestHandling, ShedPlan, TrafficKind};
 use plumgate::gateway::{PlacementPolicy, PolicyPart, PolicySwitches, StreamClass};
 
-/// Traffic of three kinds: long dossiers that share documents, checks, short captions.
+/// Traffic of three kinds: long dossiers that share documents, checks, and short captions.
 fn kinds(engines: f64, burst: f64) -> Vec<TrafficKind> {
     vec![
         TrafficKind {
             name: "dossier",
             per_second: 2.4 * engines,
             burst: (0.5, 9.5, burst),
-            things: (engines * 13.0) as u64,
+            documents: (engines * 13.0) as u64,
             shared_tokens: 13_300,
             own_tokens: 3_720,
             output: 120,
@@ -27,7 +27,7 @@
             name: "check",
             per_second: 1.1 * engines,
             burst: (0.0, 0.0, 1.0),
-            things: (engines * 4.5) as u64,
+            documents: (engines * 4.5) as u64,
             shared_tokens: 6_300,
             own_tokens: 2_890,
             output: 52,
@@ -41,7 +41,7 @@
             name: "caption",
             per_second: 1.7 * engines,
             burst: (11.0, 16.0, burst),
-            things: (engines * 7.0) as u64,
+            documents: (engines * 7.0) as u64,
             shared_tokens: 350,
             own_tokens: 1_110,
             output: 170,
@@ -62,24 +62,24 @@
         seconds: 20.0,
         policy: PlacementPolicy::PredictedCost,
         switches: PolicySwitches::new(),
-        reading_speed: TOKENS_PER_SECOND,
+        prefill_speed: TOKENS_PER_SECOND,
         admits: true,
         exchanges: true,
-        returns: false,
+        callers_retry: false,
         samples: false,
         shedding: None,
         seed: 11,
     }
 }
 
-fn play(name: &str, plan: LoadPlan) -> LoadResult {
-    let result = LoadRun::new(plan).play();
+fn run(name: &str, plan: LoadPlan) -> LoadResult {
+    let result = LoadRun::new(plan).run();
     println!(
-        "{name}: {} M shared tokens read",
-        result.shared_read / 1_000_000
+        "{name}: {} M shared tokens prefilled",
+        result.shared_prefill / 1_000_000
     );
-    for (kind, got) in &result.kinds {
-        println!("  {kind:8} in time {:.3} {got:?}", got.share());
+    for (kind, counts) in &result.kinds {
+        println!("  {kind:8} in time {:.3} {counts:?}", counts.share());
     }
     result
 }
@@ -89,37 +89,37 @@
 }
 
 #[test]
-fn ways_side_by_side() {
-    let usual = play("predicted cost", plan(20, 20, 2.3));
-    let blind = play(
+fn predicted_cost_beats_the_other_policies() {
+    let usual = run("predicted cost", plan(20, 20, 2.3));
+    let blind = run(
         "without exchange",
         LoadPlan {
             exchanges: false,
             ..plan(20, 20, 2.3)
         },
     );
-    let open = play(
-        "without refusing",
+    let open = run(
+        "without admission",
         LoadPlan {
             admits: false,
             ..plan(20, 20, 2.3)
         },
     );
-    // Ways that know nothing of parts can't tell who keeps them either.
-    let alone = PolicySwitches::new().without(PolicyPart::PartCopies);
-    let least = play(
+    // Policies that ignore prompt parts don't know which servers cache them either.
+    let no_copies = PolicySwitches::new().without(PolicyPart::PartCopies);
+    let least = run(
         "least in flight",
         LoadPlan {
             policy: PlacementPolicy::LeastInFlight,
-            switches: alone,
+            switches: no_copies,
             ..plan(20, 20, 2.3)
         },
     );
-    let random = play(
+    let random = run(
         "random",
         LoadPlan {
             policy: PlacementPolicy::Random,
-            switches: alone,
+            switches: no_copies,
             ..plan(20, 20, 2.3)
         },
     );
@@ -129,53 +129,57 @@
     assert!(share(&usual, "caption") > 0.98);
     assert!(share(&usual, "check") > 0.97);
     assert!(share(&random, "caption") < share(&usual, "caption"));
-    assert!(usual.shared_read * 2 < least.shared_read);
+    assert!(usual.shared_prefill * 2 < least.shared_prefill);
 }
 
-// Callers of dossiers are refused or wait in a burst: the homes of their documents are busy, and every other
-// server reads them again for a quarter of a second each, just when there is no time left. A server that
-// copies them from one that keeps them is almost as good as the home.
+// Guards against refused or waiting callers of dossiers in a burst: the preferred servers of their documents
+// are busy, and a prefill at any other server takes a quarter of a second, just when there is no time left. A
+// server that copies the documents from a cache holder is almost as good as the preferred server.
 #[test]
 fn shared_parts_are_copied_rather_than_read_again() {
-    let copied = play("copied", plan(20, 20, 2.7));
-    let alone = PolicySwitches::new().without(PolicyPart::PartCopies);
-    let read = play(
-        "read again",
+    let copied = run("copied", plan(20, 20, 2.7));
+    let no_copies = PolicySwitches::new().without(PolicyPart::PartCopies);
+    let prefilled = run(
+        "prefilled again",
         LoadPlan {
-            switches: alone,
+            switches: no_copies,
             ..plan(20, 20, 2.7)
         },
     );
-    assert!(share(&copied, "dossier") > share(&read, "dossier") + 0.05);
-    assert!(copied.shared_read < read.shared_read);
+    assert!(share(&copied, "dossier") > share(&prefilled, "dossier") + 0.05);
+    assert!(copied.shared_prefill < prefilled.shared_prefill);
     for kind in ["caption", "check"] {
-        assert!(share(&copied, kind) > share(&read, kind) - 0.02, "{kind}");
+        assert!(
+            share(&copied, kind) > share(&prefilled, kind) - 0.02,
+            "{kind}"
+        );
     }
 }
 
-// Callers of captions wait for seconds while most servers idle: 64 nodes all know the same load,
-// somewhat late, and all send to the server that looks least loaded until they hear of it.
+// Guards against callers of captions that wait for seconds while most servers idle: 64 nodes all know the
+// same, slightly outdated load, and all send to the server that looks least loaded until they receive newer
+// reports.
 #[test]
 fn many_nodes_don_t_crowd_one_server() {
-    let result = play("64 nodes", plan(60, 64, 2.7));
+    let result = run("64 nodes", plan(60, 64, 2.7));
     assert!(share(&result, "caption") > 0.95);
     assert!(share(&result, "check") > 0.97);
 }
 
 #[test]
 fn usual_load_is_served_in_time() {
-    let result = play("no burst", plan(18, 8, 1.0));
+    let result = run("no burst", plan(18, 8, 1.0));
     for kind in ["caption", "check", "dossier"] {
         assert!(share(&result, kind) > 0.93, "{kind}");
     }
 }
 
-// Callers are refused at once where their answer would come late, and asked to come back. Those that do
-// find servers that are free again, and most are served; refusing must not cost answers.
+// Callers whose answer would come late are refused at once and asked to retry. Those that retry find free
+// servers, and most are served; refusals must not reduce the number of answers.
 #[test]
 fn callers_that_come_back_are_served() {
-    let plan_of = |returns| LoadPlan {
-        returns,
+    let plan_of = |callers_retry| LoadPlan {
+        callers_retry,
         kinds: kinds(20.0, 2.7)
             .into_iter()
             .map(|kind| TrafficKind {
@@ -185,15 +189,18 @@
             .collect(),
         ..plan(20, 20, 2.7)
     };
-    let gone = play("a burst of four seconds", plan_of(false));
-    let back = play("the same, callers come back", plan_of(true));
-    let (gone, back) = (gone.kinds["dossier"], back.kinds["dossier"]);
-    assert!(back.returned > 100, "{back:?}");
-    assert!(back.served() > gone.served() + 0.05, "{gone:?}, {back:?}");
-    assert!(back.refused * 3 < back.returned * 2, "{back:?}");
+    let leaving = run("a burst of four seconds, no retries", plan_of(false));
+    let retrying = run("the same, callers retry", plan_of(true));
+    let (leaving, retrying) = (leaving.kinds["dossier"], retrying.kinds["dossier"]);
+    assert!(retrying.retried > 100, "{retrying:?}");
+    assert!(
+        retrying.served() > leaving.served() + 0.05,
+        "{leaving:?}, {retrying:?}"
+    );
+    assert!(retrying.refused * 3 < retrying.retried * 2, "{retrying:?}");
 }
 
-/// Traffic with shorter shared documents, whose load is mostly prompts of its own.
+/// Returns traffic with shorter shared documents, in which most prompt tokens are not shared.
 fn game_kinds(engines: f64, burst: f64) -> Vec<TrafficKind> {
     let base = kinds(engines, burst);
     let [dossier, check, caption] = &base[..] else {
@@ -203,7 +210,7 @@
         TrafficKind {
             name: "briefing",
             per_second: 2.8 * engines,
-            things: 200,
+            documents: 200,
             shared_tokens: 3_800,
             own_tokens: 2_900,
             output: 52,
@@ -214,7 +221,7 @@
         TrafficKind {
             name: "hint",
             per_second: 2.0 * engines,
-            things: 360,
+            documents: 360,
             shared_tokens: 230,
             own_tokens: 1_800,
             output: 25,
@@ -225,7 +232,7 @@
         TrafficKind {
             name: "narration",
             per_second: 1.5 * engines,
-            things: 130,
+            documents: 130,
             shared_tokens: 70,
             own_tokens: 550,
             output: 280,
@@ -236,57 +243,57 @@
     ]
 }
 
-// Callers of long prompts get their answers late, although nobody refused them: the engines read half as
-// fast as expected, so waits look half as long as they are and too many are taken in. Once the speed is
-// learnt, those who can't be served in time are told when to come back, and the others are in time.
+// Guards against late answers to long prompts at engines whose prefill is half as fast as expected: predicted
+// waits are half of the real ones, so that too many requests are admitted. Once the speed is learnt, callers
+// that can't be served in time are told when to retry, and the others are served in time.
 #[test]
 fn engines_that_read_slowly_are_not_taken_for_fast_ones() {
     let plan_of = |switches| LoadPlan {
         switches,
         kinds: game_kinds(20.0, 2.9),
-        reading_speed: TOKENS_PER_SECOND / 2.0,
+        prefill_speed: TOKENS_PER_SECOND / 2.0,
         ..plan(20, 20, 2.9)
     };
-    let learnt = play("slow engines", plan_of(PolicySwitches::new()));
+    let learnt = run("slow engines", plan_of(PolicySwitches::new()));
     let without = PolicySwitches::new().without(PolicyPart::PrefillSpeed);
-    let believed = play("the same, taken for fast ones", plan_of(without));
-    assert!(share(&learnt, "briefing") > share(&believed, "briefing") + 0.1);
-    assert!(share(&learnt, "hint") > share(&believed, "hint") - 0.02);
-    assert!(share(&learnt, "narration") > share(&believed, "narration") - 0.02);
+    let assumed = run("the same, expected speed assumed", plan_of(without));
+    assert!(share(&learnt, "briefing") > share(&assumed, "briefing") + 0.1);
+    assert!(share(&learnt, "hint") > share(&assumed, "hint") - 0.02);
+    assert!(share(&learnt, "narration") > share(&assumed, "narration") - 0.02);
 }
 
-// A request that may end its server takes down whoever runs beside it. Set apart it goes where the fewest
-// run; as it is usually placed, by shared prompt parts and predicted waits, 9.0 others ran beside it on the mean,
-// set apart 0.9 (six nodes, 18 engines).
+// A request that may crash its server breaks off all requests that run beside it. Isolated placement picks
+// the server with the fewest requests: 0.9 others ran beside it in the mean, and 9.0 under the usual
+// placement by shared prompt parts and predicted waits (six nodes, 18 engines).
 #[test]
-fn request_set_apart_runs_beside_fewer_others() {
+fn isolated_request_runs_beside_fewer_others() {
     let mut usual = LoadPlan {
         samples: true,
         ..plan(18, 6, 1.0)
     };
     usual.seconds = 12.0;
-    let (usual, apart, samples) = LoadRun::new(usual).play().beside;
+    let (usual, isolated, samples) = LoadRun::new(usual).run().co_running;
     let mean = |sum: u64| sum as f64 / samples as f64;
     println!(
-        "beside whom: {:.1} usually, {:.1} set apart",
+        "other requests on the server: {:.1} under usual placement, {:.1} isolated",
         mean(usual),
-        mean(apart)
+        mean(isolated)
     );
     assert!(samples > 50);
-    assert!(mean(apart) < 0.7 * mean(usual));
+    assert!(mean(isolated) < 0.7 * mean(usual));
 }
 
-/// Seconds of a run in which engines shed, and the longest rest that they ask for.
+/// Duration in seconds of a run in which engines shed load, and the longest rest that they ask for.
 const SHED_SECONDS: f64 = 20.0;
 const LONGEST_REST: f64 = 5.0;
 
-/// A pool of which some engines shed for six seconds, at a load of so much of what it carries.
-fn shed(load: f64, share: f64, way: RestWay, seed: u64) -> LoadResult {
+/// Runs a pool of which a share of the engines sheds load for six seconds. `load` scales the usual traffic.
+fn shed(load: f64, share: f64, handling: RestHandling, seed: u64) -> LoadResult {
     let mut plan = plan(12, 6, 1.0);
     for kind in &mut plan.kinds {
         kind.per_second *= load;
     }
-    plan.returns = true;
+    plan.callers_retry = true;
     plan.seconds = SHED_SECONDS;
     plan.seed = seed;
     plan.shedding = Some(ShedPlan {
@@ -294,53 +301,61 @@
         from: 6.0,
         to: 12.0,
         rests: (1.0, LONGEST_REST),
-        way,
+        handling,
     });
-    LoadRun::new(plan).play()
+    LoadRun::new(plan).run()
 }
 
-/// What callers and engines got, as means over some seeds.
+/// Results of callers and engines, over several seeds.
 struct ShedMean {
-    /// The share in time of captions, checks and dossiers, the most urgent first.
+    /// Shares in time of captions, checks and dossiers, the most urgent first, as means over the seeds.
     in_time: [f64; 3],
     turned_away: f64,
-    in_rest: u64,
+    during_rest: u64,
 }
 
-fn shed_mean(load: f64, share: f64, way: RestWay) -> ShedMean {
-    let results: Vec<LoadResult> = (1..=4).map(|seed| shed(load, share, way, seed)).collect();
+fn shed_mean(load: f64, share: f64, handling: RestHandling) -> ShedMean {
+    let results: Vec<LoadResult> = (1..=4)
+        .map(|seed| shed(load, share, handling, seed))
+        .collect();
     let count = results.len() as f64;
     let in_time = ["caption", "check", "dossier"].map(|kind| {
         let shares = results.iter().map(|result| self::share(result, kind));
         shares.sum::<f64>() / count
     });
     let turned_away = results.iter().map(|result| result.shed).sum::<u64>() as f64 / count;
-    let in_rest = results.iter().map(|result| result.in_rest).sum();
+    let during_rest = results.iter().map(|result| result.during_rest).sum();
     println!(
-        "load {load}, {share:.2} shed, {way:?}: in time {in_time:.3?}, {turned_away:.0} turned away, {in_rest} in rests"
+        "load {load}, {share:.2} shed, {handling:?}: in time {in_time:.3?}, {turned_away:.0} turned away, {during_rest} in rests"
     );
     ShedMean {
         in_time,
         turned_away,
-        in_rest,
+        during_rest,
     }
 }
 
-/// Callers got less for it that servers were given the rest they asked for.
+/// Guards against worse results for callers when nodes respect the rests that servers ask for.
 #[test]
 fn rests_cost_callers_nothing_and_spare_the_servers() {
     for load in [0.6, 1.2] {
         for share in [0.34, 1.0] {
-            let before = shed_mean(load, share, RestWay::Ignored);
-            let kept = shed_mean(load, share, RestWay::OwnNode);
-            shed_mean(load, share, RestWay::AllNodes);
-            assert!(before.in_rest > 0, "the load asks for it");
-            assert_eq!(kept.in_rest, 0);
-            assert!(kept.turned_away < before.turned_away);
+            let ignored = shed_mean(load, share, RestHandling::Ignored);
+            let respected = shed_mean(load, share, RestHandling::OwnNode);
+            shed_mean(load, share, RestHandling::AllNodes);
+            assert!(
+                ignored.during_rest > 0,
+                "engines ask for rests under this load"
+            );
+            assert_eq!(respected.during_rest, 0);
+            assert!(respected.turned_away < ignored.turned_away);
             // Engines that shed no more may still rest for as long as they asked.
             let lost = share * LONGEST_REST / SHED_SECONDS;
-            for (kept, before) in kept.in_time.into_iter().zip(before.in_time) {
-                assert!(kept >= before - lost, "{kept} in time, {before} before");
+            for (respected, ignored) in respected.in_time.into_iter().zip(ignored.in_time) {
+                assert!(
+                    respected >= ignored - lost,
+                    "{respected} in time, {ignored} where rests are ignored"
+                );
             }
         }
     }
--- a/crates/plumgate/tests/gateway_quarantine.rs
+++ b/crates/plumgate/tests/gateway_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end servers, and those that only ran where servers ended.
+//! Quarantine of poison requests, and requests that only ran on servers that crashed under others.
 
 mod entries;
 mod suspects;
@@ -12,10 +12,10 @@
 };
 
 use entries::server_entry;
-use suspects::{AWAY, SuspectFleet, config, identity};
+use suspects::{RESTART_TIME, SuspectFleet, config, identity};
 
-/// How long after a third end nodes may not have heard of it, as the operators allow.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Time after a third crash within which nodes may not have received it yet, as the operators allow.
+const CONTACT_TIME: Duration = Duration::from_secs(3);
 const SECOND: Duration = Duration::from_secs(1);
 const MOMENT: Duration = Duration::from_millis(200);
 
@@ -25,230 +25,243 @@
     table
 }
 
-/// Runs a request at a server that ends under it.
-fn end_under(
+/// Runs a request on a server that crashes under it.
+fn crash_under(
     table: &mut QuarantineTable,
     request: RequestIdentity,
     server: &ServerEntry,
-    began: Instant,
-    ended: Instant,
+    started_at: Instant,
+    crashed_at: Instant,
 ) {
-    let ticket = table.begin(request, server, ConnectionKind::New, began);
-    let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, ended);
+    let ticket = table.begin(request, server, ConnectionKind::New, started_at);
+    let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, crashed_at);
     assert_eq!(finding, RunFinding::ProbeServer);
-    let ends = table.on_server_gone(server, CrashSign::Refused, ended);
-    assert_eq!(ends, [request]);
+    let crashes = table.on_server_gone(server, CrashSign::Refused, crashed_at);
+    assert_eq!(crashes, [request]);
 }
 
-/// Sends a request at one node after the other until each holds it back.
-fn send_until_held(fleet: &mut SuspectFleet, request: RequestIdentity) {
+/// Sends a request to one node after another until all nodes block it.
+fn send_until_blocked(fleet: &mut SuspectFleet, request: RequestIdentity) {
     for number in 0..60 {
-        if fleet.all_hold(request) {
+        if fleet.all_block(request) {
             return;
         }
         fleet.send(number % fleet.nodes.len(), request);
         fleet.advance(Duration::from_millis(500));
     }
-    panic!("not held back after 30 s");
+    panic!("not blocked after 30 s");
 }
 
-// Callers all over the fleet lose their answers each time that one text comes again. Three servers end
-// under it; from then on no node sends it, in whichever data centre, and its callers are told until when.
+// Guards against a poison request that breaks off other callers' answers each time it is sent. After three
+// crashed servers no node in any data centre sends it, and its callers are told how long it is blocked.
 #[test]
-fn request_that_ended_three_servers_is_held_back_at_all_nodes() {
+fn request_that_crashed_three_servers_is_blocked_at_all_nodes() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
-    let deadly = identity("lab", "deadly");
-    fleet.deadly.insert(deadly);
-    send_until_held(&mut fleet, deadly);
-    assert_eq!(fleet.ends.len(), 3, "servers that ended");
+    let poison = identity("lab", "deadly");
+    fleet.poison.insert(poison);
+    send_until_blocked(&mut fleet, poison);
+    assert_eq!(fleet.crashes.len(), 3, "servers that crashed");
     for _ in 0..40 {
         for node in 0..6 {
-            let hold = fleet.send(node, deadly).expect("held back");
-            assert_eq!(hold.reason, BlockReason::Quarantined);
-            assert!(hold.retry_after > BLOCK_DURATION - Duration::from_secs(60));
+            let blocked = fleet.send(node, poison).expect("blocked");
+            assert_eq!(blocked.reason, BlockReason::Quarantined);
+            assert!(blocked.retry_after > BLOCK_DURATION - Duration::from_secs(60));
         }
         fleet.advance(SECOND);
     }
-    assert_eq!(fleet.sent_after_third(deadly, Duration::ZERO), 0);
+    assert_eq!(fleet.sent_after_third(poison, Duration::ZERO), 0);
 }
 
-// The same text comes at all nodes at once, before any of them can know. All those runs end servers
-// together, which a rack that goes dark does too; the next run alone tells, and no further one follows.
+// A poison request arrives at all nodes at once, before any of them has evidence. All its runs crash servers
+// together, as a rack that loses power does too; only one more run decides, and no further one follows.
 #[test]
-fn burst_of_a_deadly_request_is_followed_by_one_run_at_most() {
+fn burst_of_a_poison_request_is_followed_by_one_run_at_most() {
     for nodes in [2, 4, 8] {
         let mut fleet = SuspectFleet::new(3, nodes, 40);
-        let deadly = identity("lab", "deadly");
-        fleet.deadly.insert(deadly);
+        let poison = identity("lab", "deadly");
+        fleet.poison.insert(poison);
         for _ in 0..3 {
             for node in 0..fleet.nodes.len() {
-                fleet.send(node, deadly);
+                fleet.send(node, poison);
             }
-            fleet.advance(CONTACT + SECOND);
+            fleet.advance(CONTACT_TIME + SECOND);
         }
         for _ in 0..30 {
             for node in 0..fleet.nodes.len() {
-                fleet.send(node, deadly);
+                fleet.send(node, poison);
             }
             fleet.advance(MOMENT);
         }
-        let after = fleet.sent_after_third(deadly, CONTACT);
+        let after = fleet.sent_after_third(poison, CONTACT_TIME);
         assert!(
             after <= 1,
-            "{after} runs after the burst, {nodes} nodes a data centre"
+            "{after} runs after the burst, {nodes} nodes per data centre"
         );
-        assert!(fleet.all_hold(deadly));
+        assert!(fleet.all_block(poison));
     }
 }
 
-// Three texts end servers at the same time, from several callers and at all nodes, while others are served.
+// Three poison requests crash servers at the same time, from several callers and at all nodes, while other
+// requests are served.
 #[test]
-fn several_deadly_requests_are_each_held_back() {
+fn several_poison_requests_are_each_blocked() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
-    let deadly = ["one", "two", "three"].map(|text| identity("lab", text));
-    fleet.deadly.extend(deadly);
+    let poison = ["one", "two", "three"].map(|text| identity("lab", text));
+    fleet.poison.extend(poison);
     for number in 0..120_u32 {
         let node = number as usize % 6;
-        fleet.send(node, deadly[number as usize % 3]);
+        fleet.send(node, poison[number as usize % 3]);
         fleet.send(node, identity("clinic", &format!("unique {number}")));
         fleet.advance(MOMENT);
     }
-    for request in deadly {
-        assert!(fleet.all_hold(request));
-        assert_eq!(fleet.sent_after_third(request, CONTACT), 0);
+    for request in poison {
+        assert!(fleet.all_block(request));
+        assert_eq!(fleet.sent_after_third(request, CONTACT_TIME), 0);
     }
-    let held: u32 = fleet
+    let blocked: u32 = fleet
         .results
         .iter()
-        .filter(|(of, _)| !deadly.contains(of))
-        .map(|(_, result)| result.held)
+        .filter(|(of, _)| !poison.contains(of))
+        .map(|(_, result)| result.blocked)
         .sum();
-    assert_eq!(held, 0, "unique requests that were held back");
+    assert_eq!(blocked, 0, "unique requests that were blocked");
 }
 
-// A popular read must not go out of service with its servers. All copies of a service crash at the same moment,
-// with a run of the read at each; when they are back, its callers are served again, within a contact time.
+// Guards against blocking a popular request after its servers crashed. All replicas of a service crash at the
+// same moment, with a run of the request on each; once they are back, its callers are served again within a
+// contact time.
 #[test]
-fn popular_read_survives_a_crash_of_all_copies() {
+fn popular_request_survives_a_crash_of_all_replicas() {
     for (nodes_each, a_second) in [(2, 25), (8, 25), (65, 60)] {
         let mut fleet = SuspectFleet::new(3, nodes_each, 6);
-        let read = identity("lab", "popular");
+        let popular = identity("lab", "popular");
         let nodes = fleet.nodes.len();
         let pause = SECOND / a_second;
         for crash in 0..3 {
             for step in 0..60 {
-                fleet.send(step % nodes, read);
+                fleet.send(step % nodes, popular);
                 fleet.advance(pause);
             }
             for server in 0..6 {
-                fleet.send_to((crash + server) % nodes, read, server);
+                fleet.send_to((crash + server) % nodes, popular, server);
             }
             fleet.advance(MOMENT / 10);
             for server in 0..6 {
-                fleet.end_server(server, WorkOutcome::Broken);
+                fleet.crash_server(server, WorkOutcome::Broken);
             }
-            // Callers come all the while, until after the servers are back.
-            let back = fleet.now + AWAY;
+            // Callers send requests all the while, until after the servers are back.
+            let restarted_at = fleet.now + RESTART_TIME;
             let mut step = 0;
-            while fleet.now < back || fleet.state(0, read) != SuspectState::Free {
-                assert!(fleet.now < back + CONTACT, "{nodes} nodes");
-                fleet.send(step % nodes, read);
+            while fleet.now < restarted_at || fleet.state(0, popular) != SuspectState::Free {
+                assert!(fleet.now < restarted_at + CONTACT_TIME, "{nodes} nodes");
+                fleet.send(step % nodes, popular);
                 fleet.advance(pause);
                 step += 1;
             }
         }
-        let result = *fleet.result(read);
+        let result = *fleet.result(popular);
         println!("{nodes} nodes, three crashes of all servers: {result:?}");
-        assert!((0..nodes).all(|node| fleet.state(node, read) != SuspectState::Blocked));
+        assert!((0..nodes).all(|node| fleet.state(node, popular) != SuspectState::Blocked));
     }
 }
 
-// A popular read and a deadly request run at one server; it ends, the node sends both on, within milliseconds,
-// and the next one ends too. That the second run of the read began after the first had ended says nothing, as both
-// followed the deadly one.
+// Guards against counting a node's own retry as a consecutive crash. A popular request and a poison request
+// run on one server; it crashes, the node sends both to the next server within milliseconds, and that one
+// crashes too. That the second run of the popular request began after the first crash is no evidence, as both
+// requests moved together.
 #[test]
-fn own_retry_beside_a_deadly_request_is_no_row_of_ends() {
+fn own_retry_beside_a_poison_request_is_no_consecutive_crash() {
     let mut table = lone_table();
-    let read = identity("lab", "popular");
+    let popular = identity("lab", "popular");
     let start = Instant::now();
     let milli = Duration::from_millis(1);
     let (first, second) = (server_entry("s1"), server_entry("s2"));
-    end_under(&mut table, read, &first, start, start + MOMENT);
-    let again = start + MOMENT + milli * 2;
-    end_under(&mut table, read, &second, again, again + MOMENT);
-    let verdict = table.verdict(read, again + MOMENT);
-    assert_eq!(verdict, RequestVerdict::Send, "two ends at once");
+    crash_under(&mut table, popular, &first, start, start + MOMENT);
+    let retried_at = start + MOMENT + milli * 2;
+    crash_under(
+        &mut table,
+        popular,
+        &second,
+        retried_at,
+        retried_at + MOMENT,
+    );
+    let verdict = table.verdict(popular, retried_at + MOMENT);
+    assert_eq!(verdict, RequestVerdict::Send, "two simultaneous crashes");
 }
 
-// All three servers of a small pool end within two seconds, under deadly requests, and a popular read runs at each,
-// once by itself and once sent on. No answer comes in between; but it was answered at another node before.
+// All three servers of a small pool crash within two seconds under poison requests, and a popular request
+// runs on each, once by itself and once as a retry. No answer arrives in between, but another node had an
+// answer before: the popular request is not suspected.
 #[test]
-fn answers_before_the_ends_speak_for_a_popular_read() {
+fn answers_before_the_crashes_count_for_a_popular_request() {
     let mut fleet = SuspectFleet::new(2, 2, 6);
-    let read = identity("lab", "popular");
-    fleet.send(3, read);
+    let popular = identity("lab", "popular");
+    fleet.send(3, popular);
     fleet.advance(SECOND);
     for server in 0..3 {
         let entry = server_entry(&format!("s{server}-0"));
         let now = fleet.now;
         let table = &mut fleet.nodes[0].table;
-        end_under(table, read, &entry, now, now + MOMENT);
+        crash_under(table, popular, &entry, now, now + MOMENT);
         fleet.advance(SECOND);
-        let free = (0..4).all(|node| fleet.state(node, read) == SuspectState::Free);
+        let free = (0..4).all(|node| fleet.state(node, popular) == SuspectState::Free);
         assert!(free, "server {server}");
     }
-    // Long after its last answer nothing speaks for it any more.
+    // An answer counts for the request only for a limited time.
     fleet.advance(SECOND * 12);
     for server in 3..6 {
         let entry = server_entry(&format!("s{server}-0"));
         let now = fleet.now;
         let table = &mut fleet.nodes[0].table;
-        end_under(table, read, &entry, now, now + MOMENT);
+        crash_under(table, popular, &entry, now, now + MOMENT);
         fleet.advance(SECOND);
     }
-    assert!(fleet.all_hold(read));
+    assert!(fleet.all_block(popular));
 }
 
-// Servers crash one after the other, for reasons of their own, under a popular read: it is answered in
-// between, so that nothing is held against it.
+// Servers crash one after another, for other reasons, under a popular request. It is answered in between, so
+// that the crashes don't count against it.
 #[test]
-fn popular_read_survives_servers_that_crash_in_turn() {
+fn popular_request_survives_servers_that_crash_in_turn() {
     let mut fleet = SuspectFleet::new(3, 2, 6);
-    let read = identity("lab", "popular");
+    let popular = identity("lab", "popular");
     for server in 0..6 {
-        fleet.send_to(server, read, server);
-        fleet.end_server(server, WorkOutcome::Broken);
+        fleet.send_to(server, popular, server);
+        fleet.crash_server(server, WorkOutcome::Broken);
         for node in 0..6 {
-            fleet.send(node, read);
+            fleet.send(node, popular);
             fleet.advance(MOMENT);
         }
     }
-    let result = *fleet.result(read);
-    assert_eq!(result.held, 0, "{result:?}");
+    let result = *fleet.result(popular);
+    assert_eq!(result.blocked, 0, "{result:?}");
 }
 
-// A rack goes dark: requests stay without an answer, callers leave, entries lapse seconds later. What
-// was sent there after it had gone dark reached nobody, and what ran there before ran all at once.
+// Guards against blocking popular requests when a rack loses power: requests get no answer, callers leave,
+// and entries lapse seconds later. Requests sent after the loss reached no server, and the runs before it
+// were all concurrent.
 #[test]
-fn rack_that_goes_dark_holds_nothing_back() {
+fn rack_that_loses_power_blocks_nothing() {
     let mut fleet = SuspectFleet::new(3, 2, 8);
-    let read = identity("lab", "popular");
+    let popular = identity("lab", "popular");
     for server in 0..4 {
-        fleet.send_to(server, read, server);
+        fleet.send_to(server, popular, server);
     }
     for server in 0..4 {
-        fleet.end_server(server, WorkOutcome::Silent);
+        fleet.crash_server(server, WorkOutcome::Silent);
     }
-    // Kept connections lead nowhere, one after the other.
+    // Reused connections get no answer, one after another.
     let before = fleet.now - MOMENT;
     for number in 0..4 {
-        let dark = server_entry(&format!("s{number}-0"));
+        let unresponsive = server_entry(&format!("s{number}-0"));
         let now = fleet.now;
         let table = &mut fleet.nodes[0].table;
-        let link = ConnectionKind::Reused {
+        let connection = ConnectionKind::Reused {
             answered: Some(before),
         };
-        let ticket = table.begin(read, &dark, link, now).expect("sent");
+        let ticket = table
+            .begin(popular, &unresponsive, connection, now)
+            .expect("sent");
         fleet.advance(MOMENT);
         let now = fleet.now;
         fleet.nodes[0]
@@ -259,19 +272,19 @@
         fleet.lapse(server);
     }
     fleet.advance(SECOND);
-    assert!((0..6).all(|node| fleet.state(node, read) != SuspectState::Blocked));
+    assert!((0..6).all(|node| fleet.state(node, popular) != SuspectState::Blocked));
     for number in 0..36 {
-        fleet.send(number % 6, read);
+        fleet.send(number % 6, popular);
         fleet.advance(MOMENT);
     }
-    assert_eq!(fleet.state(0, read), SuspectState::Free);
+    assert_eq!(fleet.state(0, popular), SuspectState::Free);
 }
 
-// The third server goes dark instead of breaking its connections. Its caller leaves without an answer, and
-// only the entry that lapses shows the end.
+// The third server becomes unresponsive instead of breaking its connections. Its caller leaves without an
+// answer, and only the lapsed entry shows the crash.
 #[test]
-fn server_that_goes_dark_counts_once_its_entry_lapses() {
-    for how in [WorkOutcome::Silent, WorkOutcome::Inconclusive] {
+fn unresponsive_server_counts_once_its_entry_lapses() {
+    for outcome in [WorkOutcome::Silent, WorkOutcome::Inconclusive] {
         let mut table = lone_table();
         let request = identity("lab", "deadly");
         let mut now = Instant::now();
@@ -281,21 +294,21 @@
                 .begin(request, &server, ConnectionKind::New, now)
                 .expect("sent");
             now += SECOND * 2;
-            assert_eq!(table.finish(ticket, how, now), RunFinding::Nothing);
+            assert_eq!(table.finish(ticket, outcome, now), RunFinding::Nothing);
             now += SECOND;
             table.on_server_gone(&server, CrashSign::Lapsed, now);
             now += SECOND;
         }
         let late = server_entry("s3");
-        let hold = table.begin(request, &late, ConnectionKind::New, now);
+        let blocked = table.begin(request, &late, ConnectionKind::New, now);
         assert_eq!(
-            hold.expect_err("held back").reason,
+            blocked.expect_err("blocked").reason,
             BlockReason::Quarantined
         );
     }
 }
 
-// An entry may lapse before the run that it ended is given up.
+// A server's entry may lapse before the run that crashed it is abandoned.
 #[test]
 fn run_that_ends_after_its_server_went_counts() {
     let mut table = lone_table();
@@ -306,37 +319,49 @@
         .begin(request, &server, ConnectionKind::New, now)
         .expect("sent");
     table.on_server_gone(&server, CrashSign::Lapsed, now + SECOND);
-    let sign = table.finish(ticket, WorkOutcome::Inconclusive, now + SECOND * 2);
-    assert_eq!(sign, RunFinding::ServerCrashed(CrashSign::Lapsed));
+    let finding = table.finish(ticket, WorkOutcome::Inconclusive, now + SECOND * 2);
+    assert_eq!(finding, RunFinding::ServerCrashed(CrashSign::Lapsed));
 }
 
-// A popular read was held back at the start of a day. Two servers of three ended at once under a deadly request
-// beside it; the third had gone dark under another one, took its connection and said nothing until its entry
-// lapsed. It had not been answered anywhere yet. The third server may have ended with the first two: its last
-// answer came before theirs, so that its run is no run in turn.
+// Guards against blocking a popular request that has no answer anywhere yet, as at the start of a day. Two of
+// three servers crashed at once under a poison request beside it; the third was unresponsive under another
+// one, accepted the connection and sent nothing until its entry lapsed. The third may have crashed with the
+// first two, as its last answer came before their crashes: its run is no consecutive crash.
 #[test]
-fn run_at_a_server_that_had_gone_dark_is_no_row_of_ends() {
+fn run_at_an_unresponsive_server_is_no_consecutive_crash() {
     let mut table = lone_table();
-    let read = identity("lab", "new and popular");
+    let popular = identity("lab", "new and popular");
     let start = Instant::now();
     let milli = Duration::from_millis(1);
-    let again = start + MOMENT + milli;
-    end_under(&mut table, read, &server_entry("s1"), start, start + MOMENT);
-    end_under(&mut table, read, &server_entry("s2"), again, again + MOMENT);
-    // No answer of the third server is known since before the first two ended.
-    let dark = server_entry("dark");
+    let retried_at = start + MOMENT + milli;
+    crash_under(
+        &mut table,
+        popular,
+        &server_entry("s1"),
+        start,
+        start + MOMENT,
+    );
+    crash_under(
+        &mut table,
+        popular,
+        &server_entry("s2"),
+        retried_at,
+        retried_at + MOMENT,
+    );
+    // The third server has not answered since before the first two crashed.
+    let unresponsive = server_entry("dark");
     let sent = start + SECOND * 2;
-    let ticket = table.begin(read, &dark, ConnectionKind::New, sent);
+    let ticket = table.begin(popular, &unresponsive, ConnectionKind::New, sent);
     let late = sent + SECOND * 2;
     table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, late);
-    table.on_server_gone(&dark, CrashSign::Lapsed, late);
-    let verdict = table.verdict(read, late);
+    table.on_server_gone(&unresponsive, CrashSign::Lapsed, late);
+    let verdict = table.verdict(popular, late);
     assert_eq!(verdict, RequestVerdict::SendIsolated);
 }
 
-// Callers wait long for a dossier. Its server goes dark under it, and the entry lapses while the caller still
-// waits: until it leaves, seconds later, the request would end one server after another. Where the server
-// lives on and answers after all, nothing is held against it.
+// Guards against a poison request with long answers that crashes one server after another while its callers
+// still wait: its server becomes unresponsive, the entry lapses, and the callers leave only seconds later.
+// Where a server is alive and answers after all, the crashes don't count against the request.
 #[test]
 fn run_under_way_counts_when_its_server_s_entry_lapses() {
     let mut table = lone_table();
@@ -348,8 +373,8 @@
         let ticket = table.begin(request, &server, ConnectionKind::New, now);
         waiting.push(ticket.expect("sent"));
         now += SECOND * 3;
-        let ends = table.on_server_gone(&server, CrashSign::Lapsed, now);
-        assert_eq!(ends, [request]);
+        let crashes = table.on_server_gone(&server, CrashSign::Lapsed, now);
+        assert_eq!(crashes, [request]);
         now += SECOND;
     }
     assert!(matches!(
@@ -361,8 +386,8 @@
     assert_eq!(table.verdict(request, now), RequestVerdict::Send);
 }
 
-// Callers leave all the time, servers are slow, and links lose answers: none of that ends a server that
-// goes on answering, or whose entry stays.
+// Callers that leave, slow servers and lost answers are no crash of a server that goes on answering, or whose
+// entry stays.
 #[test]
 fn silence_alone_is_no_evidence() {
     let mut table = lone_table();
@@ -383,7 +408,7 @@
             .begin(other, &server, ConnectionKind::New, now)
             .expect("sent");
         table.finish(ticket, WorkOutcome::Answered, now + MOMENT);
-        // It was taken away as planned, or for reasons of its own, after it had lived on.
+        // The server was removed as planned, or for other reasons, after it had answered again.
         table.on_server_gone(&server, CrashSign::Lapsed, now + SECOND);
         now += SECOND * 2;
         table.on_server_back(&server);
@@ -391,28 +416,28 @@
     assert!(table.is_empty());
 }
 
-// A server refused a connection for a moment and lives on. Whatever it answers within a second and a half of
-// it takes the evidence back, here and at the other nodes.
+// A server refuses a connection for a moment and is alive. Any answer within a second and a half after it
+// refutes the evidence, at this node and at the others.
 #[test]
-fn server_that_lives_takes_evidence_back() {
+fn answer_of_a_live_server_refutes_evidence() {
     let mut fleet = SuspectFleet::new(2, 2, 6);
     let request = identity("lab", "unlucky");
     for server in 0..3 {
         let now = fleet.now;
         let entry = server_entry(&format!("s{server}-0"));
         let table = &mut fleet.nodes[0].table;
-        end_under(table, request, &entry, now - MOMENT, now);
+        crash_under(table, request, &entry, now - MOMENT, now);
         fleet.advance(MOMENT);
         fleet.send_to(1, identity("clinic", "another"), server);
         fleet.send_to(0, identity("clinic", "another"), server);
         fleet.advance(SECOND);
     }
     assert!((0..4).all(|node| fleet.state(node, request) == SuspectState::Free));
-    assert_eq!(fleet.result(request).held, 0);
+    assert_eq!(fleet.result(request).blocked, 0);
 }
 
-// Each connection breaks, one after another, and no answer comes; but the servers live and take new
-// connections. A popular read must not go out of service for that.
+// Guards against blocking a popular request when connections break one after another without an answer, while
+// the servers are alive and accept new connections.
 #[test]
 fn broken_connections_of_servers_that_live_are_no_evidence() {
     let mut table = lone_table();
@@ -425,18 +450,18 @@
         let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now);
         assert_eq!(finding, RunFinding::ProbeServer);
         table.on_server_reached(&server, now, now);
-        // Its entry may lapse later, for reasons of its own.
-        let ends = table.on_server_gone(&server, CrashSign::Lapsed, now + MOMENT);
-        assert!(ends.is_empty());
+        // The entry may lapse later, for other reasons.
+        let crashes = table.on_server_gone(&server, CrashSign::Lapsed, now + MOMENT);
+        assert!(crashes.is_empty());
         table.on_server_back(&server);
         now += SECOND;
     }
     assert!(table.is_empty());
 }
 
-// Many runs break at once where one server ends: it is asked once.
+// A server is probed once when many runs break off at the same time.
 #[test]
-fn server_is_asked_once_for_all_that_broke() {
+fn server_is_probed_once_for_all_broken_runs() {
     let mut table = lone_table();
     let now = Instant::now();
     let server = server_entry("s1");
@@ -450,27 +475,27 @@
     let findings = tickets
         .into_iter()
         .map(|ticket| table.finish(ticket, WorkOutcome::Broken, now + MOMENT));
-    let asked = findings.filter(|finding| *finding == RunFinding::ProbeServer);
-    assert_eq!(asked.count(), 1);
-    let ends = table.on_server_gone(&server, CrashSign::Refused, now + MOMENT);
-    assert_eq!(ends.len(), 9);
+    let probes = findings.filter(|finding| *finding == RunFinding::ProbeServer);
+    assert_eq!(probes.count(), 1);
+    let crashes = table.on_server_gone(&server, CrashSign::Refused, now + MOMENT);
+    assert_eq!(crashes.len(), 9);
 }
 
-// Kept connections break one after another as requests leave by them: their servers had ended before, all at
-// once. That these are five servers is no row of five runs; the request is not held back.
+// Guards against blocking a request because reused connections break one after another: their servers had all
+// crashed at once, before the runs. Five such servers are not five consecutive crashes.
 #[test]
-fn kept_connections_to_servers_that_had_ended_are_no_row() {
+fn reused_connections_to_crashed_servers_are_no_consecutive_crashes() {
     let mut table = lone_table();
     let request = identity("lab", "late");
     let now = Instant::now() + SECOND;
     for number in 0..5 {
         let server = server_entry(&format!("s{number}"));
         let sent = now + SECOND * number;
-        let link = ConnectionKind::Reused {
+        let connection = ConnectionKind::Reused {
             answered: Some(now - MOMENT),
         };
-        let Ok(ticket) = table.begin(request, &server, link, sent) else {
-            // It goes one by one by now, and what goes apart opens a connection.
+        let Ok(ticket) = table.begin(request, &server, connection, sent) else {
+            // By now the request is sent one by one, and an isolated request opens a new connection.
             continue;
         };
         table.finish(ticket, WorkOutcome::Broken, sent + MOMENT);
@@ -482,22 +507,23 @@
     let unknown = ConnectionKind::Reused { answered: None };
     let ticket = table.begin(request, &server_entry("s9"), unknown, now);
     let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now);
-    assert_eq!(finding, RunFinding::Nothing, "nothing is known of it");
+    assert_eq!(finding, RunFinding::Nothing, "no earlier answer is known");
 }
 
-// A request ends servers before their first byte, and may be repeated, so that it goes by kept connections.
-// The servers answered others shortly before: they ended under it, one after another.
+// A repeatable request crashes servers before their first byte, and goes by reused connections. The servers
+// had answered other requests shortly before, so that they crashed under it, one after another: all crashes
+// count.
 #[test]
-fn ends_by_kept_connections_of_servers_that_just_answered_count() {
+fn crashes_on_reused_connections_count_after_a_recent_answer() {
     let mut table = lone_table();
     let request = identity("lab", "deadly");
     let mut now = Instant::now() + SECOND;
     for number in 0..3 {
         let server = server_entry(&format!("s{number}"));
-        let link = ConnectionKind::Reused {
+        let connection = ConnectionKind::Reused {
             answered: Some(now - MOMENT),
         };
-        let ticket = table.begin(request, &server, link, now);
+        let ticket = table.begin(request, &server, connection, now);
         let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now + MOMENT);
         assert_eq!(finding, RunFinding::ProbeServer);
         table.on_server_gone(&server, CrashSign::Refused, now + MOMENT);
@@ -507,66 +533,67 @@
     assert!(matches!(verdict, RequestVerdict::Block(_)), "{verdict:?}");
 }
 
-// What is believed of a server that drained or that says it is full is nothing.
+// A server that drains or reports that it is full is no evidence against a request.
 #[test]
 fn refusals_are_no_evidence() {
     let mut table = lone_table();
     let request = identity("lab", "refused");
     let now = Instant::now();
-    let ends = [
+    let outcomes = [
         WorkOutcome::Full,
         WorkOutcome::Failed,
         WorkOutcome::Unsent,
         WorkOutcome::Refused,
     ];
-    for (number, end) in ends.into_iter().enumerate() {
+    for (number, outcome) in outcomes.into_iter().enumerate() {
         let server = ServerEntry {
             state: ServerState::Draining,
             ..server_entry(&format!("s{number}"))
         };
         let ticket = table.begin(request, &server, ConnectionKind::New, now);
         assert_eq!(
-            table.finish(ticket.expect("sent"), end, now),
+            table.finish(ticket.expect("sent"), outcome, now),
             RunFinding::Nothing
         );
     }
     assert!(table.is_empty());
 }
 
-// A wrong verdict must not last: an answer to the request, an operator, or its time ends it, at all nodes.
+// Guards against a wrong verdict that lasts: an answer to the request, an operator, or the end of its time
+// lifts it at all nodes.
 #[test]
 fn verdict_ends_by_an_answer_by_an_operator_and_by_its_time() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
-    let deadly = identity("lab", "deadly");
-    fleet.deadly.insert(deadly);
-    send_until_held(&mut fleet, deadly);
+    let poison = identity("lab", "deadly");
+    fleet.poison.insert(poison);
+    send_until_blocked(&mut fleet, poison);
     let now = fleet.now;
-    assert_eq!(fleet.nodes[4].table.lift(&deadly.to_string(), now), 1);
+    assert_eq!(fleet.nodes[4].table.lift(&poison.to_string(), now), 1);
     fleet.advance(SECOND);
-    assert!((0..6).all(|node| fleet.state(node, deadly) == SuspectState::Free));
-    fleet.ends.clear();
-    send_until_held(&mut fleet, deadly);
-    assert_eq!(fleet.ends.len(), 3, "it counts anew");
+    assert!((0..6).all(|node| fleet.state(node, poison) == SuspectState::Free));
+    fleet.crashes.clear();
+    send_until_blocked(&mut fleet, poison);
+    assert_eq!(fleet.crashes.len(), 3, "it counts from the start");
     fleet.advance(BLOCK_DURATION + SECOND);
     assert!((0..6).all(|node| fleet.nodes[node].table.is_empty()));
-    assert_eq!(fleet.send(0, deadly), None, "it may be tried again");
+    assert_eq!(fleet.send(0, poison), None, "it may be tried again");
 }
 
-// Nodes are killed and come back, and one was cut off while the verdict was told: each holds the request back
+// Nodes are killed and restart, and one was cut off while the verdict was sent: each blocks the request
 // within a contact time of its start.
 #[test]
 fn nodes_that_start_later_or_were_cut_off_learn_the_verdict() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
-    let deadly = identity("lab", "deadly");
-    fleet.deadly.insert(deadly);
-    send_until_held(&mut fleet, deadly);
+    let poison = identity("lab", "deadly");
+    fleet.poison.insert(poison);
+    send_until_blocked(&mut fleet, poison);
     for node in 0..6 {
         fleet.restart(node);
-        fleet.advance(CONTACT);
-        assert!(fleet.all_hold(deadly), "node {node}");
+        fleet.advance(CONTACT_TIME);
+        assert!(fleet.all_block(poison), "node {node}");
     }
     let other = identity("lab", "other");
-    fleet.deadly.insert(other);
+    fleet.poison.insert(other);
     fleet.is_cut = true;
     for number in 0..30 {
         fleet.send(3 * (number % 2), other);
@@ -576,23 +603,23 @@
     assert_eq!(
         fleet.state(1, other),
         SuspectState::Free,
-        "the other side of the cut"
+        "the other side of the partition"
     );
     fleet.is_cut = false;
-    fleet.advance(CONTACT);
-    assert!(fleet.all_hold(other));
+    fleet.advance(CONTACT_TIME);
+    assert!(fleet.all_block(other));
 }
 
-// All nodes end at the same moment. What the store keeps brings the verdict back, as old as it is; one whose
-// time is over, and bytes that make no sense, hold nothing back.
+// All nodes crash at the same moment. The verdict is restored from the store with its age; one whose time is
+// over, and invalid bytes, block nothing.
 #[test]
-fn kept_verdict_comes_back_and_grows_old() {
+fn stored_verdict_is_restored_and_expires() {
     let mut table = lone_table();
     let request = identity("lab", "deadly");
     let mut now = Instant::now();
     for number in 0..3 {
         let server = server_entry(&format!("s{number}"));
-        end_under(&mut table, request, &server, now, now + MOMENT);
+        crash_under(&mut table, request, &server, now, now + MOMENT);
         now += SECOND * 4;
     }
     let changes = table.take_changes();
@@ -603,10 +630,10 @@
     let mut next = lone_table();
     let later = now + SECOND * 20;
     assert_eq!(next.apply_stored(&stored, later, 1_020_000), Ok(true));
-    let RequestVerdict::Block(hold) = next.verdict(request, later) else {
-        panic!("held back");
+    let RequestVerdict::Block(blocked) = next.verdict(request, later) else {
+        panic!("blocked");
     };
-    assert!(hold.retry_after < BLOCK_DURATION - SECOND * 20);
+    assert!(blocked.retry_after < BLOCK_DURATION - SECOND * 20);
     assert!(next.take_changes().is_empty(), "it is in the store already");
     let mut late = lone_table();
     let far = now + BLOCK_DURATION;
@@ -615,11 +642,11 @@
         Ok(false)
     );
     assert!(late.is_empty());
-    let foreign = StoredVerdict {
+    let invalid = StoredVerdict {
         bytes: b"{}".to_vec(),
         ..stored
     };
-    assert!(late.apply_stored(&foreign, far, 1_000_000).is_err());
+    assert!(late.apply_stored(&invalid, far, 1_000_000).is_err());
     table.lift(&request.to_string(), now);
     assert!(matches!(
         table.take_changes()[..],
@@ -627,60 +654,73 @@
     ));
 }
 
-// One by one means one: all nodes get the request at the same moment, again and again.
+// All nodes receive the request at the same moment, again and again; one by one means that one node at a time
+// sends it.
 #[test]
-fn request_in_doubt_runs_at_one_node_at_a_time() {
+fn suspect_request_runs_at_one_node_at_a_time() {
     let mut fleet = SuspectFleet::new(3, 4, 40);
     let request = identity("lab", "doubtful");
     for server in 0..4 {
         fleet.send_to(server, request, server);
     }
     for server in 0..4 {
-        fleet.end_server(server, WorkOutcome::Broken);
+        fleet.crash_server(server, WorkOutcome::Broken);
     }
     fleet.advance(SECOND);
     assert_eq!(fleet.state(5, request), SuspectState::OneByOne);
-    fleet.deadly.insert(request);
+    fleet.poison.insert(request);
     for node in 0..12 {
         fleet.send(node, request);
     }
     assert!(fleet.sent.len() <= 2, "{} at once", fleet.sent.len());
 }
 
-// A stranger must not be able to hold requests back: nor by a notice of its own, nor by one that it
-// recorded and sends again, nor by one that it recorded before an operator lifted the verdict.
+// Guards against a stranger that gets requests blocked: by a notice of its own, by a recorded one that it
+// sends again, or by one recorded before an operator lifted the verdict.
 #[test]
 fn forged_old_and_repeated_notices_change_nothing() {
     let mut fleet = SuspectFleet::new(1, 2, 18);
-    let deadly = identity("lab", "deadly");
-    fleet.deadly.insert(deadly);
-    send_until_held(&mut fleet, deadly);
+    let poison = identity("lab", "deadly");
+    fleet.poison.insert(poison);
+    send_until_blocked(&mut fleet, poison);
     let now = fleet.now;
     let far = fleet.unix_ms() + 100_000;
-    let told = fleet.nodes[0].told(now + SECOND, far);
-    assert!(!told.is_empty(), "it is told again each second");
-    let mut forged = told[0].clone();
+    let notices = fleet.nodes[0].sealed_notices(now + SECOND, far);
+    assert!(!notices.is_empty(), "it is sent again each second");
+    let mut forged = notices[0].clone();
     forged[8] ^= 1;
-    assert_eq!(fleet.hear(1, &forged), 1, "a code that does not fit");
-    assert_eq!(fleet.hear(1, b""), 1);
-    assert_eq!(fleet.hear(1, &told[0]), 1, "sent at another time of day");
+    assert_eq!(
+        fleet.receive_notice(1, &forged),
+        1,
+        "a seal that does not match"
+    );
+    assert_eq!(fleet.receive_notice(1, b""), 1);
+    assert_eq!(
+        fleet.receive_notice(1, &notices[0]),
+        1,
+        "sent at another time of day"
+    );
     let mut stranger = lone_table();
     stranger.set_config(&config(1, &["key-1"]));
     let mut other = SuspectFleet::new(1, 2, 18);
     other.nodes[0].table = stranger;
-    other.deadly.insert(deadly);
+    other.poison.insert(poison);
     for _ in 0..6 {
-        other.send(0, deadly);
+        other.send(0, poison);
         other.advance(SECOND);
     }
-    let told = other.nodes[0].told(other.now + SECOND * 2, fleet.unix_ms());
-    assert!(!told.is_empty());
-    for notice in &told {
-        assert_eq!(fleet.hear(1, notice), 1, "a caller knows its own key only");
+    let notices = other.nodes[0].sealed_notices(other.now + SECOND * 2, fleet.unix_ms());
+    assert!(!notices.is_empty());
+    for notice in &notices {
+        assert_eq!(
+            fleet.receive_notice(1, notice),
+            1,
+            "a caller knows its own key only"
+        );
     }
 }
 
-// Recorded before a verdict was lifted, a notice that is sent again within its time brings nothing back.
+// A notice recorded before a verdict was lifted, and sent again within its time, doesn't restore the verdict.
 #[test]
 fn repeated_notice_does_not_undo_a_release() {
     let mut table = lone_table();
@@ -689,54 +729,54 @@
     let mut now = fleet.now;
     for number in 0..3 {
         let server = server_entry(&format!("s{number}"));
-        end_under(&mut table, request, &server, now, now + MOMENT);
+        crash_under(&mut table, request, &server, now, now + MOMENT);
         now += SECOND * 4;
     }
     fleet.nodes[0].table = table;
-    let told = fleet.nodes[0].told(now, 1_000);
+    let notices = fleet.nodes[0].sealed_notices(now, 1_000);
     assert_eq!(fleet.state(0, request), SuspectState::Blocked);
     fleet.nodes[0].table.lift(&request.to_string(), now);
     assert_eq!(fleet.state(0, request), SuspectState::Free);
-    for notice in told {
-        fleet.nodes[0].hear_at(&notice, now, 1_000);
+    for notice in notices {
+        fleet.nodes[0].receive_notice_at(&notice, now, 1_000);
     }
     assert_eq!(fleet.state(0, request), SuspectState::Free);
     let server = server_entry("s9");
     let table = &mut fleet.nodes[0].table;
-    end_under(table, request, &server, now, now + MOMENT);
+    crash_under(table, request, &server, now, now + MOMENT);
     assert_eq!(
         fleet.state(0, request),
         SuspectState::Free,
-        "it counts anew"
+        "it counts from the start"
     );
 }
 
-// Somebody sends any number of different requests under which servers end. What is kept stays bounded, and
-// what is known of another workspace's request stays.
+// Somebody sends any number of different requests under which servers crash. The table stays bounded, and
+// keeps the records of another workspace's requests.
 #[test]
 fn what_is_kept_is_bounded_and_fair() {
     let mut table = lone_table();
     let mut now = Instant::now();
-    let held = identity("clinic", "deadly");
+    let blocked = identity("clinic", "deadly");
     for number in 0..3 {
         let server = server_entry(&format!("c{number}"));
-        end_under(&mut table, held, &server, now, now + MOMENT);
+        crash_under(&mut table, blocked, &server, now, now + MOMENT);
         now += SECOND;
     }
-    // Another one of theirs has ended one server so far.
-    let noted = identity("clinic", "noted");
+    // Another request of the same workspace has crashed one server so far.
+    let recorded = identity("clinic", "noted");
     let server = server_entry("n0");
-    end_under(&mut table, noted, &server, now, now + MOMENT);
+    crash_under(&mut table, recorded, &server, now, now + MOMENT);
     now += SECOND;
     for number in 0..20_000 {
         let request = identity("lab", &format!("text {number}"));
         let server = server_entry(&format!("s{number}"));
-        let began = now;
+        let started_at = now;
         now += Duration::from_millis(1);
         if number % 2 == 0 {
-            end_under(&mut table, request, &server, began, now);
+            crash_under(&mut table, request, &server, started_at, now);
         } else {
-            let ticket = table.begin(request, &server, ConnectionKind::New, began);
+            let ticket = table.begin(request, &server, ConnectionKind::New, started_at);
             table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, now);
         }
     }
@@ -744,19 +784,19 @@
     assert_eq!(table.blocked_count(), 1, "the other workspace's is kept");
     for number in 1..3 {
         let server = server_entry(&format!("n{number}"));
-        end_under(&mut table, noted, &server, now, now + MOMENT);
+        crash_under(&mut table, recorded, &server, now, now + MOMENT);
         now += SECOND;
     }
     assert_eq!(
         table.blocked_count(),
         2,
-        "and so is what was noted of the other"
+        "the record of the other request is kept too"
     );
     assert!(table.take_events().len() <= 64);
 }
 
-// A rack ends with hundreds of runs. All that is told goes into datagrams that also carry load and news of the
-// store: one that is too long would be lost whole. What weighs most is told first.
+// A rack crashes with hundreds of runs. Notices share datagrams with load reports and sync messages, and a
+// datagram that is too long would be lost whole. The strongest evidence is sent first.
 #[test]
 fn notices_stay_short_and_tell_the_worst_first() {
     let mut table = lone_table();
@@ -765,51 +805,51 @@
     let worst = identity("clinic", "deadly");
     for number in 0..500 {
         let request = identity("lab", &format!("text {number}"));
-        for copy in 0..number % 3 + 1 {
-            let server = server_entry(&format!("s{number}-{copy}"));
-            end_under(&mut table, request, &server, now, now + MOMENT);
+        for replica in 0..number % 3 + 1 {
+            let server = server_entry(&format!("s{number}-{replica}"));
+            crash_under(&mut table, request, &server, now, now + MOMENT);
         }
         now += Duration::from_millis(1);
     }
     for number in 0..3 {
         let server = server_entry(&format!("w{number}"));
-        end_under(&mut table, worst, &server, now, now + MOMENT);
+        crash_under(&mut table, worst, &server, now, now + MOMENT);
         now += SECOND;
     }
     let mut fleet = SuspectFleet::new(1, 1, 6);
     fleet.nodes[0].table = table;
     let mut next = lone_table();
     next.set_config(&config(2, &["key-2"]));
-    let told = fleet.nodes[0].told(now, 1_000);
-    assert_eq!(told.len(), 2, "one by each key");
-    assert!(told.iter().all(|notice| notice.len() <= 1_100));
+    let notices = fleet.nodes[0].sealed_notices(now, 1_000);
+    assert_eq!(notices.len(), 2, "one sealed with each key");
+    assert!(notices.iter().all(|notice| notice.len() <= 1_100));
     fleet.nodes[0].table = next;
-    for notice in &told {
-        fleet.nodes[0].hear_at(notice, now, 1_000);
+    for notice in &notices {
+        fleet.nodes[0].receive_notice_at(notice, now, 1_000);
     }
     assert_eq!(fleet.state(0, worst), SuspectState::Blocked);
 }
 
-// Keys change while nodes learn of it one after the other: what they tell each other still counts.
+// Keys change while nodes get them one after another: the notices that nodes send each other still count.
 #[test]
 fn change_of_the_keys_does_not_silence_the_nodes() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
-    let deadly = identity("lab", "deadly");
-    fleet.deadly.insert(deadly);
+    let poison = identity("lab", "deadly");
+    fleet.poison.insert(poison);
     for node in [0, 3] {
         fleet.nodes[node]
             .table
             .set_config(&config(2, &["key-1", "key-3"]));
     }
-    send_until_held(&mut fleet, deadly);
-    assert_eq!(fleet.ends.len(), 3);
+    send_until_blocked(&mut fleet, poison);
+    assert_eq!(fleet.crashes.len(), 3);
 }
 
-// What the talk of it costs: nothing while nothing ends, and a bounded number of bytes while a request is held
-// back, in a small fleet and in a large one.
+// Cost of the notices: no bytes while no server crashes, and a bounded number of bytes while a request is
+// blocked, in a small fleet and in a large one.
 #[test]
-fn quiet_fleet_tells_nothing_of_it() {
-    for (nodes_each, most) in [(2, 60.0), (65, 60.0)] {
+fn quiet_fleet_sends_no_notices() {
+    for (nodes_each, max_bytes) in [(2, 60.0), (65, 60.0)] {
         let mut fleet = SuspectFleet::new(3, nodes_each, 30);
         let nodes = fleet.nodes.len() as f64;
         let bytes_of = |fleet: &mut SuspectFleet| {
@@ -818,18 +858,21 @@
             (fleet.bytes - before) as f64 / nodes / 5.0
         };
         let quiet = bytes_of(&mut fleet);
-        let deadly = identity("lab", "deadly");
-        fleet.deadly.insert(deadly);
-        while !fleet.all_hold(deadly) {
+        let poison = identity("lab", "deadly");
+        fleet.poison.insert(poison);
+        while !fleet.all_block(poison) {
             for node in 0..3 {
-                fleet.send(node, deadly);
+                fleet.send(node, poison);
             }
             fleet.advance(SECOND);
         }
-        let held = bytes_of(&mut fleet);
+        let blocked = bytes_of(&mut fleet);
         println!(
-            "bytes a node and second: {quiet:.0} quiet, {held:.0} with one held back, {nodes} nodes"
+            "bytes per node and second: {quiet:.0} quiet, {blocked:.0} with one blocked, {nodes} nodes"
+        );
+        assert!(
+            blocked - quiet < max_bytes * 8.0,
+            "{quiet:.0} and {blocked:.0} bytes"
         );
-        assert!(held - quiet < most * 8.0, "{quiet:.0} and {held:.0} bytes");
     }
 }
--- a/crates/plumgate/tests/gateway_reading.rs
+++ b/crates/plumgate/tests/gateway_reading.rs
@@ -1,4 +1,4 @@
-//! Waits that are predicted by the speed at which engines were seen to read.
+//! Predicted waits, by the measured prefill speed of the engines.
 
 mod entries;
 
@@ -12,7 +12,7 @@
 };
 use plumgate::ids::PoolId;
 
-/// Tokens of the prompts of these tests.
+/// Prompt tokens of each request.
 const TOKENS: u32 = 33_600;
 
 fn prompt() -> PromptShape {
@@ -25,15 +25,15 @@
     }
 }
 
-/// A node before one server.
-struct ReadingBench {
+/// A node in front of one server.
+struct PrefillBench {
     table: LoadTable,
     pool: PoolId,
     prompt: PromptShape,
     now: Instant,
 }
 
-impl ReadingBench {
+impl PrefillBench {
     fn new(switches: PolicySwitches) -> Self {
         let now = Instant::now();
         let options = PlacementOptions::new("hall-a").with_switches(switches);
@@ -52,12 +52,12 @@
         self.table.pick(&request, self.now).expect("a server")
     }
 
-    /// A request whose answer begins after some time.
-    fn serve(&mut self, took: Duration) {
+    /// Sends a request whose answer begins after a given time.
+    fn serve(&mut self, latency: Duration) {
         let pick = self.pick();
         let request = request(&self.pool, &self.prompt);
         let mut ticket = self.table.start(&pick, &request, self.now);
-        self.now += took;
+        self.now += latency;
         self.table.record_first_byte(&mut ticket, self.now);
         self.table.finish(ticket, WorkOutcome::Answered, self.now);
     }
@@ -74,14 +74,14 @@
     }
 }
 
-// Callers wait twice as long as was predicted, and those who should have been refused come late: the
-// engines read more slowly than expected. What is predicted must follow what was seen, within a second
-// or two of a burst, and go back when it is over.
+// Guards against callers that wait twice as long as predicted, and late answers where callers should have
+// been refused: the engines' prefill is slower than expected. The prediction must follow the measured speed
+// within a second or two of a burst, and return to the expected speed afterwards.
 #[test]
 fn waits_are_predicted_as_they_were_seen() {
-    let mut bench = ReadingBench::new(PolicySwitches::new());
+    let mut bench = PrefillBench::new(PolicySwitches::new());
     let before = bench.pick().wait;
-    assert_eq!(before.as_millis(), 800, "42,000 tokens a second");
+    assert_eq!(before.as_millis(), 800, "42,000 tokens per second");
     for _ in 0..20 {
         bench.serve(Duration::from_millis(1_600));
     }
@@ -94,7 +94,7 @@
 
 #[test]
 fn one_odd_answer_moves_the_prediction_little() {
-    let mut bench = ReadingBench::new(PolicySwitches::new());
+    let mut bench = PrefillBench::new(PolicySwitches::new());
     bench.serve(Duration::from_secs(4));
     let wait = bench.pick().wait;
     assert!(wait < Duration::from_millis(1_800), "{wait:?}");
@@ -110,7 +110,7 @@
 
 #[test]
 fn nothing_is_learnt_where_that_is_switched_off() {
-    let mut bench = ReadingBench::new(PolicySwitches::new().without(PolicyPart::PrefillSpeed));
+    let mut bench = PrefillBench::new(PolicySwitches::new().without(PolicyPart::PrefillSpeed));
     for _ in 0..20 {
         bench.serve(Duration::from_millis(1_600));
     }
--- a/crates/plumgate/tests/gateway_servers.rs
+++ b/crates/plumgate/tests/gateway_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that register themselves, and data centres that can't be reached.
+//! Registered servers, and data centres that can't be reached.
 
 mod entries;
 
@@ -10,14 +10,14 @@
 use plumgate::ids::ServerId;
 use quickcheck::quickcheck;
 
-use entries::{born_entry, server_entry};
+use entries::{entry_with_start_time, server_entry};
 
 fn ready(table: &ServerTable) -> Vec<&str> {
     table.ready().map(|entry| &*entry.id).collect()
 }
 
 #[test]
-fn repeated_entry_is_no_news() {
+fn repeated_entry_is_no_change() {
     let mut table = ServerTable::new();
     assert_eq!(
         table.put(server_entry("a")),
@@ -37,22 +37,22 @@
     assert!(ready(&table).is_empty());
 }
 
-// Callers see no refusals after an outage of the store. While it was away the servers could not
-// renew their entries, which lapsed; on its return the node reads an almost empty list, and the
-// servers are back in it within two seconds.
+// Guards against refused callers after an outage of the store. Servers can't renew their entries meanwhile,
+// so that the entries lapse; when the store is back, a node reads an almost empty list, and the servers are
+// registered again within two seconds.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_doubted_first() {
+fn entries_that_lapsed_in_an_outage_are_unconfirmed_first() {
     let now = Instant::now();
-    let doubt = Some(Duration::from_millis(1_800));
+    let grace_period = Some(Duration::from_millis(1_800));
     let mut table = ServerTable::new();
     table.put(server_entry("lives"));
     table.put(server_entry("gone"));
-    let changes = table.replace(Vec::new(), &[], doubt, now);
+    let changes = table.replace(Vec::new(), &[], grace_period, now);
     assert_eq!(changes.len(), 2);
     assert_eq!(ready(&table), ["gone", "lives"], "both stay in use");
     table.put(server_entry("lives"));
-    let over = table.tick(now + Duration::from_secs(2));
-    assert_eq!(over, [ServerChange::Gone("gone".into())]);
+    let expired = table.tick(now + Duration::from_secs(2));
+    assert_eq!(expired, [ServerChange::Gone("gone".into())]);
     assert_eq!(ready(&table), ["lives"]);
 }
 
@@ -66,85 +66,91 @@
     assert!(table.is_empty());
 }
 
-// Behind a cut each connection hangs until its timeout. Callers would wait once for each server
-// of the data centre; two silent ones are enough to leave it alone.
+// Guards against callers that wait for one timeout for each server of a data centre that is cut off, as each
+// connection hangs until its timeout: two silent servers are enough to avoid the data centre.
 #[test]
 fn two_silent_servers_mean_their_data_centre() {
     let now = Instant::now();
     let mut table = DataCentreTable::new();
-    let hall = "hall-a".into();
-    table.record_unanswered(&hall, &"a".into(), now);
-    table.record_unanswered(&hall, &"a".into(), now);
-    assert!(!table.is_cut_off(&hall), "one server may be down by itself");
-    table.record_unanswered(&hall, &"b".into(), now);
-    assert!(table.is_cut_off(&hall));
+    let data_centre = "hall-a".into();
+    table.record_unanswered(&data_centre, &"a".into(), now);
+    table.record_unanswered(&data_centre, &"a".into(), now);
+    assert!(
+        !table.is_cut_off(&data_centre),
+        "one server may be down by itself"
+    );
+    table.record_unanswered(&data_centre, &"b".into(), now);
+    assert!(table.is_cut_off(&data_centre));
     assert!(!table.is_cut_off(&"hall-b".into()));
-    assert_eq!(table.due_probes(now), std::slice::from_ref(&hall));
-    assert!(table.due_probes(now).is_empty(), "probes come at a pace");
-    table.record_answer(&hall);
+    assert_eq!(table.due_probes(now), std::slice::from_ref(&data_centre));
+    assert!(
+        table.due_probes(now).is_empty(),
+        "probes are sent at intervals"
+    );
+    table.record_answer(&data_centre);
     assert!(
-        !table.is_cut_off(&hall),
-        "a probe that gets through ends it"
+        !table.is_cut_off(&data_centre),
+        "a successful probe ends it"
     );
 }
 
 #[test]
-fn silences_far_apart_are_servers_of_their_own() {
+fn silences_far_apart_do_not_cut_off_a_data_centre() {
     let now = Instant::now();
     let mut table = DataCentreTable::new();
-    let hall = "hall-a".into();
-    table.record_unanswered(&hall, &"a".into(), now);
-    table.record_unanswered(&hall, &"b".into(), now + Duration::from_secs(10));
-    assert!(!table.is_cut_off(&hall));
+    let data_centre = "hall-a".into();
+    table.record_unanswered(&data_centre, &"a".into(), now);
+    table.record_unanswered(&data_centre, &"b".into(), now + Duration::from_secs(10));
+    assert!(!table.is_cut_off(&data_centre));
 }
 
 #[test]
 fn server_that_starts_again_under_its_id_is_another_incarnation() {
     let mut table = ServerTable::new();
-    table.put(born_entry("a", 100));
+    table.put(entry_with_start_time("a", 100));
     let renewed = ServerEntry {
         state: ServerState::Draining,
-        ..born_entry("a", 100)
+        ..entry_with_start_time("a", 100)
     };
     assert_eq!(
         table.put(renewed.clone()),
         Some(ServerChange::Changed(renewed))
     );
-    let next = born_entry("a", 200);
+    let next = entry_with_start_time("a", 200);
     assert_eq!(table.put(next.clone()), Some(ServerChange::Restarted(next)));
-    assert_eq!(ready(&table), ["a"], "the one that left is over");
+    assert_eq!(ready(&table), ["a"], "the draining incarnation is replaced");
 }
 
-// Requests at a server that just started again are cut off. A write of its predecessor comes late:
-// the store carried it out after the successor's first one. It must change nothing.
+// Guards against cutting off requests at a server that has just restarted: the store applies a late write of
+// the previous incarnation after the first one of the new incarnation. The late write must change nothing.
 #[test]
-fn late_entry_of_an_earlier_incarnation_is_no_news() {
+fn late_entry_of_an_earlier_incarnation_is_no_change() {
     let mut table = ServerTable::new();
-    table.put(born_entry("a", 100));
-    table.put(born_entry("a", 200));
+    table.put(entry_with_start_time("a", 100));
+    table.put(entry_with_start_time("a", 200));
     let late = ServerEntry {
         state: ServerState::Draining,
-        ..born_entry("a", 100)
+        ..entry_with_start_time("a", 100)
     };
     assert_eq!(table.put(late), None);
     assert_eq!(ready(&table), ["a"]);
     assert!(
         table.is_foreign(&server_entry("a")),
-        "it has said it before"
+        "its earlier entries had a start time"
     );
     assert!(!table.is_foreign(&server_entry("b")));
 }
 
-// Callers are sent to a server whose entry somebody else has overwritten. An entry that makes no
-// sense did not lapse, so an outage shortly before is no reason to keep the server.
+// Guards against requests to a server whose entry was overwritten by somebody else. An invalid entry did not
+// lapse, so that a recent outage is no reason to keep the server.
 #[test]
-fn server_whose_entry_is_unusable_is_not_doubted() {
+fn server_whose_entry_is_unusable_is_not_kept() {
     let now = Instant::now();
-    let doubt = Some(Duration::from_millis(1_800));
+    let grace_period = Some(Duration::from_millis(1_800));
     let mut table = ServerTable::new();
     table.put(server_entry("lapsed"));
     table.put(server_entry("spoilt"));
-    let changes = table.replace(Vec::new(), &["spoilt".into()], doubt, now);
+    let changes = table.replace(Vec::new(), &["spoilt".into()], grace_period, now);
     let expected = [
         ServerChange::Unconfirmed("lapsed".into()),
         ServerChange::Gone("spoilt".into()),
@@ -154,8 +160,8 @@
 }
 
 quickcheck! {
-    /// Whatever entries come in whatever order, the incarnation in use is never older than one that
-    /// was in use since the entry last went.
+    /// For any order of entries, the incarnation in use is never older than one that was in use since the
+    /// entry was last removed.
     fn incarnations_only_go_on(writes: Vec<(u8, Option<u8>)>) -> bool {
         let mut table = ServerTable::new();
         let mut newest = [None; 4];
@@ -168,14 +174,15 @@
                 return true;
             };
             let start_time = u64::from(*start_time);
-            table.put(born_entry(&id, start_time));
+            table.put(entry_with_start_time(&id, start_time));
             newest[slot] = newest[slot].max(Some(start_time));
             table.ready().all(|entry| *entry.id != *id || entry.start_time == newest[slot])
         })
     }
 }
 
-/// A list that the store read from an old copy made a draining server ready again.
+/// Guards against a draining server that becomes ready again, by a list that the store read from an outdated
+/// replica.
 #[test]
 fn older_row_does_not_make_a_draining_server_ready() {
     let mut table = ServerTable::new();
--- a/crates/plumgate/tests/gateway_switches.rs
+++ b/crates/plumgate/tests/gateway_switches.rs
@@ -1,13 +1,13 @@
-//! Mechanisms of the policy that can be switched off.
+//! Mechanisms of the placement policy that can be switched off.
 
 use std::collections::BTreeSet;
 
 use plumgate::gateway::{PolicyPart, PolicySwitches};
 
 #[test]
-fn each_mechanism_has_a_word_of_its_own() {
-    let words: BTreeSet<&str> = PolicyPart::all().map(PolicyPart::as_str).collect();
-    assert_eq!(words.len(), PolicyPart::all().count());
+fn each_mechanism_has_its_own_name() {
+    let names: BTreeSet<&str> = PolicyPart::all().map(PolicyPart::as_str).collect();
+    assert_eq!(names.len(), PolicyPart::all().count());
     for part in PolicyPart::all() {
         assert_eq!(part.as_str().parse(), Ok(part));
     }
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -1,4 +1,4 @@
-//! What single nodes decide about servers that name limits.
+//! What single nodes decide about servers that state limits.
 
 mod entries;
 
@@ -13,7 +13,8 @@
     Duration::from_secs_f64(count)
 }
 
-/// Less urgent requests that were turned away kept more urgent ones of the same node from the server.
+/// Guards against less urgent requests that were deferred and keep more urgent ones of the same node from
+/// the server.
 #[test]
 fn most_urgent_requests_go_first_and_others_are_not_starved() {
     let server = entries::server_entry("limited");
@@ -28,7 +29,7 @@
     let mut now = seconds(2.0);
     for step in 0..6_000 {
         now += Duration::from_millis(10);
-        // Either kind alone would use the limit up ten times.
+        // Either kind alone would use ten times the limit.
         let urgency = if step % 2 == 0 { 1 } else { 4 };
         if let PermitStatus::Granted(_) = limits.request_permit(&server, urgency, now) {
             sent[usize::from(urgency == 4)] += 1;
@@ -39,7 +40,8 @@
     assert!(others >= 20, "{urgent} urgent and {others} others in 60 s");
 }
 
-/// A request that waited for its connection was sent although its server had named a limit meanwhile.
+/// Guards against a request that waits for its connection and is sent although its server stated a limit
+/// meanwhile.
 #[test]
 fn request_that_waited_for_a_connection_needs_a_permit_too() {
     let server = entries::server_entry("limited");
@@ -56,16 +58,16 @@
     limits.record_answer(&server, named);
     assert!(!limits.allows(&server, None, seconds(1.2)));
     let PermitStatus::Granted(permit) = limits.request_permit(&server, 0, seconds(4.0)) else {
-        panic!("the server gets one a second");
+        panic!("the server takes one request a second");
     };
     assert!(limits.allows(&server, Some(&permit), seconds(4.1)));
     assert!(
         !limits.allows(&server, Some(&permit), seconds(5.0)),
-        "it was saved up"
+        "the permit has expired"
     );
 }
 
-/// An answer that came late lifted a limit, or brought one back that had ended.
+/// Guards against an answer that arrives late and lifts a limit, or restores one that had ended.
 #[test]
 fn answers_that_overtake_each_other_neither_lift_nor_restore_a_limit() {
     let server = entries::server_entry("limited");
@@ -76,7 +78,7 @@
         seen: seconds(seen),
     };
     limits.record_answer(&server, observation(Some(1.0), 10.0, 10.5));
-    // It left before the limit was seen: it may have been written before.
+    // Its request was sent before the limit was seen, so the answer may have been written before.
     assert_eq!(
         limits.record_answer(&server, observation(None, 10.2, 11.0)),
         None
@@ -87,7 +89,7 @@
     );
     let ended = limits.record_answer(&server, observation(None, 11.0, 11.2));
     assert_eq!(ended, Some(LimitChange::Ended));
-    // It came after the end, and was written before it.
+    // It arrived after the end of the limit, and was written before it.
     assert_eq!(
         limits.record_answer(&server, observation(Some(1.0), 9.0, 10.9)),
         None
@@ -95,23 +97,34 @@
     assert_eq!(limits.rate(&server), None);
 }
 
-/// A server that started again under its id was held to the limit of the one before.
+/// Guards against applying a limit to the next incarnation of a server that restarted under its id.
 #[test]
 fn server_that_starts_again_has_no_limit_and_its_entry_may_lapse_and_return() {
     let mut limits = ServerLimits::new(false, 1);
-    let before = entries::born_entry("limited", 1);
+    let before = entries::entry_with_start_time("limited", 1);
     let named = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
         seen: seconds(1.0),
     };
     limits.record_answer(&before, named);
-    assert_eq!(limits.rate(&entries::born_entry("limited", 2)), None);
-    assert!(limits.rate(&entries::born_entry("limited", 1)).is_some());
+    assert_eq!(
+        limits.rate(&entries::entry_with_start_time("limited", 2)),
+        None
+    );
+    assert!(
+        limits
+            .rate(&entries::entry_with_start_time("limited", 1))
+            .is_some()
+    );
 }
 
-/// One of two nodes that talk to each other, under the keys of a configuration.
-fn talker(own: &NodeEntry, entries: &[NodeEntry], key: &str) -> (LoadExchange, ServerLimits) {
+/// One of two nodes that exchange messages, with the keys of a configuration.
+fn node_with_key(
+    own: &NodeEntry,
+    entries: &[NodeEntry],
+    key: &str,
+) -> (LoadExchange, ServerLimits) {
     let mut exchange = LoadExchange::new(own.clone());
     exchange.set_nodes(entries.to_vec());
     let workspace = WorkspaceKeys {
@@ -124,110 +137,125 @@
     (exchange, limits)
 }
 
-/// What a node believes that got a message about a limit, sealed under some key and some milliseconds ago.
-fn believes(key: &str, late_ms: u64) -> bool {
+/// Whether a node applies a limit from a message that was sealed under some key, some milliseconds ago.
+fn applies_limit(key: &str, late_ms: u64) -> bool {
     let entries = entries::node_entries(1, 2);
-    let (sender, mut told) = talker(&entries[0], &entries, key);
-    let (mut receiver, mut limits) = talker(&entries[1], &entries, "key-1");
+    let (sender, mut sender_limits) = node_with_key(&entries[0], &entries, key);
+    let (mut receiver, mut limits) = node_with_key(&entries[1], &entries, "key-1");
     let server = entries::server_entry("limited");
     let named = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
         seen: seconds(1.0),
     };
-    told.record_answer(&server, named);
-    let mut desk = SyncState::new(seconds(5.0), 1);
+    sender_limits.record_answer(&server, named);
+    let mut sync_state = SyncState::new(seconds(5.0), 1);
     let sent = MessageTime {
         boot: seconds(1.1),
         unix_ms: 1_767_225_600_000,
     };
-    let came = MessageTime {
+    let received = MessageTime {
         boot: seconds(500.0),
         unix_ms: sent.unix_ms + late_ms,
     };
     let moment = ExchangeMoment {
         now: Instant::now(),
-        boot: came.boot,
+        boot: received.boot,
     };
-    let packets = told.run_round(&sender, sent);
-    assert!(!packets.is_empty(), "a limit is told");
+    let packets = sender_limits.run_round(&sender, sent);
+    assert!(!packets.is_empty(), "a limit is reported");
     for (_, bytes) in packets {
         let from = entries[0].address;
-        let taken = receiver.receive(&bytes, from, &mut desk, moment);
-        taken.expect("a message");
+        let result = receiver.receive(&bytes, from, &mut sync_state, moment);
+        result.expect("a message");
     }
-    let mail = receiver.take_statements();
-    let (_, outcome) = limits.receive(&receiver, mail, came);
-    let is_believed = limits.rate(&server).is_some();
-    assert_eq!(outcome.refused == 0, is_believed);
-    is_believed
+    let statements = receiver.take_statements();
+    let (_, outcome) = limits.receive(&receiver, statements, received);
+    let is_applied = limits.rate(&server).is_some();
+    assert_eq!(outcome.refused == 0, is_applied);
+    is_applied
 }
 
-/// Somebody who knows no keys, or sends an old message once more, told nodes of limits.
+/// Guards against limits from a sender without the keys, and from an old message that is sent once more.
 #[test]
 fn forged_and_old_messages_change_nothing() {
-    assert!(believes("key-1", 0), "a node is believed");
-    assert!(!believes("another key", 0), "a stranger is not");
     assert!(
-        !believes("key-1", 60_000),
-        "nor is what was said a minute ago"
+        applies_limit("key-1", 0),
+        "a node with the same key is trusted"
+    );
+    assert!(
+        !applies_limit("another key", 0),
+        "a sender with another key is refused"
+    );
+    assert!(
+        !applies_limit("key-1", 60_000),
+        "a message from a minute ago is refused"
     );
 }
 
-/// Has a node that knows of a limit hear of its end, in a message that was on its way for some time; whether it
-/// believes that.
-fn believes_end(known_seen: f64, end_sent: f64, told: f64, heard: f64, rounds: &[f64]) -> bool {
+/// Sends a node that knows of a limit a message about the limit's end, with some delay; returns whether the
+/// node applies it.
+fn applies_end(
+    known_seen: f64,
+    end_sent: f64,
+    reported: f64,
+    received: f64,
+    rounds: &[f64],
+) -> bool {
     let entries = entries::node_entries(1, 2);
-    let (sender, mut teller) = talker(&entries[0], &entries, "key-1");
-    let (mut receiver, mut limits) = talker(&entries[1], &entries, "key-1");
+    let (sender, mut sender_limits) = node_with_key(&entries[0], &entries, "key-1");
+    let (mut receiver, mut limits) = node_with_key(&entries[1], &entries, "key-1");
     let server = entries::server_entry("limited");
     let observation = |rate: Option<f64>, sent: f64| LimitObservation {
         rate: rate.and_then(RequestRate::new),
         sent: seconds(sent),
         seen: seconds(sent + 0.01),
     };
-    let mail = |at: f64| MessageTime {
+    let message_time = |at: f64| MessageTime {
         boot: seconds(at),
         unix_ms: 1_767_225_600_000,
     };
-    teller.record_answer(&server, observation(Some(1.0), 5.0));
-    teller.record_answer(&server, observation(None, end_sent));
+    sender_limits.record_answer(&server, observation(Some(1.0), 5.0));
+    sender_limits.record_answer(&server, observation(None, end_sent));
     limits.record_answer(&server, observation(Some(1.0), known_seen));
     for at in rounds {
-        limits.run_round(&receiver, mail(*at));
+        limits.run_round(&receiver, message_time(*at));
     }
-    let mut desk = SyncState::new(seconds(5.0), 1);
+    let mut sync_state = SyncState::new(seconds(5.0), 1);
     let moment = ExchangeMoment {
         now: Instant::now(),
-        boot: seconds(heard),
+        boot: seconds(received),
     };
-    for (_, bytes) in teller.run_round(&sender, mail(told)) {
-        let taken = receiver.receive(&bytes, entries[0].address, &mut desk, moment);
-        taken.expect("a message");
+    for (_, bytes) in sender_limits.run_round(&sender, message_time(reported)) {
+        let result = receiver.receive(&bytes, entries[0].address, &mut sync_state, moment);
+        result.expect("a message");
     }
-    let mails = receiver.take_statements();
-    limits.receive(&receiver, mails, mail(heard));
+    let statements = receiver.take_statements();
+    limits.receive(&receiver, statements, message_time(received));
     limits.rate(&server).is_none()
 }
 
-/// A message that came late said that a limit had ended which the server named again meanwhile.
+/// Guards against a late message about the end of a limit that the server has stated again meanwhile.
 #[test]
-fn end_that_is_told_late_lifts_no_newer_limit() {
+fn end_that_is_reported_late_lifts_no_newer_limit() {
     let rounds = [8.0, 8.4, 8.8, 9.2, 9.6];
-    assert!(believes_end(8.0, 9.5, 9.6, 9.7, &rounds), "news in time");
+    assert!(
+        applies_end(8.0, 9.5, 9.6, 9.7, &rounds),
+        "the message arrives in time"
+    );
     let rounds = [8.8, 9.2, 9.6, 10.0, 10.4];
     assert!(
-        !believes_end(10.0, 9.5, 9.6, 10.4, &rounds),
-        "0.8 s on its way"
+        !applies_end(10.0, 9.5, 9.6, 10.4, &rounds),
+        "the message was 0.8 s in transit"
     );
 }
 
-/// A node that woke believed what had waited for it as long as it stood still.
+/// Guards against a node that resumes and applies messages which waited for as long as it was suspended.
 #[test]
-fn node_that_wakes_believes_no_end_that_waited_for_it() {
+fn node_that_resumes_ignores_old_reports_of_an_end() {
     let before = [15.8, 16.0];
     assert!(
-        !believes_end(15.0, 16.9, 17.0, 20.0, &before),
-        "it stood still from 16 to 20"
+        !applies_end(15.0, 16.9, 17.0, 20.0, &before),
+        "the node was suspended from 16 s to 20 s"
     );
 }
