--- a/crates/plumgate/tests/limit_fleet/judge.rs
+++ b/crates/plumgate/tests/limit_fleet/limit_checker.rs
@@ -1,19 +1,19 @@
-//! Judges what the server got, as the server would.
+//! Checks what the server got, as the server would.
 
 use std::time::Duration;
 
 use super::{Micros, micros};
 
-/// The time in which a limit is judged.
+/// The time in which a limit is checked.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Requests in a window that are allowed beyond the limit's.
 const EXTRA: f64 = 5.0;
-/// Time in which all nodes must keep to a limit, from when it is named and from a node's start on.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Time until all nodes must keep to a limit, from when it is stated and from a node's start on.
+const GRACE_TIME: Duration = Duration::from_secs(3);
 
-/// A limit from a moment on.
+/// A limit from some time on.
 #[derive(Clone, Copy, Debug)]
-struct NamedLimit {
+struct StatedLimit {
     from: Micros,
     rate: Option<f64>,
 }
@@ -25,44 +25,50 @@
     started: Micros,
 }
 
-/// What came, and what was named.
+/// The limits that were stated, the requests that arrived at the server and the demand.
 #[derive(Debug, Default)]
-pub(crate) struct LimitJudge {
-    limits: Vec<NamedLimit>,
+pub(crate) struct LimitChecker {
+    limits: Vec<StatedLimit>,
     arrivals: Vec<Arrival>,
     demands: Vec<Micros>,
 }
 
-impl LimitJudge {
-    pub(crate) fn note_limit(&mut self, rate: Option<f64>, now: Micros) {
-        self.limits.push(NamedLimit { from: now, rate });
+impl LimitChecker {
+    pub(crate) fn record_limit(&mut self, rate: Option<f64>, now: Micros) {
+        self.limits.push(StatedLimit { from: now, rate });
     }
 
-    pub(crate) fn note_arrival(&mut self, started: Micros, now: Micros) {
+    pub(crate) fn record_arrival(&mut self, started: Micros, now: Micros) {
         self.arrivals.push(Arrival { at: now, started });
     }
 
-    pub(crate) fn note_demand(&mut self, now: Micros) {
+    pub(crate) fn record_demand(&mut self, now: Micros) {
         self.demands.push(now);
     }
 
-    /// The worst window: by how many requests more than its limit and five it holds, and where it begins.
-    pub(crate) fn worst(&self) -> Option<(f64, Micros, usize)> {
-        let windows = self.limits.iter().enumerate().filter_map(|(place, limit)| {
-            let rate = limit.rate?;
-            let end = self
-                .limits
-                .get(place + 1)
-                .map_or(Micros::MAX, |next| next.from);
-            let begin = limit.from + micros(CONTACT);
-            self.worst_between(begin, end, rate)
-        });
+    /// Returns the worst window: by how many requests it exceeds its limit and five, where it begins, and
+    /// how many it holds.
+    pub(crate) fn worst_window(&self) -> Option<(f64, Micros, usize)> {
+        let windows = self
+            .limits
+            .iter()
+            .enumerate()
+            .filter_map(|(position, limit)| {
+                let rate = limit.rate?;
+                let end = self
+                    .limits
+                    .get(position + 1)
+                    .map_or(Micros::MAX, |next| next.from);
+                let begin = limit.from + micros(GRACE_TIME);
+                self.worst_between(begin, end, rate)
+            });
         windows.max_by(|one, other| one.0.total_cmp(&other.0))
     }
 
     fn worst_between(&self, begin: Micros, end: Micros, rate: f64) -> Option<(f64, Micros, usize)> {
         let judged = self.arrivals.iter().filter(|arrival| {
-            let is_known = arrival.started == 0 || arrival.at >= arrival.started + micros(CONTACT);
+            let is_known =
+                arrival.started == 0 || arrival.at >= arrival.started + micros(GRACE_TIME);
             is_known && (begin..end).contains(&arrival.at)
         });
         let times: Vec<Micros> = judged.map(|arrival| arrival.at).collect();
@@ -82,13 +88,13 @@
         worst
     }
 
-    /// The share of the callers' requests of a time that arrived.
-    pub(crate) fn served(&self, from: Micros, to: Micros) -> f64 {
+    /// Returns the share of the callers' requests in a time that arrived.
+    pub(crate) fn served_share(&self, from: Micros, to: Micros) -> f64 {
         let demands = self.demands.iter().filter(|at| (from..to).contains(*at));
         self.rate(from, to) * ((to - from) as f64 / 1e6) / demands.count() as f64
     }
 
-    /// Requests a second that arrived in a time.
+    /// Returns the requests a second that arrived in a time.
     pub(crate) fn rate(&self, from: Micros, to: Micros) -> f64 {
         let arrivals = self
             .arrivals
--- a/crates/plumgate/tests/limit_fleet/mod.rs
+++ b/crates/plumgate/tests/limit_fleet/mod.rs
@@ -1,11 +1,11 @@
-//! A fleet of decision states before one server that names limits, under messages that are late, lost, repeated
-//! or reordered, and nodes that end, start again, stand still or are cut off.
+//! A fleet of decision states before one server that states limits, under messages that are late, lost,
+//! repeated or reordered, and nodes that end, restart, are suspended or are cut off.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 mod faults;
-mod judge;
+mod limit_checker;
 mod node;
-mod notice_judge;
+mod notice_checker;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -14,13 +14,13 @@
 
 use plumgate::gateway::{LeaveStatement, NodeEntry, RequestRate, RestStatement, ServerEntry};
 
-pub(crate) use judge::LimitJudge;
+pub(crate) use limit_checker::LimitChecker;
 use node::{FleetAnswer, FleetNode};
-pub(crate) use notice_judge::NoticeJudge;
+pub(crate) use notice_checker::NoticeChecker;
 
 use super::entries::{node_entries, server_entry};
 
-/// A moment of the model, in microseconds since its start.
+/// A time of the simulation, in microseconds since its start.
 pub(crate) type Micros = u64;
 
 /// Time between two rounds of a node.
@@ -28,25 +28,25 @@
 /// Milliseconds of the Unix epoch at the start.
 const UNIX_START_MS: u64 = 1_767_225_600_000;
 
-/// How the nodes and their network are.
+/// Size of the fleet, demand, and faults of its network.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetShape {
-    pub(crate) centres: usize,
+    pub(crate) data_centres: usize,
     pub(crate) nodes_each: usize,
-    /// Requests a second that callers bring to all nodes together.
+    /// Requests a second that callers send to all nodes together.
     pub(crate) demand: f64,
-    /// Share of messages that are lost, and that come twice.
+    /// Share of messages that are lost, and of those that arrive twice.
     pub(crate) lost: f64,
     pub(crate) repeated: f64,
-    /// Share of messages that come up to two seconds late.
+    /// Share of messages that arrive up to two seconds late.
     pub(crate) late: f64,
     pub(crate) seed: u64,
 }
 
 impl FleetShape {
-    pub(crate) fn new(centres: usize, nodes_each: usize, demand: f64) -> Self {
+    pub(crate) fn new(data_centres: usize, nodes_each: usize, demand: f64) -> Self {
         Self {
-            centres,
+            data_centres,
             nodes_each,
             demand,
             lost: 0.0,
@@ -57,81 +57,81 @@
     }
 }
 
-/// What the server says in its answers.
+/// What the server states in its answers.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ServerWords {
+pub(crate) struct StatedConditions {
     pub(crate) limit: Option<f64>,
     pub(crate) is_leaving: bool,
-    /// The rest that it asks for as it turns requests away; none where it takes them.
+    /// The rest that it asks for when it refuses requests; none while it accepts them.
     pub(crate) rest: Option<Duration>,
 }
 
-/// What happens at some moment.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 enum FleetEvent {
     /// A node's round.
     Round(usize),
     /// A message arrives.
     Packet(SocketAddr, SocketAddr, Vec<u8>),
-    /// A caller's request comes to some node.
+    /// A caller's request arrives at some node.
     Caller,
     /// A node sends a request, if it still may.
-    Send(usize, u32, node::Sending),
+    Send(usize, u32, node::PermittedRequest),
     /// An answer arrives at the node that sent the request.
     Answer(usize, u32, FleetAnswer),
-    /// A node learns of another life of the server.
+    /// A node learns of another incarnation of the server.
     Restarted(usize, u64),
-    /// An ask is sent again.
-    AskAgain(usize, u32, u64),
-    /// The time of an ask is over.
-    AskOver(usize, u32, u64),
-    /// A node goes on that stood still.
+    /// A permit request is sent again.
+    ResendPermitRequest(usize, u32, u64),
+    /// The time to wait for a permit is over.
+    PermitTimeout(usize, u32, u64),
+    /// A suspended node resumes.
     Resume(usize),
     /// A node starts again.
     Start(usize),
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub(crate) struct LimitFleet {
     pub(crate) shape: FleetShape,
     pub(crate) now: Micros,
-    pub(crate) judge: LimitJudge,
+    pub(crate) limit_checker: LimitChecker,
     pub(crate) server: ServerEntry,
-    pub(crate) notices: NoticeJudge,
-    /// What the server says of itself.
-    pub(crate) words: ServerWords,
-    /// Bytes that nodes sent about limits and all else.
+    pub(crate) notice_checker: NoticeChecker,
+    /// What the server states of itself.
+    pub(crate) stated: StatedConditions,
+    /// Bytes that nodes sent, about limits and all else.
     pub(crate) bytes: u64,
     nodes: Vec<FleetNode>,
-    /// Nodes whose messages do not reach another one, by sender and receiver.
-    deaf_pairs: BTreeSet<(usize, usize)>,
+    /// Pairs of sender and receiver between which messages are dropped.
+    dropped_pairs: BTreeSet<(usize, usize)>,
     entries: Vec<NodeEntry>,
-    places: BTreeMap<SocketAddr, usize>,
-    events: BinaryHeap<Reverse<(Micros, u64, EventBox)>>,
-    count: u64,
+    indexes: BTreeMap<SocketAddr, usize>,
+    events: BinaryHeap<Reverse<(Micros, u64, UnorderedEvent)>>,
+    event_count: u64,
     start: Instant,
     rng: fastrand::Rng,
 }
 
-/// An event that takes no part in the order.
+/// An event that does not count in the order.
 #[derive(Debug)]
-struct EventBox(FleetEvent);
+struct UnorderedEvent(FleetEvent);
 
-impl PartialEq for EventBox {
+impl PartialEq for UnorderedEvent {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
 
-impl Eq for EventBox {}
+impl Eq for UnorderedEvent {}
 
-impl PartialOrd for EventBox {
+impl PartialOrd for UnorderedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for EventBox {
+impl Ord for UnorderedEvent {
     fn cmp(&self, _: &Self) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
@@ -139,7 +139,7 @@
 
 impl LimitFleet {
     pub(crate) fn new(shape: FleetShape) -> Self {
-        let entries = node_entries(shape.centres, shape.nodes_each);
+        let entries = node_entries(shape.data_centres, shape.nodes_each);
         let start = Instant::now() + Duration::from_secs(1_000);
         let mut server = server_entry("limited");
         server.data_centre = "hall-0".into();
@@ -150,30 +150,30 @@
             FleetNode::new(own, &entries, &server, offset, rng.u64(..))
         });
         let nodes = nodes.collect();
-        let places = entries.iter().enumerate();
-        let places = places
+        let indexes = entries.iter().enumerate();
+        let indexes = indexes
             .map(|(index, entry)| (entry.address, index))
             .collect();
         let mut fleet = Self {
             shape,
             now: 0,
-            judge: LimitJudge::default(),
+            limit_checker: LimitChecker::default(),
             server,
-            notices: NoticeJudge::default(),
-            words: ServerWords::default(),
+            notice_checker: NoticeChecker::default(),
+            stated: StatedConditions::default(),
             bytes: 0,
             nodes,
-            deaf_pairs: BTreeSet::new(),
+            dropped_pairs: BTreeSet::new(),
             entries,
-            places,
+            indexes,
             events: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             start,
             rng,
         };
         for index in 0..fleet.nodes.len() {
             let at = fleet.rng.u64(0..ROUND);
-            fleet.at(at, FleetEvent::Round(index));
+            fleet.schedule(at, FleetEvent::Round(index));
         }
         fleet.next_caller();
         fleet
@@ -183,30 +183,30 @@
         self.nodes.len()
     }
 
-    /// Lets time go on.
+    /// Advances the simulated time.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + micros(time);
         while let Some(Reverse((at, _, _))) = self.events.peek() {
             if *at > end {
                 break;
             }
-            let Some(Reverse((at, _, EventBox(event)))) = self.events.pop() else {
+            let Some(Reverse((at, _, UnorderedEvent(event)))) = self.events.pop() else {
                 break;
             };
             self.now = at;
-            self.happen(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    /// The server names a limit, or none any more.
+    /// Makes the server state a limit, or none any more.
     pub(crate) fn set_limit(&mut self, limit: Option<f64>) {
-        self.words.limit = limit;
-        self.judge.note_limit(limit, self.now);
+        self.stated.limit = limit;
+        self.limit_checker.record_limit(limit, self.now);
     }
 
-    /// Whether a node believes that the server is limited.
-    pub(crate) fn believes_limited(&self, index: usize) -> bool {
+    /// Whether a node regards the server as limited.
+    pub(crate) fn knows_limit(&self, index: usize) -> bool {
         self.nodes[index]
             .statements
             .limits
@@ -221,7 +221,7 @@
         notices.leaving_since(&self.server).is_some()
     }
 
-    /// The nodes that issue permits.
+    /// Returns the nodes that issue permits.
     pub(crate) fn issuers(&self) -> Vec<usize> {
         let now = self.now;
         let nodes = self.nodes.iter().enumerate();
@@ -230,9 +230,10 @@
         issuing.map(|(index, _)| index).collect()
     }
 
-    fn at(&mut self, at: Micros, event: FleetEvent) {
-        self.count += 1;
-        self.events.push(Reverse((at, self.count, EventBox(event))));
+    fn schedule(&mut self, at: Micros, event: FleetEvent) {
+        self.event_count += 1;
+        self.events
+            .push(Reverse((at, self.event_count, UnorderedEvent(event))));
     }
 
     fn next_caller(&mut self) {
@@ -241,26 +242,26 @@
         }
         let pause = -(1.0 - self.rng.f64()).ln() / self.shape.demand;
         let at = self.now + (pause * 1e6) as Micros + 1;
-        self.at(at, FleetEvent::Caller);
+        self.schedule(at, FleetEvent::Caller);
     }
 
-    fn happen(&mut self, event: FleetEvent) {
-        let held = match &event {
+    fn handle(&mut self, event: FleetEvent) {
+        let target = match &event {
             FleetEvent::Caller
             | FleetEvent::Resume(_)
             | FleetEvent::Start(_)
             | FleetEvent::Restarted(..) => None,
-            FleetEvent::Packet(_, to, _) => self.places.get(to).copied(),
+            FleetEvent::Packet(_, to, _) => self.indexes.get(to).copied(),
             FleetEvent::Round(index)
             | FleetEvent::Send(index, ..)
             | FleetEvent::Answer(index, ..)
-            | FleetEvent::AskAgain(index, ..)
-            | FleetEvent::AskOver(index, ..) => Some(*index),
+            | FleetEvent::ResendPermitRequest(index, ..)
+            | FleetEvent::PermitTimeout(index, ..) => Some(*index),
         };
-        if let Some(index) = held
-            && self.nodes[index].stands_still
+        if let Some(index) = target
+            && self.nodes[index].is_suspended
         {
-            self.nodes[index].waiting.push(event);
+            self.nodes[index].deferred_events.push(event);
             return;
         }
         match event {
@@ -269,22 +270,29 @@
             FleetEvent::Caller => {
                 let index = self.rng.usize(0..self.nodes.len());
                 self.next_caller();
-                self.call(index);
+                self.on_call(index);
+            }
+            FleetEvent::Send(index, incarnation, request) => self.send(index, incarnation, request),
+            FleetEvent::Answer(index, incarnation, answer) => {
+                self.on_answer(index, incarnation, &answer)
             }
-            FleetEvent::Send(index, life, sending) => self.send(index, life, sending),
-            FleetEvent::Answer(index, life, answer) => self.answer(index, life, &answer),
             FleetEvent::Restarted(index, start_time) => {
                 self.nodes[index].server.start_time = Some(start_time)
             }
-            FleetEvent::AskAgain(index, life, ask) => {
-                if self.nodes[index].life == life {
-                    self.nodes[index].statements.limits.resend_request(ask);
+            FleetEvent::ResendPermitRequest(index, incarnation, request_id) => {
+                if self.nodes[index].incarnation == incarnation {
+                    self.nodes[index]
+                        .statements
+                        .limits
+                        .resend_request(request_id);
                     let now = self.now;
                     let packets = self.nodes[index].take_requests(now);
-                    self.post_all(index, packets);
+                    self.send_all(index, packets);
                 }
             }
-            FleetEvent::AskOver(index, life, ask) => self.give_up(index, life, ask),
+            FleetEvent::PermitTimeout(index, incarnation, request_id) => {
+                self.give_up(index, incarnation, request_id)
+            }
             FleetEvent::Resume(index) => self.resume(index),
             FleetEvent::Start(index) => self.start_again(index),
         }
@@ -296,11 +304,11 @@
         }
         let (start, now) = (self.start, self.now);
         let packets = self.nodes[index].round(start, now);
-        self.post_all(index, packets);
-        self.at(now + ROUND, FleetEvent::Round(index));
+        self.send_all(index, packets);
+        self.schedule(now + ROUND, FleetEvent::Round(index));
     }
 
-    fn post_all(&mut self, index: usize, packets: Vec<(SocketAddr, Vec<u8>)>) {
+    fn send_all(&mut self, index: usize, packets: Vec<(SocketAddr, Vec<u8>)>) {
         let from = self.entries[index].address;
         for (to, bytes) in packets {
             self.bytes += bytes.len() as u64;
@@ -315,116 +323,127 @@
                     0
                 };
                 let at = self.now + self.rng.u64(300..3_000) + late;
-                self.at(at, FleetEvent::Packet(from, to, bytes.clone()));
+                self.schedule(at, FleetEvent::Packet(from, to, bytes.clone()));
             }
         }
     }
 
     fn receive(&mut self, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
-        let (Some(sender), Some(index)) = (self.places.get(&from), self.places.get(&to)) else {
+        let (Some(sender), Some(index)) = (self.indexes.get(&from), self.indexes.get(&to)) else {
             return;
         };
         let (sender, index) = (*sender, *index);
-        let is_cut = self.nodes[sender].is_cut != self.nodes[index].is_cut;
-        let is_deaf = self.deaf_pairs.contains(&(sender, index));
-        if is_cut || is_deaf || self.nodes[index].is_down {
+        let is_cut_off = self.nodes[sender].is_cut_off != self.nodes[index].is_cut_off;
+        let is_dropped = self.dropped_pairs.contains(&(sender, index));
+        if is_cut_off || is_dropped || self.nodes[index].is_down {
             return;
         }
         let (start, now) = (self.start, self.now);
         let (packets, is_answer) = self.nodes[index].receive(bytes, from, start, now);
-        self.post_all(index, packets);
+        self.send_all(index, packets);
         if is_answer {
-            for sending in self.nodes[index].take_answered(now) {
-                self.begin(index, sending);
+            for request in self.nodes[index].take_permitted(now) {
+                self.connect(index, request);
             }
         }
     }
 
-    /// A caller's request.
-    fn call(&mut self, index: usize) {
-        if self.nodes[index].is_down || self.nodes[index].stands_still {
+    /// Handles a caller's request.
+    fn on_call(&mut self, index: usize) {
+        if self.nodes[index].is_down || self.nodes[index].is_suspended {
             return;
         }
-        self.judge.note_demand(self.now);
+        self.limit_checker.record_demand(self.now);
         let now = self.now;
-        match self.nodes[index].claim(now) {
-            node::Claimed::Send(sending) => self.begin(index, sending),
-            node::Claimed::Wait(ask) => {
+        match self.nodes[index].request_permit(now) {
+            node::RequestDecision::Send(request) => self.connect(index, request),
+            node::RequestDecision::Wait(request_id) => {
                 let packets = self.nodes[index].take_requests(now);
-                self.post_all(index, packets);
-                let life = self.nodes[index].life;
+                self.send_all(index, packets);
+                let incarnation = self.nodes[index].incarnation;
                 for again in [35_000, 70_000] {
-                    self.at(now + again, FleetEvent::AskAgain(index, life, ask));
+                    self.schedule(
+                        now + again,
+                        FleetEvent::ResendPermitRequest(index, incarnation, request_id),
+                    );
                 }
-                self.at(now + 100_000, FleetEvent::AskOver(index, life, ask));
+                self.schedule(
+                    now + 100_000,
+                    FleetEvent::PermitTimeout(index, incarnation, request_id),
+                );
             }
-            node::Claimed::Refused => {}
+            node::RequestDecision::Refused => {}
         }
     }
 
-    /// A connection is opened, and the request is sent then.
-    fn begin(&mut self, index: usize, sending: node::Sending) {
+    /// Opens a connection; the request is sent after that.
+    fn connect(&mut self, index: usize, request: node::PermittedRequest) {
         let pause = if self.rng.f64() < 0.1 {
             self.rng.u64(1_000..200_000)
         } else {
             self.rng.u64(300..3_000)
         };
-        let life = self.nodes[index].life;
-        self.at(self.now + pause, FleetEvent::Send(index, life, sending));
+        let incarnation = self.nodes[index].incarnation;
+        self.schedule(
+            self.now + pause,
+            FleetEvent::Send(index, incarnation, request),
+        );
     }
 
-    fn send(&mut self, index: usize, life: u32, sending: node::Sending) {
+    fn send(&mut self, index: usize, incarnation: u32, request: node::PermittedRequest) {
         let now = self.now;
-        if self.nodes[index].life != life || self.nodes[index].is_down {
+        if self.nodes[index].incarnation != incarnation || self.nodes[index].is_down {
             return;
         }
-        if !self.nodes[index].may_send(sending, now) {
+        if !self.nodes[index].may_send(request, now) {
             return;
         }
         let sent = self.nodes[index].boot(now);
         let server = self.nodes[index].server.clone();
-        self.judge.note_arrival(self.nodes[index].started, now);
+        self.limit_checker
+            .record_arrival(self.nodes[index].started, now);
         if server.start_time == self.server.start_time {
-            self.notices.note_arrival(index, server.start_time, now);
+            self.notice_checker
+                .check_arrival(index, server.start_time, now);
         }
-        let words = self.words;
+        let stated = self.stated;
         let answer = FleetAnswer {
             server,
             sent,
-            rate: words.limit.and_then(RequestRate::new),
-            leaving: if words.is_leaving {
+            rate: stated.limit.and_then(RequestRate::new),
+            leaving: if stated.is_leaving {
                 LeaveStatement::Leaves
             } else {
                 LeaveStatement::Stays
             },
-            rest: words.rest.map_or(RestStatement::None, RestStatement::For),
+            rest: stated.rest.map_or(RestStatement::None, RestStatement::For),
         };
         let pause = if self.rng.f64() < 0.1 {
             self.rng.u64(2_000..1_500_000)
         } else {
             self.rng.u64(2_000..50_000)
         };
-        self.at(now + pause, FleetEvent::Answer(index, life, answer));
+        self.schedule(now + pause, FleetEvent::Answer(index, incarnation, answer));
     }
 
-    fn answer(&mut self, index: usize, life: u32, answer: &FleetAnswer) {
+    fn on_answer(&mut self, index: usize, incarnation: u32, answer: &FleetAnswer) {
         let now = self.now;
-        if self.nodes[index].life != life || self.nodes[index].is_down {
+        if self.nodes[index].incarnation != incarnation || self.nodes[index].is_down {
             return;
         }
-        self.nodes[index].answered(answer, now);
-        self.notices.note_answer(index, answer, now);
+        self.nodes[index].on_answer(answer, now);
+        self.notice_checker.record_answer(index, answer, now);
     }
 
-    fn give_up(&mut self, index: usize, life: u32, ask: u64) {
+    fn give_up(&mut self, index: usize, incarnation: u32, request_id: u64) {
         let now = self.now;
-        if self.nodes[index].life == life {
-            self.nodes[index].give_up(ask, now);
+        if self.nodes[index].incarnation == incarnation {
+            self.nodes[index].give_up(request_id, now);
         }
     }
 }
 
-/// A time in microseconds.
+/// Converts a time to microseconds.
 pub(crate) fn micros(time: Duration) -> Micros {
     u64::try_from(time.as_micros()).expect("a short time")
 }
--- a/crates/plumgate/tests/limit_fleet/node.rs
+++ b/crates/plumgate/tests/limit_fleet/node.rs
@@ -11,7 +11,7 @@
 
 use super::{FleetEvent, Micros, UNIX_START_MS};
 
-/// How long a server serves on once it has said that it leaves.
+/// How long a server serves on once it has stated that it leaves.
 const DRAIN: Duration = Duration::from_secs(2);
 
 /// An answer of the server.
@@ -19,7 +19,7 @@
 pub(crate) struct FleetAnswer {
     /// The server that the request was sent to.
     pub(crate) server: ServerEntry,
-    /// When it was sent, by the sender's clock.
+    /// When the request was sent, by the sender's clock.
     pub(crate) sent: Duration,
     pub(crate) rate: Option<RequestRate>,
     pub(crate) leaving: LeaveStatement,
@@ -28,35 +28,35 @@
 
 /// A request that may be sent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sending {
+pub(crate) struct PermittedRequest {
     permit: Option<SendPermit>,
 }
 
-/// What becomes of a caller's request.
-pub(crate) enum Claimed {
-    Send(Sending),
+/// The decision on a caller's request.
+pub(crate) enum RequestDecision {
+    Send(PermittedRequest),
     Wait(u64),
     Refused,
 }
 
-/// A node.
+/// One node with its decision states.
 pub(crate) struct FleetNode {
     pub(crate) statements: ServerStatements,
     /// The server, as this node knows it.
     pub(crate) server: ServerEntry,
     pub(crate) offset: Duration,
     pub(crate) started: Micros,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) is_down: bool,
-    pub(crate) is_cut: bool,
-    pub(crate) stands_still: bool,
-    /// What came while it stood still.
-    pub(crate) waiting: Vec<FleetEvent>,
-    /// How long its steady clock stood still.
-    pub(crate) stood_still: Duration,
+    pub(crate) is_cut_off: bool,
+    pub(crate) is_suspended: bool,
+    /// Events that arrived while it was suspended.
+    pub(crate) deferred_events: Vec<FleetEvent>,
+    /// How long its steady clock was stopped.
+    pub(crate) stopped_time: Duration,
     exchange: LoadExchange,
-    desk: SyncState,
-    asks: Vec<u64>,
+    sync_state: SyncState,
+    request_ids: Vec<u64>,
 }
 
 impl FleetNode {
@@ -76,24 +76,24 @@
             server: server.clone(),
             offset,
             started: 0,
-            life: 0,
+            incarnation: 0,
             is_down: false,
-            is_cut: false,
-            stands_still: false,
-            waiting: Vec::new(),
-            stood_still: Duration::ZERO,
+            is_cut_off: false,
+            is_suspended: false,
+            deferred_events: Vec::new(),
+            stopped_time: Duration::ZERO,
             exchange,
-            desk: SyncState::new(Duration::from_secs(5), seed),
-            asks: Vec::new(),
+            sync_state: SyncState::new(Duration::from_secs(5), seed),
+            request_ids: Vec::new(),
         }
     }
 
-    /// The clock that counts suspension.
+    /// The clock that includes suspension.
     pub(crate) fn boot(&self, now: Micros) -> Duration {
         self.offset + Duration::from_micros(now)
     }
 
-    fn mail(&self, now: Micros) -> MessageTime {
+    fn message_time(&self, now: Micros) -> MessageTime {
         MessageTime {
             boot: self.boot(now),
             unix_ms: UNIX_START_MS + now / 1_000,
@@ -102,7 +102,7 @@
 
     fn moment(&self, start: Instant, now: Micros) -> ExchangeMoment {
         ExchangeMoment {
-            now: start + Duration::from_micros(now) - self.stood_still,
+            now: start + Duration::from_micros(now) - self.stopped_time,
             boot: self.boot(now),
         }
     }
@@ -111,9 +111,9 @@
         let moment = self.moment(start, now);
         let mut packets = self
             .exchange
-            .tick(std::iter::empty(), &mut self.desk, moment);
-        let mail = self.mail(now);
-        packets.extend(self.statements.run_round(&self.exchange, mail));
+            .tick(std::iter::empty(), &mut self.sync_state, moment);
+        let message_time = self.message_time(now);
+        packets.extend(self.statements.run_round(&self.exchange, message_time));
         packets
     }
 
@@ -126,79 +126,79 @@
     ) -> (Vec<ExchangePacket>, bool) {
         let moment = self.moment(start, now);
         self.exchange
-            .receive(bytes, from, &mut self.desk, moment)
+            .receive(bytes, from, &mut self.sync_state, moment)
             .expect("a message");
-        let moment = self.mail(now);
+        let moment = self.message_time(now);
         let (packets, outcome, _) = self.statements.receive(&mut self.exchange, moment);
         assert_eq!(outcome.refused, 0, "all nodes have the same keys");
         (packets, outcome.is_permit_response)
     }
 
-    pub(crate) fn claim(&mut self, now: Micros) -> Claimed {
+    pub(crate) fn request_permit(&mut self, now: Micros) -> RequestDecision {
         let boot = self.boot(now);
         match self.statements.limits.request_permit(&self.server, 0, boot) {
-            PermitStatus::NotRequired => Claimed::Send(Sending { permit: None }),
-            PermitStatus::Granted(permit) => Claimed::Send(Sending {
+            PermitStatus::NotRequired => RequestDecision::Send(PermittedRequest { permit: None }),
+            PermitStatus::Granted(permit) => RequestDecision::Send(PermittedRequest {
                 permit: Some(permit),
             }),
-            PermitStatus::Requested(ask) => {
-                self.asks.push(ask);
-                Claimed::Wait(ask)
+            PermitStatus::Requested(request_id) => {
+                self.request_ids.push(request_id);
+                RequestDecision::Wait(request_id)
             }
-            PermitStatus::Deferred(_) => Claimed::Refused,
+            PermitStatus::Deferred(_) => RequestDecision::Refused,
         }
     }
 
     pub(crate) fn take_requests(&mut self, now: Micros) -> Vec<ExchangePacket> {
-        let moment = self.mail(now);
+        let moment = self.message_time(now);
         self.statements.limits.take_requests(&self.exchange, moment)
     }
 
-    /// The requests whose asks were answered with leave to send.
-    pub(crate) fn take_answered(&mut self, now: Micros) -> Vec<Sending> {
+    /// Takes the requests whose permit requests were answered and which may be sent.
+    pub(crate) fn take_permitted(&mut self, now: Micros) -> Vec<PermittedRequest> {
         let boot = self.boot(now);
-        let mut sendings = Vec::new();
+        let mut requests = Vec::new();
         let limits = &mut self.statements.limits;
-        self.asks.retain(|ask| {
-            let Some(claim) = limits.take_response(*ask, boot) else {
+        self.request_ids.retain(|request_id| {
+            let Some(status) = limits.take_response(*request_id, boot) else {
                 return true;
             };
-            match claim {
-                PermitStatus::NotRequired => sendings.push(Sending { permit: None }),
-                PermitStatus::Granted(permit) => sendings.push(Sending {
+            match status {
+                PermitStatus::NotRequired => requests.push(PermittedRequest { permit: None }),
+                PermitStatus::Granted(permit) => requests.push(PermittedRequest {
                     permit: Some(permit),
                 }),
                 PermitStatus::Requested(_) | PermitStatus::Deferred(_) => {}
             }
             false
         });
-        sendings
+        requests
     }
 
-    pub(crate) fn give_up(&mut self, ask: u64, now: Micros) {
+    pub(crate) fn give_up(&mut self, request_id: u64, now: Micros) {
         let boot = self.boot(now);
-        if self.asks.contains(&ask) {
-            self.asks.retain(|open| *open != ask);
-            self.statements.limits.abandon(ask, boot);
+        if self.request_ids.contains(&request_id) {
+            self.request_ids.retain(|id| *id != request_id);
+            self.statements.limits.abandon(request_id, boot);
         }
     }
 
-    /// Whether a request may leave now.
-    pub(crate) fn may_send(&mut self, sending: Sending, now: Micros) -> bool {
+    /// Whether a request may be sent now.
+    pub(crate) fn may_send(&mut self, request: PermittedRequest, now: Micros) -> bool {
         let send = SendContext {
             now: self.boot(now),
-            permit: sending.permit.as_ref(),
+            permit: request.permit.as_ref(),
             is_last_resort: false,
         };
         let may = self.statements.check(&self.server, send).is_ok();
-        if let Some(permit) = sending.permit.filter(|_| !may) {
+        if let Some(permit) = request.permit.filter(|_| !may) {
             self.statements.limits.return_permit(permit);
         }
         may
     }
 
-    /// The head of an answer came.
-    pub(crate) fn answered(&mut self, answer: &FleetAnswer, now: Micros) {
+    /// Handles the head of an answer.
+    pub(crate) fn on_answer(&mut self, answer: &FleetAnswer, now: Micros) {
         let seen = self.boot(now);
         let times = AnswerTimes {
             sent: answer.sent,
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -1,4 +1,4 @@
-//! Orders of servers count a limited server as what it takes.
+//! Orders of servers count a limited server by the load that it takes.
 
 mod entries;
 
@@ -17,7 +17,7 @@
 /// Prompt tokens of each request.
 const TOKENS: u32 = 4_000;
 
-/// What a node sees of three servers, the first of which takes so many requests a second.
+/// The load that a node sees of three servers, the first of which is limited to so many requests a second.
 fn pool_load(rate: f64) -> PoolLoad {
     let pool: PoolId = "models".into();
     let mut now = Instant::now();
@@ -56,27 +56,32 @@
     table.pool_load(&pool, 0, now)
 }
 
-/// A server that takes one request in ten seconds counted as one that reads all the time.
+/// Guards against counting a server that takes one request in ten seconds as one that prefills all the time.
 #[test]
 fn limited_server_counts_as_what_it_takes() {
     let load = pool_load(0.1);
     assert_eq!(load.servers(), 3);
     assert!(load.limited > 0.9, "{load:?}");
-    assert_eq!(pool_load(1_000.0).limited, 0.0, "more than it could read");
+    assert_eq!(
+        pool_load(1_000.0).limited,
+        0.0,
+        "the limit is above what the server can prefill"
+    );
 }
 
-/// Servers were given back, or not ordered, although some of those that stood there took next to nothing.
+/// Guards against servers that are given back, or not ordered, although some of those present take next to
+/// nothing.
 #[test]
 fn servers_are_ordered_for_what_limited_ones_leave() {
     let ordered = |limited: f64| {
         let mut now = Instant::now();
         let mut policy = LoadScaling::default();
-        let site = DataCentreServers {
+        let servers = DataCentreServers {
             lasting: 6,
             reclaimable: 0,
         };
         let load = PoolLoad {
-            data_centres: [("hall-a".into(), site)].into(),
+            data_centres: [("hall-a".into(), servers)].into(),
             tokens_per_second: 200_000.0,
             server_speed: 40_000.0,
             limited,
--- a/crates/plumgate/tests/limits.rs
+++ b/crates/plumgate/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Workspace limits: their split over the nodes and how far they are overrun.
+//! Workspace limits: how they are split over the nodes and how far they are exceeded.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
     "norte".into()
 }
 
-/// Tells each node what all others demand.
+/// Sends each node the demand of all others.
 fn exchange(node_limits: &mut [WorkspaceLimits], now: Instant) {
     let demands: Vec<HashMap<WorkspaceId, f32>> = node_limits
         .iter()
@@ -27,23 +27,23 @@
     }
 }
 
-/// Requests admitted a second by each node, when it is asked so often.
+/// Returns the requests a second that each node admits, at `offered` requests a second each.
 fn run(
     node_limits: &mut [WorkspaceLimits],
-    asked: &[u32],
+    offered: &[u32],
     limit: u32,
     seconds: u32,
-    told: bool,
+    is_exchanging: bool,
 ) -> Vec<f64> {
     let mut now = Instant::now();
     let mut admitted = vec![0_u32; node_limits.len()];
     for step in 0..seconds * 100 {
         now += Duration::from_millis(10);
-        if told && step % 50 == 0 {
+        if is_exchanging && step % 50 == 0 {
             exchange(node_limits, now);
         }
         for (index, limits) in node_limits.iter_mut().enumerate() {
-            if step % 100 < asked[index]
+            if step % 100 < offered[index]
                 && limits.admit(&norte(), limit, now).is_ok()
                 && step >= 1000
             {
@@ -66,8 +66,8 @@
     node_limits
 }
 
-// Half of a workspace's callers come through one node of eight. By equal shares that node
-// would refuse most of them while the other nodes' shares lie idle.
+// Guards against equal shares under uneven demand: half of a workspace's callers come through one node of
+// eight, which would refuse most of them while the other nodes' shares are unused.
 #[test]
 fn shares_follow_demand() {
     let rates = run(
@@ -94,18 +94,18 @@
     assert!((54.0..66.0).contains(&total), "{rates:?}");
 }
 
-// Nodes don't hear each other any more. Each takes an equal share only, so that all together
-// keep the limit, whatever the others' demand is.
+// Guards against exceeding a limit when nodes receive nothing from each other: each takes only an equal
+// share, whatever the others' demand is, so that all together keep the limit.
 #[test]
-fn nodes_that_hear_nobody_take_equal_shares() {
+fn nodes_without_reports_take_equal_shares() {
     let rates = run(&mut node_limits(4), &[90, 90, 90, 90], 40, 40, false);
     for rate in &rates {
         assert!((9.0..11.0).contains(rate), "{rates:?}");
     }
 }
 
-// A workspace sends at half of its limit through six nodes by turns. A bucket that holds one
-// second of a node's share refused 1 in 30 of them; their callers were within their limit.
+// Guards against refusing callers within their limit: a workspace sends at half of its limit through six
+// nodes at random. A bucket that holds one second of a node's share refused 1 in 30 of them.
 #[test]
 fn uneven_arrivals_within_the_limit_are_not_refused() {
     let mut node_limits = node_limits(6);
@@ -138,7 +138,8 @@
     assert!(limits.has_room(&norte(), 4, now));
 }
 
-/// Each of many nodes let a workspace start a burst of its own, however small its share of the limit.
+/// Guards against a burst at each of many nodes: each let a workspace start its own, however small the
+/// node's share of the limit.
 #[test]
 fn nodes_together_admit_no_more_than_a_workspaces_burst() {
     let nodes = 64;
@@ -151,7 +152,7 @@
         tries.count()
     });
     let admitted: usize = admitted.sum();
-    // Three seconds of the limit at once, and the limit itself while shares move.
+    // Three seconds of the limit at once, and the limit itself while shares are adjusted.
     let allowed = 4 * limit as usize;
     assert!(admitted <= allowed, "{admitted} at once, {allowed} allowed");
 }
--- a/crates/plumgate/tests/load/engine.rs
+++ b/crates/plumgate/tests/load/engine.rs
@@ -1,80 +1,80 @@
-//! A model engine: it batches requests, reads prompts in chunks between the tokens of others, and
-//! keeps what it has read.
+//! Simulated model engine: batches requests, prefills prompts in chunks between the generated tokens of other
+//! requests, and caches prompt parts.
 
 use std::collections::{HashMap, VecDeque};
 
 use plumgate::gateway::PromptShape;
 
-/// Requests that run at once.
+/// Requests that run at the same time.
 pub(crate) const SLOTS: usize = 64;
-/// Seconds of one step without any request.
-const STEP: f64 = 0.003_79;
-/// Seconds that one running request adds to a step.
-const STEP_EACH: f64 = 0.000_089_3;
-/// Prompt tokens that a large engine reads in a second.
+/// Duration of a step without any request, in seconds.
+const STEP_SECONDS: f64 = 0.003_79;
+/// Seconds that each running request adds to a step.
+const STEP_SECONDS_PER_REQUEST: f64 = 0.000_089_3;
+/// Prefill speed of a large engine, in prompt tokens per second.
 pub(crate) const TOKENS_PER_SECOND: f64 = 56_600.0;
-/// Prompt tokens read within one step at most.
-const CHUNK: u64 = 2_048;
-/// Tokens that are copied from another engine in the time of reading one: 18 KB each at 370 Gbit/s.
-const COPIED_IN_TIME_OF_ONE: u64 = 40;
-/// Tokens of cached parts that an engine keeps.
-const MEMORY: u64 = 480_000;
-
-/// One request at an engine.
+/// Most prompt tokens that are prefilled in one step.
+const CHUNK_TOKENS: u64 = 2_048;
+/// Tokens that are copied from another engine in the time of one token's prefill: 18 KB each at 370 Gbit/s.
+const COPIED_TOKENS_PER_PREFILL: u64 = 40;
+/// Tokens of prompt parts that an engine caches.
+const CACHE_TOKENS: u64 = 480_000;
+
+/// A request at an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineRequest {
-    /// Its number in the run.
+    /// Number of the request in the run.
     pub(crate) number: usize,
-    /// Its urgency, 0 first.
+    /// Urgency, 0 is the most urgent.
     pub(crate) urgency: u8,
-    /// Its prompt.
+    /// Prompt of the request.
     pub(crate) prompt: PromptShape,
-    /// Tokens that it generates.
+    /// Tokens that are generated.
     pub(crate) output: u32,
-    /// Shared parts that the engine may copy from another one.
-    pub(crate) copies: Vec<u64>,
+    /// Shared parts that the engine may copy from another engine.
+    pub(crate) copyable: Vec<u64>,
 }
 
 #[derive(Clone, Debug)]
 struct RunningRequest {
     request: EngineRequest,
-    unread: u64,
-    made: u32,
+    pending_prefill: u64,
+    generated: u32,
 }
 
-/// What happened to a request.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineEvent {
-    /// It has made one more token, the first included.
+    /// Generated one more token, the first one included.
     Token(usize),
-    /// It is done.
+    /// Generated all tokens.
     Done(usize),
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub(crate) struct ModelEngine {
-    reading_speed: f64,
+    prefill_speed: f64,
     waiting: Vec<EngineRequest>,
     running: Vec<RunningRequest>,
     cached: HashMap<u64, u64>,
-    order: VecDeque<u64>,
-    /// When the present step ends.
+    recency: VecDeque<u64>,
+    /// Time at which the current step ends, in seconds.
     pub(crate) busy_until: f64,
-    /// Shared tokens that were read.
-    pub(crate) shared_read: u64,
+    /// Tokens of shared parts that were prefilled.
+    pub(crate) shared_prefill: u64,
 }
 
 impl ModelEngine {
-    pub(crate) fn new(reading_speed: f64) -> Self {
+    pub(crate) fn new(prefill_speed: f64) -> Self {
         Self {
-            reading_speed,
+            prefill_speed,
             waiting: Vec::new(),
             running: Vec::new(),
             cached: HashMap::new(),
-            order: VecDeque::new(),
+            recency: VecDeque::new(),
             busy_until: 0.0,
-            shared_read: 0,
+            shared_prefill: 0,
         }
     }
 
@@ -85,7 +85,7 @@
         self.waiting.insert(at, request);
     }
 
-    /// The caller left.
+    /// Removes a request whose caller left.
     pub(crate) fn cancel(&mut self, number: usize) {
         self.waiting.retain(|request| request.number != number);
         self.running
@@ -96,19 +96,22 @@
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// One step from a time on; what happened is true at its end.
+    /// Runs one step from `now` on; its events take effect at the end of the step.
     pub(crate) fn step(&mut self, now: f64) -> Vec<EngineEvent> {
         self.admit();
-        let mut seconds = STEP + STEP_EACH * self.running.len() as f64;
-        let reading = self.running.iter_mut().filter(|running| running.unread > 0);
-        let mut left = CHUNK;
-        let mut by_urgency: Vec<&mut RunningRequest> = reading.collect();
+        let mut seconds = STEP_SECONDS + STEP_SECONDS_PER_REQUEST * self.running.len() as f64;
+        let prefilling = self
+            .running
+            .iter_mut()
+            .filter(|running| running.pending_prefill > 0);
+        let mut chunk_left = CHUNK_TOKENS;
+        let mut by_urgency: Vec<&mut RunningRequest> = prefilling.collect();
         by_urgency.sort_by_key(|running| running.request.urgency);
         for running in by_urgency {
-            let read = running.unread.min(left);
-            running.unread -= read;
-            left -= read;
-            seconds += read as f64 / self.reading_speed;
+            let prefilled = running.pending_prefill.min(chunk_left);
+            running.pending_prefill -= prefilled;
+            chunk_left -= prefilled;
+            seconds += prefilled as f64 / self.prefill_speed;
         }
         self.busy_until = now + seconds;
         self.generate()
@@ -117,50 +120,50 @@
     fn admit(&mut self) {
         while self.running.len() < SLOTS && !self.waiting.is_empty() {
             let request = self.waiting.remove(0);
-            let unread = self.read_shared(&request);
+            let pending_prefill = self.start_prefill(&request);
             self.running.push(RunningRequest {
-                unread: unread.max(1),
-                made: 0,
+                pending_prefill: pending_prefill.max(1),
+                generated: 0,
                 request,
             });
         }
     }
 
-    /// Tokens that must be read: parts count as kept up to the first that is not.
-    fn read_shared(&mut self, request: &EngineRequest) -> u64 {
+    /// Returns the tokens to prefill: parts count as cached up to the first that is not.
+    fn start_prefill(&mut self, request: &EngineRequest) -> u64 {
         let Some((own, shared)) = request.prompt.parts.split_last() else {
             return 0;
         };
-        let mut unread = u64::from(own.tokens);
-        let mut is_kept = true;
+        let mut pending_prefill = u64::from(own.tokens);
+        let mut is_cached = true;
         for part in shared {
             let is_copied =
-                !self.cached.contains_key(&part.id) && request.copies.contains(&part.id);
-            is_kept = is_kept && (is_copied || self.cached.contains_key(&part.id));
+                !self.cached.contains_key(&part.id) && request.copyable.contains(&part.id);
+            is_cached = is_cached && (is_copied || self.cached.contains_key(&part.id));
             if is_copied {
-                unread += u64::from(part.tokens) / COPIED_IN_TIME_OF_ONE;
+                pending_prefill += u64::from(part.tokens) / COPIED_TOKENS_PER_PREFILL;
             }
-            if !is_kept {
-                unread += u64::from(part.tokens);
-                self.shared_read += u64::from(part.tokens);
+            if !is_cached {
+                pending_prefill += u64::from(part.tokens);
+                self.shared_prefill += u64::from(part.tokens);
             }
-            self.keep(part.id, part.tokens.into());
+            self.cache_part(part.id, part.tokens.into());
         }
-        unread
+        pending_prefill
     }
 
-    /// Which shared parts of a prompt it keeps.
-    pub(crate) fn kept(&self, prompt: &PromptShape) -> Vec<u64> {
+    /// Returns the ids of a prompt's parts that are cached.
+    pub(crate) fn cached_parts(&self, prompt: &PromptShape) -> Vec<u64> {
         let parts = prompt.parts.iter().map(|part| part.id);
         parts.filter(|id| self.cached.contains_key(id)).collect()
     }
 
-    fn keep(&mut self, id: u64, tokens: u64) {
-        self.order.retain(|kept| *kept != id);
-        self.order.push_back(id);
+    fn cache_part(&mut self, id: u64, tokens: u64) {
+        self.recency.retain(|cached| *cached != id);
+        self.recency.push_back(id);
         self.cached.insert(id, tokens);
-        while self.cached.values().sum::<u64>() > MEMORY {
-            let Some(oldest) = self.order.pop_front() else {
+        while self.cached.values().sum::<u64>() > CACHE_TOKENS {
+            let Some(oldest) = self.recency.pop_front() else {
                 break;
             };
             self.cached.remove(&oldest);
@@ -172,16 +175,16 @@
         for running in self
             .running
             .iter_mut()
-            .filter(|running| running.unread == 0)
+            .filter(|running| running.pending_prefill == 0)
         {
-            running.made += 1;
+            running.generated += 1;
             events.push(EngineEvent::Token(running.request.number));
-            if running.made >= running.request.output {
+            if running.generated >= running.request.output {
                 events.push(EngineEvent::Done(running.request.number));
             }
         }
         self.running
-            .retain(|running| running.made < running.request.output);
+            .retain(|running| running.generated < running.request.output);
         events
     }
 }
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet under load, without a network: nodes that decide, engines that work, callers that
-//! leave when they have waited too long.
+//! Simulation of a fleet under load, without a network: nodes that place requests, engines that run them, and
+//! callers that leave when they have waited too long.
 
 pub(crate) mod engine;
 pub(crate) mod shedding;
@@ -18,7 +18,7 @@
 use plumgate::gateway::{PlacementRequest, PromptPart, WorkOutcome, WorkTicket};
 use plumgate::ids::ServerId;
 
-pub(crate) use shedding::{RestWay, ShedPlan};
+pub(crate) use shedding::{RestHandling, ShedPlan};
 
 use engine::{EngineEvent, EngineRequest, ModelEngine, SLOTS};
 
@@ -27,15 +27,15 @@
 /// Tokens in one event of a stream.
 const EVENT_TOKENS: u32 = 5;
 
-/// One kind of request.
+/// A kind of request.
 #[derive(Clone, Debug)]
 pub(crate) struct TrafficKind {
     pub(crate) name: &'static str,
     pub(crate) per_second: f64,
-    /// Times the usual traffic within these seconds.
+    /// Begin and end of a burst in seconds, and the factor by which it raises the usual traffic.
     pub(crate) burst: (f64, f64, f64),
-    /// Different shared parts.
-    pub(crate) things: u64,
+    /// Number of different shared parts.
+    pub(crate) documents: u64,
     pub(crate) shared_tokens: u32,
     pub(crate) own_tokens: u32,
     pub(crate) output: u32,
@@ -47,7 +47,7 @@
     pub(crate) class: StreamClass,
 }
 
-/// What the fleet is made of and how it decides.
+/// Settings of a run: traffic, fleet and policies.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadPlan {
     pub(crate) kinds: Vec<TrafficKind>,
@@ -55,73 +55,74 @@
     pub(crate) engines: usize,
     pub(crate) seconds: f64,
     pub(crate) policy: PlacementPolicy,
-    /// Mechanisms that are on.
+    /// Mechanisms of the policy that are on.
     pub(crate) switches: PolicySwitches,
-    /// Prompt tokens that an engine reads in a second.
-    pub(crate) reading_speed: f64,
+    /// Prefill speed of the engines, in prompt tokens per second.
+    pub(crate) prefill_speed: f64,
     pub(crate) admits: bool,
     pub(crate) exchanges: bool,
-    /// Whether callers that were refused come back once, when they are asked to.
-    pub(crate) returns: bool,
-    /// Whether it is looked up now and then beside whom a request would run.
+    /// Whether refused callers retry once, after the delay that they are given.
+    pub(crate) callers_retry: bool,
+    /// Whether a run samples how many others would run beside a request.
     pub(crate) samples: bool,
-    /// Engines that shed for some time.
+    /// Engines that shed load for some time.
     pub(crate) shedding: Option<ShedPlan>,
     pub(crate) seed: u64,
 }
 
-/// What callers of one kind got.
+/// Results of the callers of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KindResult {
-    pub(crate) asked: u32,
-    /// Whole, first event within its target, no pause over its bound.
+    pub(crate) requests: u32,
+    /// Whole answers with the first event within its target and no pause over its bound.
     pub(crate) in_time: u32,
-    /// Whole, but late.
+    /// Whole answers that were late.
     pub(crate) late: u32,
     pub(crate) refused: u32,
-    /// Came back after a refusal.
-    pub(crate) returned: u32,
-    /// The caller left before the end.
-    pub(crate) left: u32,
+    /// Requests that were sent again after a refusal.
+    pub(crate) retried: u32,
+    /// Requests whose callers left before the end of the answer.
+    pub(crate) abandoned: u32,
 }
 
 impl KindResult {
-    /// Share of the requests that were answered, in time or late.
+    /// Returns the share of the requests that were answered, in time or late.
     pub(crate) fn served(&self) -> f64 {
-        f64::from(self.in_time + self.late) / f64::from(self.asked.max(1))
+        f64::from(self.in_time + self.late) / f64::from(self.requests.max(1))
     }
 
-    /// Share of the requests that were answered in time.
+    /// Returns the share of the requests that were answered in time.
     pub(crate) fn share(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+        f64::from(self.in_time) / f64::from(self.requests.max(1))
     }
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadResult {
     pub(crate) kinds: BTreeMap<&'static str, KindResult>,
-    /// Shared tokens that were read, first reads included.
-    pub(crate) shared_read: u64,
-    /// How many others would run beside a request as it is usually placed, and set apart: the sums over all
-    /// samples, and their number.
-    pub(crate) beside: (u64, u64, u64),
-    /// Requests that engines turned away, and those of them that came from a node in the rest that it was asked for.
+    /// Tokens of shared parts that were prefilled, the first time included.
+    pub(crate) shared_prefill: u64,
+    /// How many other requests would run beside a request under usual and under isolated placement: the two
+    /// sums over all samples, and the number of samples.
+    pub(crate) co_running: (u64, u64, u64),
+    /// Requests that engines turned away, and those of them that came from a node during the rest that it was
+    /// asked for.
     pub(crate) shed: u64,
-    pub(crate) in_rest: u64,
+    pub(crate) during_rest: u64,
 }
 
-/// A caller's request, before it is sent.
+/// A caller's request that no engine has accepted yet.
 #[derive(Clone, Debug)]
-struct CallerWish {
+struct PendingRequest {
     kind: usize,
     prompt: PromptShape,
     output: u32,
-    /// When it was first sent.
-    came: f64,
-    /// When it was last sent.
-    sent: f64,
-    is_return: bool,
+    /// Time at which the request was first sent, in seconds.
+    first_sent: f64,
+    /// Time at which the request was last sent, in seconds.
+    last_sent: f64,
+    is_retry: bool,
     /// Engines that turned it away.
     tried: Vec<ServerId>,
 }
@@ -130,7 +131,7 @@
     kind: usize,
     node: usize,
     engine: usize,
-    came: f64,
+    first_sent: f64,
     ticket: Option<WorkTicket>,
     tokens: u32,
     last_event: f64,
@@ -142,7 +143,7 @@
     table: LoadTable,
     statements: ServerStatements,
     exchange: LoadExchange,
-    desk: SyncState,
+    sync: SyncState,
     address: SocketAddr,
 }
 
@@ -154,9 +155,9 @@
     nodes: Vec<NodeState>,
     engines: Vec<ModelEngine>,
     callers: Vec<CallerState>,
-    /// Callers that come back, and when.
-    returning: Vec<(f64, CallerWish)>,
-    /// Until when an engine has asked a node for rest, by both.
+    /// Requests to be sent again, with the time of it in seconds.
+    retries: Vec<(f64, PendingRequest)>,
+    /// End of the rest that an engine asked of a node, in seconds, by index of node and engine.
     rests: BTreeMap<(usize, usize), f64>,
     result: LoadResult,
 }
@@ -171,42 +172,42 @@
             rng: fastrand::Rng::with_seed(plan.seed),
             start,
             nodes,
-            engines: vec![ModelEngine::new(plan.reading_speed); plan.engines],
+            engines: vec![ModelEngine::new(plan.prefill_speed); plan.engines],
             callers: Vec::new(),
-            returning: Vec::new(),
+            retries: Vec::new(),
             rests: BTreeMap::new(),
             result: LoadResult::default(),
             plan,
         }
     }
 
-    /// Plays the whole plan.
-    pub(crate) fn play(mut self) -> LoadResult {
+    /// Runs the whole plan.
+    pub(crate) fn run(mut self) -> LoadResult {
         let mut next: Vec<f64> = self.plan.kinds.iter().map(|_| 0.0).collect();
         let mut now = 0.0;
         let mut next_round = 0.0;
-        // Whoever came last still has time to be answered.
+        // The last requests still get time to be answered.
         while now < self.plan.seconds + 12.0 {
             for (kind, at) in next.iter_mut().enumerate() {
                 while *at <= now && now < self.plan.seconds {
                     self.arrive(kind, now);
-                    *at += self.pause_until_next(kind, now);
+                    *at += self.time_to_next(kind, now);
                 }
             }
-            self.come_back(now);
+            self.send_due_retries(now);
             if now >= next_round {
                 next_round += ROUND;
                 self.exchange(now);
-                self.leave(now);
+                self.cancel_overdue(now);
                 if self.plan.samples && now < self.plan.seconds {
-                    self.look_beside(now);
+                    self.sample_co_running(now);
                 }
             }
-            self.work(now);
+            self.step_engines(now);
             now += 0.002;
         }
-        let read = self.engines.iter().map(|engine| engine.shared_read);
-        self.result.shared_read = read.sum();
+        let prefilled = self.engines.iter().map(|engine| engine.shared_prefill);
+        self.result.shared_prefill = prefilled.sum();
         self.result
     }
 
@@ -214,7 +215,7 @@
         self.start + Duration::from_secs_f64(now)
     }
 
-    fn pause_until_next(&mut self, kind: usize, now: f64) -> f64 {
+    fn time_to_next(&mut self, kind: usize, now: f64) -> f64 {
         let kind = &self.plan.kinds[kind];
         let (from, to, times) = kind.burst;
         let rate = kind.per_second * if now >= from && now < to { times } else { 1.0 };
@@ -223,15 +224,15 @@
 
     fn prompt(&mut self, kind: usize) -> PromptShape {
         let kind = self.plan.kinds[kind].clone();
-        let thing = self.rng.u64(0..kind.things) + 1;
+        let document = self.rng.u64(0..kind.documents) + 1;
         let name = kind.name.len() as u64 * 1_000_000;
-        // Sizes differ: most prompts are below the mean, a few many times it.
+        // Sizes follow an exponential distribution: most prompts are below the mean, a few many times it.
         let size = (-(1.0 - self.rng.f64()).ln()).min(6.0);
         let own = (f64::from(kind.own_tokens) * size).max(1.0) as u32;
         PromptShape {
             parts: vec![
                 PromptPart {
-                    id: name + thing,
+                    id: name + document,
                     tokens: kind.shared_tokens,
                 },
                 PromptPart {
@@ -248,30 +249,36 @@
         let traffic = &self.plan.kinds[kind];
         let output = (f64::from(traffic.output) * (0.3 + 1.4 * self.rng.f64())) as u32;
         let result = self.result.kinds.entry(traffic.name).or_default();
-        result.asked += 1;
-        let wish = CallerWish {
+        result.requests += 1;
+        let pending = PendingRequest {
             kind,
             prompt,
             output: output.max(1),
-            came: now,
-            sent: now,
-            is_return: false,
+            first_sent: now,
+            last_sent: now,
+            is_retry: false,
             tried: Vec::new(),
         };
-        self.send(wish, now);
+        self.send(pending, now);
     }
 
-    /// Looks up beside how many others a request would run, usually and set apart.
-    fn look_beside(&mut self, now: f64) {
+    /// Counts how many others a request would run beside, under usual and under isolated placement.
+    fn sample_co_running(&mut self, now: f64) {
         let kind = self.rng.usize(0..self.plan.kinds.len());
         let prompt = self.prompt(kind);
-        let usual = self.beside(kind, &prompt, false, now);
-        let apart = self.beside(kind, &prompt, true, now);
-        let sums = &mut self.result.beside;
-        *sums = (sums.0 + usual, sums.1 + apart, sums.2 + 1);
+        let usual = self.co_running(kind, &prompt, false, now);
+        let isolated = self.co_running(kind, &prompt, true, now);
+        let sums = &mut self.result.co_running;
+        *sums = (sums.0 + usual, sums.1 + isolated, sums.2 + 1);
     }
 
-    fn beside(&mut self, kind: usize, prompt: &PromptShape, is_isolated: bool, now: f64) -> u64 {
+    fn co_running(
+        &mut self,
+        kind: usize,
+        prompt: &PromptShape,
+        is_isolated: bool,
+        now: f64,
+    ) -> u64 {
         let at = self.at(now);
         let index = self.rng.usize(0..self.nodes.len());
         let pool = "models".into();
@@ -285,44 +292,45 @@
         };
         let pick = self.nodes[index].table.pick(&request, at);
         let engine = engine_index(&pick.expect("a server").server.id);
-        let beside = self.callers.iter();
-        let beside = beside.filter(|caller| caller.engine == engine && !caller.is_over);
-        beside.count() as u64
+        let co_running = self.callers.iter();
+        let co_running = co_running.filter(|caller| caller.engine == engine && !caller.is_over);
+        co_running.count() as u64
     }
 
-    /// Callers that were refused come back when they were asked to.
-    fn come_back(&mut self, now: f64) {
-        let (due, later) = std::mem::take(&mut self.returning)
+    /// Sends the requests again whose delay is over.
+    fn send_due_retries(&mut self, now: f64) {
+        let (due, later) = std::mem::take(&mut self.retries)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.returning = later;
-        for (_, wish) in due {
-            self.send(wish, now);
+        self.retries = later;
+        for (_, pending) in due {
+            self.send(pending, now);
         }
     }
 
-    /// A caller sends its request to some node.
-    fn send(&mut self, wish: CallerWish, now: f64) {
-        let traffic = self.plan.kinds[wish.kind].clone();
+    /// Sends a caller's request to a random node.
+    fn send(&mut self, pending: PendingRequest, now: f64) {
+        let traffic = self.plan.kinds[pending.kind].clone();
         let at = self.at(now);
         let index = self.rng.usize(0..self.nodes.len());
         let pool = "models".into();
         let request = PlacementRequest {
             pool: &pool,
-            prompt: Some(&wish.prompt),
+            prompt: Some(&pending.prompt),
             urgency: traffic.urgency,
             class: traffic.class,
             is_isolated: false,
-            avoid: &wish.tried,
+            avoid: &pending.tried,
         };
         let node = &mut self.nodes[index];
         let Some(pick) = node.table.pick(&request, at) else {
-            let hold = node.table.deferred_until(&request, at);
-            let held_for = hold.map(|hold| hold.until.saturating_duration_since(at));
-            self.await_engine(wish, held_for, now);
+            let deferral = node.table.deferred_until(&request, at);
+            let deferred_for =
+                deferral.map(|deferral| deferral.until.saturating_duration_since(at));
+            self.wait_for_engine(pending, deferred_for, now);
             return;
         };
-        let left = wish.came + traffic.patience - now;
+        let left = pending.first_sent + traffic.patience - now;
         let prediction = QueuePrediction {
             queue: pick.queue,
             wait: pick.wait,
@@ -333,7 +341,7 @@
         if let AdmissionDecision::Refuse { retry_after } = decision
             && self.plan.admits
         {
-            self.refuse(wish, retry_after, now);
+            self.refuse(pending, retry_after, now);
             return;
         }
         let ticket = node.table.start(&pick, &request, at);
@@ -341,24 +349,25 @@
         if self.sheds(engine, now) {
             let node = &mut self.nodes[index];
             node.table.finish(ticket, WorkOutcome::Full, at);
-            self.turn_away(wish, index, &pick.server, now);
+            self.turn_away(pending, index, &pick.server, now);
             return;
         }
         let number = self.callers.len();
         let source = pick.copy_from.as_ref();
-        let copies = source.map(|server| self.engines[engine_index(&server.id)].kept(&wish.prompt));
+        let copyable = source
+            .map(|server| self.engines[engine_index(&server.id)].cached_parts(&pending.prompt));
         self.engines[engine].submit(EngineRequest {
             number,
             urgency: traffic.urgency,
-            prompt: wish.prompt,
-            output: wish.output,
-            copies: copies.unwrap_or_default(),
+            prompt: pending.prompt,
+            output: pending.output,
+            copyable: copyable.unwrap_or_default(),
         });
         self.callers.push(CallerState {
-            kind: wish.kind,
+            kind: pending.kind,
             node: index,
             engine,
-            came: wish.came,
+            first_sent: pending.first_sent,
             ticket: Some(ticket),
             tokens: 0,
             last_event: now,
@@ -367,37 +376,38 @@
         });
     }
 
-    fn refuse(&mut self, wish: CallerWish, retry_after: Duration, now: f64) {
-        let name = self.plan.kinds[wish.kind].name;
+    fn refuse(&mut self, pending: PendingRequest, retry_after: Duration, now: f64) {
+        let name = self.plan.kinds[pending.kind].name;
         let result = self.result.kinds.entry(name).or_default();
-        if wish.is_return || !self.plan.returns {
+        if pending.is_retry || !self.plan.callers_retry {
             result.refused += 1;
             return;
         }
-        result.returned += 1;
-        let wish = CallerWish {
-            sent: now + retry_after.as_secs_f64(),
-            is_return: true,
+        result.retried += 1;
+        let pending = PendingRequest {
+            last_sent: now + retry_after.as_secs_f64(),
+            is_retry: true,
             tried: Vec::new(),
-            ..wish
+            ..pending
         };
-        self.returning.push((now + retry_after.as_secs_f64(), wish));
+        self.retries
+            .push((now + retry_after.as_secs_f64(), pending));
     }
 
-    fn work(&mut self, now: f64) {
+    fn step_engines(&mut self, now: f64) {
         for engine in 0..self.engines.len() {
             while self.engines[engine].busy_until <= now && !self.engines[engine].is_idle() {
                 let from = self.engines[engine].busy_until.max(now - 0.002);
                 let events = self.engines[engine].step(from);
                 let done_at = self.engines[engine].busy_until;
                 for event in events {
-                    self.note(event, done_at);
+                    self.on_event(event, done_at);
                 }
             }
         }
     }
 
-    fn note(&mut self, event: EngineEvent, now: f64) {
+    fn on_event(&mut self, event: EngineEvent, now: f64) {
         let at = self.at(now);
         match event {
             EngineEvent::Token(number) => {
@@ -405,7 +415,7 @@
                 caller.tokens += 1;
                 let kind = &self.plan.kinds[caller.kind];
                 if caller.tokens == 1 {
-                    caller.is_late |= now - caller.came > kind.target;
+                    caller.is_late |= now - caller.first_sent > kind.target;
                     if let Some(ticket) = &mut caller.ticket {
                         self.nodes[caller.node].table.record_first_byte(ticket, at);
                     }
@@ -425,31 +435,32 @@
                 } else {
                     result.in_time += 1;
                 }
-                self.end(number, WorkOutcome::Answered, at);
+                self.finish_caller(number, WorkOutcome::Answered, at);
             }
         }
     }
 
-    fn end(&mut self, number: usize, end: WorkOutcome, at: Instant) {
+    fn finish_caller(&mut self, number: usize, outcome: WorkOutcome, at: Instant) {
         let caller = &mut self.callers[number];
         caller.is_over = true;
         if let Some(ticket) = caller.ticket.take() {
-            self.nodes[caller.node].table.finish(ticket, end, at);
+            self.nodes[caller.node].table.finish(ticket, outcome, at);
         }
     }
 
-    /// Callers leave whose time is over, or who have waited too long for the next event.
-    fn leave(&mut self, now: f64) {
+    /// Cancels requests whose callers have waited too long for the whole answer or for the next event.
+    fn cancel_overdue(&mut self, now: f64) {
         for number in 0..self.callers.len() {
             let caller = &self.callers[number];
             let kind = &self.plan.kinds[caller.kind];
-            let bears = (4.0 * kind.target).max(8.0 * kind.pause).max(2.0);
-            let is_out = now - caller.came > kind.patience || now - caller.last_event > bears;
-            if !caller.is_over && is_out {
+            let max_pause = (4.0 * kind.target).max(8.0 * kind.pause).max(2.0);
+            let is_overdue =
+                now - caller.first_sent > kind.patience || now - caller.last_event > max_pause;
+            if !caller.is_over && is_overdue {
                 self.engines[caller.engine].cancel(number);
-                self.result.kinds.entry(kind.name).or_default().left += 1;
+                self.result.kinds.entry(kind.name).or_default().abandoned += 1;
                 let at = self.at(now);
-                self.end(number, WorkOutcome::Inconclusive, at);
+                self.finish_caller(number, WorkOutcome::Inconclusive, at);
             }
         }
     }
@@ -467,14 +478,14 @@
         for node in &mut self.nodes {
             let own = node
                 .exchange
-                .tick(node.table.own_work(), &mut node.desk, moment);
+                .tick(node.table.own_work(), &mut node.sync, moment);
             packets.extend(own.into_iter().map(|(to, bytes)| (to, node.address, bytes)));
         }
         for (to, from, bytes) in packets {
             let index = usize::from(to.port() - 1000);
             let node = &mut self.nodes[index];
-            let taken = node.exchange.receive(&bytes, from, &mut node.desk, moment);
-            taken.expect("a message");
+            let result = node.exchange.receive(&bytes, from, &mut node.sync, moment);
+            result.expect("a message");
         }
         for node in &mut self.nodes {
             node.table.sync_with(&mut node.exchange, at);
@@ -505,7 +516,7 @@
         table,
         statements: ServerStatements::new(false, index as u64, Duration::from_secs(2)),
         exchange,
-        desk: SyncState::new(Duration::from_secs(5), index as u64),
+        sync: SyncState::new(Duration::from_secs(5), index as u64),
         address: address(index),
     }
 }
--- a/crates/plumgate/tests/load/shedding.rs
+++ b/crates/plumgate/tests/load/shedding.rs
@@ -6,42 +6,42 @@
     AdmissionPolicy, AnswerTimes, RestStatement, ServerEntry, ServerStatement,
 };
 
-use super::{CallerWish, LoadRun, engine_index};
+use super::{LoadRun, PendingRequest, engine_index};
 
-/// Engines that one request is offered to at most.
-const TRIES_MOST: usize = 4;
-/// Seconds that a refusal takes.
-const REFUSAL: f64 = 0.005;
+/// Most engines that one request is offered to.
+const MAX_TRIES: usize = 4;
+/// Seconds until a refusal arrives.
+const REFUSAL_SECONDS: f64 = 0.005;
 /// Share of its target for which a request waits for an engine that rests.
 const WAIT_SHARE: f64 = 0.125;
-/// Pause of callers for whom nothing is known of any engine.
-const REFUSED_PAUSE: Duration = Duration::from_millis(400);
+/// Delay of callers when no engine's rest is known.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// What nodes make of a rest that an engine asks for.
+/// Handling of a rest that an engine asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RestWay {
-    /// A refusal means that the engine is full.
+pub(crate) enum RestHandling {
+    /// A refusal only means that the engine is full.
     Ignored,
-    /// The node that was refused keeps to it.
+    /// The node that was refused respects the rest.
     OwnNode,
-    /// So do all others, at once.
+    /// All nodes respect the rest, at once.
     AllNodes,
 }
 
-/// Which engines shed, when, and what nodes make of it.
+/// Which engines shed load, when, and how nodes handle it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ShedPlan {
-    /// The share of the engines, the first ones.
+    /// Share of the engines that shed, counted from the first one.
     pub(crate) share: f64,
     pub(crate) from: f64,
     pub(crate) to: f64,
-    /// The shortest and the longest rest that one asks for, in seconds.
+    /// Shortest and longest rest that an engine asks for, in seconds.
     pub(crate) rests: (f64, f64),
-    pub(crate) way: RestWay,
+    pub(crate) handling: RestHandling,
 }
 
 impl LoadRun {
-    /// Whether an engine turns away what comes now.
+    /// Returns whether an engine turns requests away at `now`.
     pub(super) fn sheds(&self, engine: usize, now: f64) -> bool {
         self.plan.shedding.is_some_and(|plan| {
             let count = (plan.share * self.engines.len() as f64).round() as usize;
@@ -49,10 +49,10 @@
         })
     }
 
-    /// An engine turned a request of a node away: it goes on to the next one.
+    /// Sends a request that an engine turned away on to the next engine.
     pub(super) fn turn_away(
         &mut self,
-        mut wish: CallerWish,
+        mut pending: PendingRequest,
         index: usize,
         server: &ServerEntry,
         now: f64,
@@ -60,17 +60,17 @@
         self.result.shed += 1;
         let engine = engine_index(&server.id);
         let rests = self.rests.get(&(index, engine));
-        self.result.in_rest += u64::from(rests.is_some_and(|until| now < *until));
-        self.note_rest(index, server, now);
-        wish.tried.push(server.id.clone());
-        if wish.tried.len() < TRIES_MOST {
-            self.returning.push((now + REFUSAL, wish));
+        self.result.during_rest += u64::from(rests.is_some_and(|until| now < *until));
+        self.record_rest(index, server, now);
+        pending.tried.push(server.id.clone());
+        if pending.tried.len() < MAX_TRIES {
+            self.retries.push((now + REFUSAL_SECONDS, pending));
             return;
         }
-        self.send_back(wish, REFUSED_PAUSE, now);
+        self.refuse_after(pending, DEFAULT_RETRY_DELAY, now);
     }
 
-    fn note_rest(&mut self, index: usize, server: &ServerEntry, now: f64) {
+    fn record_rest(&mut self, index: usize, server: &ServerEntry, now: f64) {
         let Some(plan) = self.plan.shedding else {
             return;
         };
@@ -78,10 +78,10 @@
         let rest = Duration::from_secs_f64(shortest + (longest - shortest) * self.rng.f64());
         let until = now + rest.as_secs_f64();
         self.rests.insert((index, engine_index(&server.id)), until);
-        let told = match plan.way {
-            RestWay::Ignored => 0..0,
-            RestWay::OwnNode => index..index + 1,
-            RestWay::AllNodes => 0..self.nodes.len(),
+        let informed = match plan.handling {
+            RestHandling::Ignored => 0..0,
+            RestHandling::OwnNode => index..index + 1,
+            RestHandling::AllNodes => 0..self.nodes.len(),
         };
         let at = self.at(now);
         let seen = Duration::from_secs_f64(now);
@@ -94,7 +94,7 @@
             rest: RestStatement::For(rest),
             ..ServerStatement::default()
         };
-        for node in &mut self.nodes[told] {
+        for node in &mut self.nodes[informed] {
             node.statements.record_notices(server, &statement, times);
             let availability = node
                 .statements
@@ -104,25 +104,31 @@
         }
     }
 
-    /// No engine takes a request now: it waits where one will be back soon, and its caller is sent back otherwise.
-    pub(super) fn await_engine(&mut self, wish: CallerWish, held_for: Option<Duration>, now: f64) {
-        let waited = now - wish.sent;
-        let patience = self.plan.kinds[wish.kind].target * WAIT_SHARE;
-        match held_for {
-            Some(held_for) if waited + held_for.as_secs_f64() <= patience => {
-                let behind = 0.002 * f64::from(self.plan.kinds[wish.kind].urgency);
-                let back = now + held_for.as_secs_f64() + behind;
-                self.returning.push((back, wish));
+    /// Handles a request that no engine accepts now: it waits where an engine will be available soon;
+    /// otherwise its caller is refused with a delay.
+    pub(super) fn wait_for_engine(
+        &mut self,
+        pending: PendingRequest,
+        deferred_for: Option<Duration>,
+        now: f64,
+    ) {
+        let waited = now - pending.last_sent;
+        let patience = self.plan.kinds[pending.kind].target * WAIT_SHARE;
+        match deferred_for {
+            Some(deferred_for) if waited + deferred_for.as_secs_f64() <= patience => {
+                let urgency_delay = 0.002 * f64::from(self.plan.kinds[pending.kind].urgency);
+                let available_at = now + deferred_for.as_secs_f64() + urgency_delay;
+                self.retries.push((available_at, pending));
             }
-            Some(held_for) => self.send_back(wish, held_for, now),
-            None => self.send_back(wish, REFUSED_PAUSE, now),
+            Some(deferred_for) => self.refuse_after(pending, deferred_for, now),
+            None => self.refuse_after(pending, DEFAULT_RETRY_DELAY, now),
         }
     }
 
-    fn send_back(&mut self, wish: CallerWish, pause: Duration, now: f64) {
-        let left = wish.came + self.plan.kinds[wish.kind].patience - now;
+    fn refuse_after(&mut self, pending: PendingRequest, delay: Duration, now: f64) {
+        let left = pending.first_sent + self.plan.kinds[pending.kind].patience - now;
         let left = Duration::from_secs_f64(left.max(0.0));
-        let retry_after = AdmissionPolicy::new().retry_delay(pause, left, self.rng.f64());
-        self.refuse(wish, retry_after, now);
+        let retry_after = AdmissionPolicy::new().retry_delay(delay, left, self.rng.f64());
+        self.refuse(pending, retry_after, now);
     }
 }
--- a/crates/plumgate/tests/membership.rs
+++ b/crates/plumgate/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Nodes find each other, notice who is gone, and pass on the configuration, over a fake network.
+//! Nodes discover each other, detect nodes that are gone, and pass on the configuration, over a simulated
+//! network.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -11,7 +12,7 @@
 
 const STEP: Duration = Duration::from_millis(100);
 
-/// One node with what it does about members and configuration.
+/// One node with its members and its configuration.
 struct FakeNode {
     members: MemberTable,
     follower: ConfigFollower,
@@ -19,12 +20,12 @@
     frozen: bool,
 }
 
-/// A few nodes and the network between them.
+/// Some nodes and the network between them.
 struct FakeNet {
     nodes: Vec<FakeNode>,
-    /// Pairs of data centres that don't reach each other.
+    /// Pairs of data centres that can't reach each other.
     cuts: BTreeSet<(usize, usize)>,
-    /// Data centres that don't reach the platform.
+    /// Data centres that can't reach the platform.
     without_platform: BTreeSet<usize>,
     head: Option<(ConfigHead, String)>,
     now: Instant,
@@ -35,7 +36,7 @@
 }
 
 impl FakeNet {
-    /// Nodes spread over three data centres; each knows the first of each.
+    /// Nodes spread over three data centres; each knows the first node of each.
     fn new(count: usize) -> Self {
         let nodes = (0..count).map(|index| {
             let own = NodeDigest {
@@ -187,8 +188,8 @@
     }
 }
 
-// Sixty nodes are more than one message carries. When digests were sent in the order of names,
-// the last ones were hardly ever relayed, and a third of the nodes stayed unknown to the rest:
+// Guards against nodes that stay unknown: sixty nodes are more than one message carries. Sent in the order
+// of names, the last digests were hardly ever relayed, and a third of the nodes stayed unknown to the rest:
 // their callers' demand and their work on servers counted nowhere.
 #[test]
 fn last_names_are_relayed_like_the_first() {
@@ -210,18 +211,18 @@
     net.nodes[4].frozen = false;
     net.run(Duration::from_secs(5));
     assert_eq!(net.nodes[0].members.live_count(), 9);
-    let told = [
+    let expected = [
         MemberEvent::Gone("n4".into()),
         MemberEvent::Joined("n4".into()),
     ];
-    assert_eq!(net.nodes[0].events, told);
+    assert_eq!(net.nodes[0].events, expected);
 }
 
-// A VM stands still for ten seconds. When it wakes up all others look silent to it, though it
-// was the one that was away. Giving them up would make it take the whole of every workspace's
-// limit, and callers' requests would overrun the servers.
+// Guards against a node that drops all others after a suspension: a VM is suspended for ten seconds and then
+// all others look silent to it. Dropping them would make it take the whole of every workspace's limit, and
+// requests would overload the servers.
 #[test]
-fn woken_node_distrusts_itself_before_it_gives_up_others() {
+fn resumed_node_keeps_others_while_its_view_is_stale() {
     let mut net = FakeNet::new(6);
     net.run(Duration::from_secs(5));
     net.nodes[3].frozen = true;
@@ -254,8 +255,8 @@
     assert_eq!(net.nodes[0].members.live_count(), 2);
 }
 
-// The platform lists a node that nothing is heard of: cut off, it may go on serving. Limits
-// and slots are split as if it did.
+// Guards against sharing out what a silent node still uses: the platform lists a node from which nothing is
+// received, and which may go on serving while it is cut off. Limits and slots are split as if it did.
 #[test]
 fn listed_node_that_is_silent_still_has_its_share() {
     let mut net = FakeNet::new(2);
@@ -280,8 +281,8 @@
     assert!(sharing["dc2"].has_unresponsive && !sharing["dc0"].has_unresponsive);
 }
 
-// A data centre is cut from the platform but not from its neighbours, and a change is applied.
-// Its nodes learn it from their peers; their callers are served by the new rules.
+// Guards against an old configuration where a data centre is cut off from the platform but not from its
+// neighbours: its nodes get a change from their peers and serve by the new rules.
 #[test]
 fn data_centre_without_the_platform_follows_its_neighbours() {
     let mut net = FakeNet::new(9);
@@ -293,8 +294,8 @@
     assert_eq!(net.versions(), [2; 9]);
 }
 
-// A data centre is cut from everything while a change is applied. It goes on with the old
-// version, and takes the new one once it is back.
+// A data centre is cut off from everything while a change is applied. It continues with the old version, and
+// adopts the new one once it is connected again.
 #[test]
 fn data_centre_cut_from_everything_keeps_its_version_and_catches_up() {
     let mut net = FakeNet::new(9);
@@ -312,8 +313,8 @@
     assert_eq!(net.nodes[2].members.live_count(), 9);
 }
 
-// The store answers with an old head, as a lagging replica does. The configuration in force
-// must not go back.
+// Guards against a configuration that goes back when the store answers with an old head, as a lagging
+// replica does.
 #[test]
 fn stale_head_does_not_revert() {
     let mut net = FakeNet::new(3);
@@ -324,8 +325,8 @@
     assert_eq!(net.versions(), [2; 3]);
 }
 
-// A VM is replaced while the platform is down and at first meets only a peer with an old
-// version. It serves by that, and goes up when it meets a better one.
+// A VM is replaced while the platform is down, and at first reaches only a peer with an old version. It
+// serves by that one, and upgrades when it reaches a peer with a newer one.
 #[test]
 fn new_node_takes_the_highest_version_that_it_meets() {
     let mut follower = ConfigFollower::new();
@@ -384,8 +385,8 @@
 }
 
 quickcheck! {
-    // Cuts, outages, freezes and changes in any order: no node's version ever goes down, and
-    // once everything is mended all nodes have the newest.
+    // After partitions, outages, suspensions and changes in any order: no node's version ever decreases, and
+    // once all faults are over all nodes have the newest.
     fn versions_only_go_up_and_all_arrive(schedule: Vec<(u8, u8)>) -> bool {
         let mut net = FakeNet::new(6);
         net.publish(1);
--- a/crates/plumgate/tests/notices/mod.rs
+++ b/crates/plumgate/tests/notices/mod.rs
@@ -1,4 +1,4 @@
-//! One node before servers that say that they leave or ask for a rest.
+//! One node before servers that state that they leave or ask for a rest.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::time::{Duration, Instant};
@@ -11,31 +11,31 @@
 };
 use plumgate::ids::{PoolId, ServerId};
 
-/// How long a server serves on once it has said that it leaves.
+/// How long a server serves on once it has stated that it leaves.
 pub(crate) const DRAIN: Duration = Duration::from_secs(2);
-/// The time of day at the start.
+/// Milliseconds of the Unix epoch at the start.
 const UNIX_MS: u64 = 1_790_000_000_000;
 
-/// A request on its way.
+/// A request in flight.
 pub(crate) struct SentRequest {
     pub(crate) server: ServerEntry,
     pub(crate) sent: Duration,
     ticket: WorkTicket,
 }
 
-/// What a node knows, and the time by both of its clocks.
+/// The state of a node, and the time by both of its clocks.
 pub(crate) struct NoticeBench {
     pub(crate) table: LoadTable,
     pub(crate) statements: ServerStatements,
     start: Instant,
     /// Time that passed while the VM ran.
-    ran: Duration,
-    /// Time that passed.
+    running_time: Duration,
+    /// Time that passed, suspension included.
     pub(crate) boot: Duration,
     pool: PoolId,
 }
 
-/// An answer that says that its server leaves.
+/// The statement of an answer whose server leaves.
 pub(crate) fn leaving() -> ServerStatement {
     ServerStatement {
         leaving: LeaveStatement::Leaves,
@@ -43,7 +43,7 @@
     }
 }
 
-/// A refusal that asks for a rest.
+/// The statement of a refusal that asks for a rest.
 pub(crate) fn resting(rest: Duration) -> ServerStatement {
     ServerStatement {
         rest: RestStatement::For(rest),
@@ -52,13 +52,13 @@
 }
 
 impl NoticeBench {
-    /// A node that knows some servers.
+    /// Creates a node that knows some servers.
     pub(crate) fn new(entries: impl IntoIterator<Item = ServerEntry>) -> Self {
         let mut bench = Self {
             table: LoadTable::new(PlacementOptions::new("hall-a").with_seed(3)),
             statements: ServerStatements::new(false, 3, DRAIN),
             start: Instant::now(),
-            ran: Duration::ZERO,
+            running_time: Duration::ZERO,
             boot: Duration::from_secs(100),
             pool: "models".into(),
         };
@@ -69,17 +69,17 @@
     }
 
     pub(crate) fn now(&self) -> Instant {
-        self.start + self.ran
+        self.start + self.running_time
     }
 
-    /// Time passes.
-    pub(crate) fn pass(&mut self, time: Duration) {
-        self.ran += time;
+    /// Advances the time and runs a round.
+    pub(crate) fn advance(&mut self, time: Duration) {
+        self.running_time += time;
         self.boot += time;
         self.round();
     }
 
-    /// The VM stands still for some time.
+    /// Suspends the VM for some time.
     pub(crate) fn suspend(&mut self, time: Duration) {
         self.boot += time;
         self.round();
@@ -91,7 +91,7 @@
             .set_availabilities(&self.statements.notices, self.boot, now);
     }
 
-    /// A change of the servers, as the node takes it over.
+    /// Applies a change of a server, as the node does.
     pub(crate) fn apply(&mut self, change: &ServerChange) {
         let now = self.now();
         self.table.apply(change, now);
@@ -107,8 +107,8 @@
         self.table.set_availability(entry, availability, now);
     }
 
-    /// An answer came in that left its server now.
-    pub(crate) fn hear(
+    /// Applies the statement of an answer that its server sends now.
+    pub(crate) fn receive(
         &mut self,
         server: &ServerEntry,
         statement: ServerStatement,
@@ -123,7 +123,7 @@
         changes
     }
 
-    /// What a request without a prompt is placed for.
+    /// The parameters for placing a request without a prompt.
     pub(crate) fn request<'a>(
         pool: &'a PoolId,
         urgency: u8,
@@ -139,14 +139,14 @@
         }
     }
 
-    /// The server that is chosen for a request.
+    /// Chooses the server for a request.
     pub(crate) fn pick(&mut self, avoid: &[ServerId]) -> Option<ServerPick> {
         let (pool, now) = (self.pool.clone(), self.now());
         let request = Self::request(&pool, 0, avoid);
         self.table.pick(&request, now)
     }
 
-    /// Whether a request may leave for the server that was chosen for it.
+    /// Whether a request may be sent to the server that was chosen for it.
     pub(crate) fn check(&self, pick: &ServerPick) -> Result<(), SendRefusal> {
         let send = SendContext {
             now: self.boot,
@@ -156,7 +156,7 @@
         self.statements.check(&pick.server, send)
     }
 
-    /// Sends a request, if a server takes it.
+    /// Sends a request, if a server may take it.
     pub(crate) fn send(&mut self) -> Option<SentRequest> {
         let pick = self.pick(&[])?;
         self.check(&pick).ok()?;
@@ -170,7 +170,7 @@
         })
     }
 
-    /// The names of the servers that some requests are sent to and answered by.
+    /// Sends requests one after another and returns the servers that answered them.
     pub(crate) fn servers_of(&mut self, requests: usize) -> Vec<ServerId> {
         let mut names = Vec::new();
         for _ in 0..requests {
@@ -182,7 +182,7 @@
         names
     }
 
-    /// A request ended.
+    /// Ends a request.
     pub(crate) fn finish(&mut self, mut sent: SentRequest, end: WorkOutcome) {
         let now = self.now();
         if end == WorkOutcome::Answered {
--- a/crates/plumgate/tests/placement.rs
+++ b/crates/plumgate/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which order an engine gets, and which it does not.
+//! Which orders engines get to load and unload models.
 
 mod support;
 
@@ -24,7 +24,8 @@
     );
 }
 
-// The wanted model is loaded before the old one goes: an engine with neither serves nobody.
+// Guards against an engine without any model, which serves nobody: the wanted model is loaded before the old
+// one is unloaded.
 #[test]
 fn old_model_goes_after_the_wanted_one_is_there() {
     let config = config(1, 1);
@@ -33,7 +34,11 @@
     planner.observe("s1".into(), models(&["old"]), now);
     let order = planner.next_order(&config, now).expect("a load");
     assert_eq!((&*order.model, order.loaded), ("m", true));
-    assert_eq!(planner.next_order(&config, now), None, "it is under way");
+    assert_eq!(
+        planner.next_order(&config, now),
+        None,
+        "the load is in progress"
+    );
     now += Duration::from_secs(3);
     planner.observe("s1".into(), models(&["old", "m"]), now);
     let order = planner.next_order(&config, now).expect("an unload");
@@ -43,8 +48,9 @@
     assert_eq!(planner.next_order(&config, now), None);
 }
 
-// An order got lost on its way. The engine still says that it lacks the model, and is ordered
-// again after a while; the order states the wanted end, so that twice does no harm.
+// Guards against an order that is lost on its way: the engine still reports that it lacks the model, and the
+// order is repeated after a while. The order states the wanted result, so that receiving it twice does no
+// harm.
 #[test]
 fn lost_order_is_given_again() {
     let config = config(1, 1);
--- a/crates/plumgate/tests/route.rs
+++ b/crates/plumgate/tests/route.rs
@@ -34,7 +34,7 @@
     )])
 }
 
-/// Where a number of requests go that all stay.
+/// Places requests that do not end, and returns their number by server.
 fn spread(table: &mut RouteTable, count: usize, now: Instant) -> BTreeMap<String, u32> {
     let mut bench = Bench::new(1, 1);
     let mut spread = BTreeMap::new();
@@ -56,12 +56,12 @@
     assert_eq!(
         spread.keys().collect::<Vec<_>>(),
         ["s1", "s3"],
-        "the odd ones are here: {spread:?}"
+        "servers with odd numbers are in the own data centre: {spread:?}"
     );
 }
 
-// One server is five times slower than it was. Its callers would wait; own observations show
-// it after a few answers, and new requests go elsewhere.
+// Guards against sending to a server that became five times slower, where callers would wait: the node's own
+// observations show it after a few answers, and new requests go elsewhere.
 #[test]
 fn straggler_gets_less() {
     let mut table = table(3, 8);
@@ -93,10 +93,10 @@
     assert_eq!(spread.values().sum::<u32>(), 6, "{spread:?}");
 }
 
-// Two nodes see each other's work late. If each counted the other's old work as still there,
-// both would leave a free server idle; each keeps its equal share whatever is told.
+// Guards against an idle server that two nodes both leave unused: each learns late of the other's work and
+// counts old work as still running. Each keeps its equal share whatever peers report.
 #[test]
-fn equal_share_stays_usable_whatever_peers_tell() {
+fn equal_share_stays_usable_whatever_peers_report() {
     let mut table = table(1, 4);
     table.set_nodes(nodes(&["own", "other"], false));
     let now = Instant::now();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_a_peer_told_long_ago_no_longer_counts() {
+fn old_reports_of_peers_no_longer_count() {
     let mut table = table(1, 4);
     let now = Instant::now();
     let loads = [PeerServerLoad {
@@ -120,7 +120,7 @@
     assert_eq!(spread(&mut table, 9, now + Duration::from_secs(6))["s1"], 4);
 }
 
-// Reports overtake each other on the way. The older one tells of load that has since ended.
+// Guards against an older report that arrives after a newer one and states load which has ended since.
 #[test]
 fn report_that_was_overtaken_is_dropped() {
     let mut table = table(1, 4);
@@ -137,8 +137,8 @@
     assert_eq!(reported, Some(1));
 }
 
-// A server refuses new connections. Three failures in a row keep new work from it; after a
-// pause one request tries it, not all that wait.
+// Guards against sending to a server that refuses connections: three failures in a row keep new work from
+// it, and after a pause one request tries it, not all that wait.
 #[test]
 fn server_that_refuses_connections_is_left_alone_then_tried_by_one() {
     let mut table = table(1, 4);
@@ -177,7 +177,7 @@
     assert_eq!(
         spread(&mut table, 4, later)["s1"],
         4,
-        "the server's own word ends by itself"
+        "the server's own statement expires"
     );
     let drained = ConfigBundle::new(inventory(1, 4), RULES).with_drained(["s1".to_owned()]);
     let mut table = RouteTable::new(RouteOptions::new("here"));
@@ -223,7 +223,11 @@
                 .to_string()
         })
         .collect();
-    assert_eq!(chosen.len(), 2, "equals are drawn by lot: {chosen:?}");
+    assert_eq!(
+        chosen.len(),
+        2,
+        "equal servers are chosen at random: {chosen:?}"
+    );
 }
 
 #[test]
@@ -241,8 +245,8 @@
     assert!(bench.dispatcher.is_idle());
 }
 
-// A server that nobody has used yet stands beside quick ones. It must get its share: by a
-// guess from a constant it would look slower than those seen, and never be tried.
+// Guards against a server that is never tried: beside quick servers, an estimate from a constant would make
+// an unused one look slower than them.
 #[test]
 fn server_without_history_counts_as_typical() {
     let mut table = table(3, 8);
@@ -258,8 +262,8 @@
     assert_eq!(spread["s3"], 4, "{spread:?}");
 }
 
-// A straggler recovers while it gets no work. Its old slowness must be forgotten, or a whole
-// server would stay idle for good.
+// Guards against a server that stays idle for good: it recovers while it gets no work, so its old slowness
+// must be forgotten.
 #[test]
 fn straggler_is_tried_again_after_a_while() {
     let mut table = table(3, 8);
@@ -312,9 +316,10 @@
     );
 }
 
-// Six nodes share an engine of four slots. Each took one slot at least whatever was told, and
-// captions waited within the engine behind six dossiers, for seconds. The equal shares of all
-// nodes must add up to the slots, and a lower tier takes only what is free.
+// Guards against nodes that together take more slots than an engine has: six nodes share one of four slots.
+// Each took one slot at least whatever was reported, and captions waited within the engine behind six
+// dossiers, for seconds. The equal shares of all nodes add up to the slots, and a lower tier takes only what
+// is free.
 #[test]
 fn equal_shares_of_all_nodes_add_up_to_the_slots() {
     let names = ["n1", "n2", "n3", "n4", "n5", "n6"];
@@ -336,8 +341,8 @@
     assert_eq!(highest, 4);
 }
 
-// Nodes are cut off from each other: nothing is known to be free. A lower tier then keeps to
-// its equal share, so that all together don't fill the engine with dossiers.
+// Guards against an engine full of dossiers while nodes are cut off from each other and no slot is known to
+// be free: a lower tier then keeps to its equal share.
 #[test]
 fn lower_tier_keeps_to_its_equal_share_while_peers_are_silent() {
     let names = ["n1", "n2"];
--- a/crates/plumgate/tests/server_limits_random.rs
+++ b/crates/plumgate/tests/server_limits_random.rs
@@ -1,5 +1,5 @@
-//! Random schedules of faults over a fleet before a server that names limits: what the server gets is judged as the
-//! server would.
+//! Random schedules of faults over a fleet before a server that states limits: what the server gets is
+//! checked as the server would.
 
 mod entries;
 mod limit_fleet;
@@ -8,12 +8,12 @@
 
 use limit_fleet::{FleetShape, LimitFleet};
 
-/// Schedules that are played; `PLUMGATE_SCHEDULES` names another number.
+/// Schedules that are run; `PLUMGATE_SCHEDULES` sets another number.
 const SCHEDULES: u64 = 40;
 const LONG_SCHEDULES: u64 = 8;
 /// Steps of a schedule.
 const STEPS: u32 = 12;
-/// The first seed; `PLUMGATE_SEED` names another one.
+/// The first seed; `PLUMGATE_SEED` sets another one.
 const FIRST_SEED: u64 = 1;
 const RATES: [f64; 7] = [0.0, 0.3, 1.0, 2.5, 5.0, 20.0, 40.0];
 /// Data centres, and nodes in each.
@@ -24,7 +24,7 @@
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Fleets that are drawn from, and how many steps a schedule has.
+/// Fleets to choose from, and how many steps a schedule has.
 #[derive(Clone, Copy, Debug)]
 struct ScheduleSet {
     shapes: &'static [(usize, usize)],
@@ -42,15 +42,15 @@
     steps: 25,
 };
 
-/// Plays one short schedule; what breaks the limit, if anything does.
-fn play(seed: u64) -> Result<(), String> {
-    play_of(SHORT, seed)
+/// Runs one short schedule; an error says how the limit was exceeded.
+fn run_schedule(seed: u64) -> Result<(), String> {
+    run_schedule_of(SHORT, seed)
 }
 
-fn play_of(set: ScheduleSet, seed: u64) -> Result<(), String> {
+fn run_schedule_of(set: ScheduleSet, seed: u64) -> Result<(), String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (centres, nodes_each) = set.shapes[rng.usize(0..set.shapes.len())];
-    let mut shape = FleetShape::new(centres, nodes_each, 5.0 + 100.0 * rng.f64());
+    let (data_centres, nodes_each) = set.shapes[rng.usize(0..set.shapes.len())];
+    let mut shape = FleetShape::new(data_centres, nodes_each, 5.0 + 100.0 * rng.f64());
     shape.seed = seed;
     shape.lost = 0.1 * rng.f64();
     shape.repeated = 0.1 * rng.f64();
@@ -61,22 +61,22 @@
     fleet.run(Duration::from_secs(3));
     let mut steps = Vec::new();
     for _ in 0..set.steps {
-        steps.push(strike(&mut fleet, &mut rng));
+        steps.push(apply_fault(&mut fleet, &mut rng));
         fleet.run(Duration::from_millis(rng.u64(200..5_000)));
     }
     fleet.heal();
     fleet.run(Duration::from_secs(6));
-    match fleet.judge.worst() {
+    match fleet.limit_checker.worst_window() {
         Some((over, from, count)) if over > 0.0 => Err(format!(
-            "seed {seed}, {centres} x {nodes_each} nodes: {count} requests in 4 s from {:.3} s on, {over:.1} too many; {steps:?}",
+            "seed {seed}, {data_centres} x {nodes_each} nodes: {count} requests in 4 s from {:.3} s on, {over:.1} too many; {steps:?}",
             from as f64 / 1e6
         )),
         _ => Ok(()),
     }
 }
 
-/// One fault or change.
-fn strike(fleet: &mut LimitFleet, rng: &mut fastrand::Rng) -> String {
+/// Applies one fault or change, and returns its description.
+fn apply_fault(fleet: &mut LimitFleet, rng: &mut fastrand::Rng) -> String {
     let index = rng.usize(0..fleet.node_count());
     let pause = Duration::from_millis(rng.u64(100..6_000));
     let at = fleet.now / 1_000;
@@ -106,7 +106,7 @@
             for index in 0..fleet.node_count() {
                 fleet.restart(index, pause);
             }
-            format!("{at} restart all {pause:?}")
+            format!("{at} restart all nodes {pause:?}")
         }
         6 | 7 => {
             let nodes = fleet.node_count();
@@ -114,8 +114,8 @@
             let pairs = (0..nodes).flat_map(|from| (0..nodes).map(move |to| (from, to)));
             let pairs: Vec<(usize, usize)> = pairs.filter(|_| rng.f64() < share).collect();
             let count = pairs.len();
-            fleet.deafen(pairs);
-            format!("{at} deafen {count} of {}", nodes * nodes)
+            fleet.drop_messages(pairs);
+            format!("{at} drop messages of {count} pairs of {}", nodes * nodes)
         }
         _ => {
             let limit = (rng.f64() < 0.8).then(|| RATES[rng.usize(0..RATES.len())]);
@@ -125,7 +125,7 @@
     }
 }
 
-/// Faults that overlap made nodes together send more than a server had asked for.
+/// Guards against nodes that together send more than a server asked for, when faults overlap.
 #[test]
 fn no_schedule_of_faults_breaks_a_limit() {
     assert_none_breaks(SHORT, SCHEDULES);
@@ -140,46 +140,49 @@
 fn assert_none_breaks(set: ScheduleSet, count: u64) {
     let first = from_environment("PLUMGATE_SEED", FIRST_SEED);
     let count = from_environment("PLUMGATE_SCHEDULES", count);
-    let broken: Vec<String> = (first..first + count)
-        .filter_map(|seed| play_of(set, seed).err())
+    let violations: Vec<String> = (first..first + count)
+        .filter_map(|seed| run_schedule_of(set, seed).err())
         .collect();
     assert!(
-        broken.is_empty(),
-        "{} of {count} schedules: {broken:#?}",
-        broken.len()
+        violations.is_empty(),
+        "{} of {count} schedules: {violations:#?}",
+        violations.len()
     );
 }
 
-// Each side of a fleet cut in halves had a node that issued permits, backed by half of another data centre.
+// Guards against an issuer on each side of a fleet cut in halves, each backed by half of another data
+// centre.
 #[test]
 fn seed_188_with_a_fleet_cut_in_halves() {
-    assert_eq!(play(188), Ok(()));
+    assert_eq!(run_schedule(188), Ok(()));
 }
 
-// Two nodes of a single data centre stood still in turn, and the third took them for gone.
+// Guards against a node that takes two others of its data centre for gone while they are suspended in turn.
 #[test]
 fn seed_297_with_one_node_cut_off_from_two_that_stand_still() {
-    assert_eq!(play(297), Ok(()));
+    assert_eq!(run_schedule(297), Ok(()));
 }
 
 #[test]
 fn seeds_88_and_192_with_cuts_of_some_nodes() {
-    assert_eq!(play(88), Ok(()));
-    assert_eq!(play(192), Ok(()));
+    assert_eq!(run_schedule(88), Ok(()));
+    assert_eq!(run_schedule(192), Ok(()));
 }
 
-// A collector took nodes for gone that had never spoken to it, as they followed another one, and issued beside that.
+// Guards against a new collector that takes nodes for gone which had never sent it anything, as they
+// followed another collector, and issues permits beside that one.
 #[test]
 fn long_seeds_920493_910284_and_930206_with_a_collector_that_is_new() {
     for seed in [920_493, 910_284, 930_206] {
-        assert_eq!(play_of(LONG, seed), Ok(()));
+        assert_eq!(run_schedule_of(LONG, seed), Ok(()));
     }
 }
 
-// Nodes that were not heard for 15 s before a cut count as gone behind it; limits that fall to nearly nothing.
+// Nodes from which nothing was received for 15 s before a partition count as gone behind it; limits fall to
+// nearly nothing.
 #[test]
 fn long_seeds_900223_910286_920048_and_930032() {
     for seed in [900_223, 910_286, 920_048, 930_032] {
-        assert_eq!(play_of(LONG, seed), Ok(()));
+        assert_eq!(run_schedule_of(LONG, seed), Ok(()));
     }
 }
--- a/crates/plumgate/tests/server_notices_random.rs
+++ b/crates/plumgate/tests/server_notices_random.rs
@@ -1,5 +1,5 @@
-//! Random schedules of faults over a fleet before a server that leaves, asks for rests, names limits and starts again:
-//! what the server gets is judged as the server would.
+//! Random schedules of faults over a fleet before a server that leaves, asks for rests, states limits and
+//! restarts: what the server gets is checked as the server would.
 
 mod entries;
 mod limit_fleet;
@@ -8,18 +8,18 @@
 
 use limit_fleet::{FleetShape, LimitFleet};
 
-/// Schedules that are played; `PLUMGATE_SCHEDULES` names another number.
+/// Schedules that are run; `PLUMGATE_SCHEDULES` sets another number.
 const SCHEDULES: u64 = 40;
 /// Steps of a schedule.
 const STEPS: u32 = 14;
-/// The first seed; `PLUMGATE_SEED` names another one.
+/// The first seed; `PLUMGATE_SEED` sets another one.
 const FIRST_SEED: u64 = 1;
 /// Data centres, and nodes in each.
 const SHAPES: [(usize, usize); 5] = [(1, 2), (1, 3), (3, 2), (2, 4), (4, 5)];
-/// Requests a second of each node where it is measured how soon it hears of others: by its own answers it would
-/// learn that a server leaves after a second or later.
+/// Requests a second of each node where the time is measured until nodes receive a notice: by its own
+/// answers a node would learn that a server leaves after a second or later.
 const PER_NODE: f64 = 1.0;
-/// Time within which nodes that hear each other know that a server leaves.
+/// Time within which nodes that receive each other's messages know that a server leaves.
 const KNOWN_WITHIN: Duration = Duration::from_secs(1);
 
 fn from_environment(name: &str, default: u64) -> u64 {
@@ -27,11 +27,11 @@
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Words that were told to nodes, and what broke them.
-fn play(seed: u64) -> (u64, Vec<String>) {
+/// Runs one schedule; returns the number of notices that nodes got, and each violation.
+fn run_schedule(seed: u64) -> (u64, Vec<String>) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (centres, nodes_each) = SHAPES[rng.usize(0..SHAPES.len())];
-    let mut shape = FleetShape::new(centres, nodes_each, 20.0 + 200.0 * rng.f64());
+    let (data_centres, nodes_each) = SHAPES[rng.usize(0..SHAPES.len())];
+    let mut shape = FleetShape::new(data_centres, nodes_each, 20.0 + 200.0 * rng.f64());
     shape.seed = seed;
     shape.lost = 0.1 * rng.f64();
     shape.repeated = 0.1 * rng.f64();
@@ -40,17 +40,17 @@
     fleet.run(Duration::from_secs(1));
     let mut steps = Vec::new();
     for _ in 0..STEPS {
-        steps.push(strike(&mut fleet, &mut rng));
+        steps.push(apply_fault(&mut fleet, &mut rng));
         fleet.run(Duration::from_millis(rng.u64(100..3_000)));
     }
-    let told = fleet.notices.rests + fleet.notices.leaves;
-    let broken = fleet.notices.broken.iter();
-    let broken = broken.map(|broken| format!("seed {seed}: {broken}; {steps:?}"));
-    (told, broken.collect())
+    let notices = fleet.notice_checker.rests + fleet.notice_checker.leaves;
+    let violations = fleet.notice_checker.violations.iter();
+    let violations = violations.map(|violation| format!("seed {seed}: {violation}; {steps:?}"));
+    (notices, violations.collect())
 }
 
-/// One fault or change.
-fn strike(fleet: &mut LimitFleet, rng: &mut fastrand::Rng) -> String {
+/// Applies one fault or change, and returns its description.
+fn apply_fault(fleet: &mut LimitFleet, rng: &mut fastrand::Rng) -> String {
     let index = rng.usize(0..fleet.node_count());
     let pause = Duration::from_millis(rng.u64(100..4_000));
     let at = fleet.now / 1_000;
@@ -72,84 +72,91 @@
             format!("{at} cut {cut:?}")
         }
         3 => {
-            fleet.words.is_leaving = true;
+            fleet.stated.is_leaving = true;
             format!("{at} leaves")
         }
         4 | 5 => {
-            fleet.rebirth(pause);
-            format!("{at} starts again, known within {pause:?}")
+            fleet.restart_server(pause);
+            format!("{at} server restarts, known within {pause:?}")
         }
         6 => {
-            fleet.words.rest = None;
-            format!("{at} takes requests")
+            fleet.stated.rest = None;
+            format!("{at} accepts requests")
         }
         7 => {
-            fleet.words.limit = rng.bool().then(|| 10.0 * rng.f64());
-            format!("{at} limit {:?}", fleet.words.limit)
+            fleet.stated.limit = rng.bool().then(|| 10.0 * rng.f64());
+            format!("{at} limit {:?}", fleet.stated.limit)
         }
         _ => {
-            fleet.words.rest = Some(pause);
+            fleet.stated.rest = Some(pause);
             format!("{at} rests {pause:?}")
         }
     }
 }
 
-/// Faults that overlap made a node send to a server that had told it that it leaves or rests.
+/// Guards against a node that sends to a server which stated to it that it leaves or rests, when faults
+/// overlap.
 #[test]
-fn no_schedule_of_faults_breaks_a_servers_word() {
+fn no_schedule_of_faults_breaks_a_notice() {
     let first = from_environment("PLUMGATE_SEED", FIRST_SEED);
     let count = from_environment("PLUMGATE_SCHEDULES", SCHEDULES);
-    let mut told = 0;
-    let mut broken = Vec::new();
+    let mut notices = 0;
+    let mut violations = Vec::new();
     for seed in first..first + count {
-        let (words, breaks) = play(seed);
-        told += words;
-        broken.extend(breaks);
+        let (stated, new_violations) = run_schedule(seed);
+        notices += stated;
+        violations.extend(new_violations);
     }
-    assert!(told >= count, "{told} words in {count} schedules");
+    assert!(notices >= count, "{notices} notices in {count} schedules");
     assert!(
-        broken.is_empty(),
-        "{} of {told}: {:#?}",
-        broken.len(),
-        broken.first()
+        violations.is_empty(),
+        "{} of {notices}: {:#?}",
+        violations.len(),
+        violations.first()
     );
 }
 
-/// How long after its first word a server that leaves gets its last request.
-fn last_after_word(mut shape: FleetShape, lost: f64) -> Duration {
+/// Returns the time from a leaving server's first notice until its last request.
+fn last_request_delay(mut shape: FleetShape, lost: f64) -> Duration {
     shape.lost = lost;
     let mut fleet = LimitFleet::new(shape);
     fleet.run(Duration::from_secs(3));
-    fleet.words.is_leaving = true;
+    fleet.stated.is_leaving = true;
     fleet.run(Duration::from_secs(6));
-    let last = fleet.notices.last_after_word().expect("it said so");
-    Duration::from_micros(last)
+    let delay = fleet
+        .notice_checker
+        .last_request_delay()
+        .expect("the server stated that it leaves");
+    Duration::from_micros(delay)
 }
 
-/// A server's word stayed with the node that it answered, or reached large fleets late.
+/// Guards against a notice that stays with the node that got the answer, or that reaches large fleets late.
 #[test]
-fn all_nodes_that_hear_each_other_know_a_leaving_server_within_a_second() {
-    for (centres, nodes_each) in [(1, 2), (3, 2), (4, 5), (15, 13)] {
-        let demand = PER_NODE * (centres * nodes_each) as f64;
-        let shape = FleetShape::new(centres, nodes_each, demand);
-        let last = last_after_word(shape, 0.0);
-        assert!(last <= KNOWN_WITHIN, "{centres} x {nodes_each}: {last:?}");
+fn all_connected_nodes_know_a_leaving_server_within_a_second() {
+    for (data_centres, nodes_each) in [(1, 2), (3, 2), (4, 5), (15, 13)] {
+        let demand = PER_NODE * (data_centres * nodes_each) as f64;
+        let shape = FleetShape::new(data_centres, nodes_each, demand);
+        let delay = last_request_delay(shape, 0.0);
+        assert!(
+            delay <= KNOWN_WITHIN,
+            "{data_centres} x {nodes_each}: {delay:?}"
+        );
     }
 }
 
-/// A message that was lost left nodes without the word.
+/// Guards against a lost message that leaves nodes without the notice.
 #[test]
-fn lost_messages_delay_the_word_by_rounds_only() {
+fn lost_messages_delay_a_notice_by_rounds_only() {
     for seed in 1..=10 {
         let mut shape = FleetShape::new(3, 4, 12.0 * PER_NODE);
         shape.seed = seed;
-        let last = last_after_word(shape, 0.1);
-        assert!(last <= KNOWN_WITHIN, "seed {seed}: {last:?}");
+        let delay = last_request_delay(shape, 0.1);
+        assert!(delay <= KNOWN_WITHIN, "seed {seed}: {delay:?}");
     }
 }
 
-/// A node that started again and read the store by itself was told only when the others told anew, up to half a minute
-/// later.
+/// Guards against a node that restarts, reads the store by itself, and gets a notice only with the others'
+/// next report, up to half a minute later.
 #[test]
 fn node_that_started_again_asks_the_others() {
     for seed in 1..=10 {
@@ -157,8 +164,8 @@
         shape.seed = seed;
         let mut fleet = LimitFleet::new(shape);
         fleet.run(Duration::from_secs(3));
-        fleet.words.is_leaving = true;
-        // The others have told it by then, and tell it next after a quarter of a minute.
+        fleet.stated.is_leaving = true;
+        // The others have sent their reports by then, and send the next ones after a quarter of a minute.
         fleet.run(Duration::from_secs(10));
         for index in 0..6 {
             fleet.restart(index, Duration::from_millis(300));
--- a/crates/plumgate/tests/support/mod.rs
+++ b/crates/plumgate/tests/support/mod.rs
@@ -47,9 +47,9 @@
     let mut text =
         String::from("[data_centres.here]\nregion = \"r\"\n[data_centres.there]\nregion = \"r\"\n");
     for number in 1..=servers {
-        let place = if number % 2 == 1 { "here" } else { "there" };
+        let data_centre = if number % 2 == 1 { "here" } else { "there" };
         text.push_str(&format!(
-            "[servers.s{number}]\ndata_centre = \"{place}\"\nmodel = \"m\"\naddress = \"127.0.0.1:{}\"\nslots = {slots}\n",
+            "[servers.s{number}]\ndata_centre = \"{data_centre}\"\nmodel = \"m\"\naddress = \"127.0.0.1:{}\"\nslots = {slots}\n",
             1000 + number
         ));
     }
@@ -71,22 +71,22 @@
     )
 }
 
-/// A dispatcher in the data centre "here" with its time.
+/// A dispatcher in the data centre "here", with its clock.
 pub(crate) struct Bench {
     /// The dispatcher.
     pub(crate) dispatcher: Dispatcher,
-    /// The paused clock.
+    /// The simulated time.
     pub(crate) now: Instant,
-    numbers: u32,
+    ticket_count: u32,
 }
 
 impl Bench {
-    /// A bench with a small fleet.
+    /// Creates a dispatcher for a small fleet.
     pub(crate) fn new(servers: usize, slots: u32) -> Self {
         Self::with_config(config(servers, slots))
     }
 
-    /// A bench with a configuration.
+    /// Creates a dispatcher for a configuration.
     pub(crate) fn with_config(config: Arc<FleetConfig>) -> Self {
         let now = Instant::now();
         let mut dispatcher =
@@ -95,26 +95,26 @@
         Self {
             dispatcher,
             now,
-            numbers: 0,
+            ticket_count: 0,
         }
     }
 
-    /// Moves the clock.
+    /// Advances the clock and runs a tick.
     pub(crate) fn advance(&mut self, milliseconds: u64) -> Vec<DispatchAction> {
         self.now += Duration::from_millis(milliseconds);
         self.dispatcher.tick(self.now)
     }
 
-    /// A ticket for a class of [`RULES`].
+    /// Creates a ticket for a class of [`RULES`].
     pub(crate) fn ticket(&mut self, class: &str) -> RequestTicket {
-        self.numbers += 1;
+        self.ticket_count += 1;
         let (rank, target, patience) = match class {
             "caption" | "receipt" => (1, 1200, 5000),
             "note" => (2, 5000, 30000),
             _ => (3, 30000, 60000),
         };
         RequestTicket {
-            id: format!("{class}-{}", self.numbers).into(),
+            id: format!("{class}-{}", self.ticket_count).into(),
             workspace: "norte".into(),
             class: class.into(),
             rank,
@@ -136,7 +136,7 @@
         (id, self.dispatcher.submit(ticket, self.now))
     }
 
-    /// Ends a request after it held its slot for some time.
+    /// Ends a request with an answer after it held its slot for a second.
     pub(crate) fn answer(&mut self, id: &RequestId) -> Vec<DispatchAction> {
         let end = AttemptOutcome::Answered {
             to_first: Duration::from_millis(50),
@@ -147,7 +147,7 @@
     }
 }
 
-/// The requests that were started, with their ranks.
+/// Returns the requests that were started, with their ranks.
 pub(crate) fn started(actions: &[DispatchAction]) -> Vec<(RequestId, TierRank)> {
     actions
         .iter()
@@ -158,7 +158,7 @@
         .collect()
 }
 
-/// The requests that were refused, and why.
+/// Returns the requests that were refused, and why.
 pub(crate) fn refused(actions: &[DispatchAction]) -> Vec<(RequestId, RefusalReason)> {
     actions
         .iter()
@@ -171,7 +171,7 @@
         .collect()
 }
 
-/// The requests that are to give way.
+/// Returns the requests that are to be preempted.
 pub(crate) fn preempted(actions: &[DispatchAction]) -> Vec<RequestId> {
     actions
         .iter()
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet without a network: nodes that judge and tell each other, servers that end under requests, and
-//! callers that get what they get.
+//! Simulation of a fleet without a network: nodes that decide and exchange notices, servers that crash under
+//! requests, and the results of callers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 
 use crate::entries::{node_entries, server_entry};
 
-/// Time between two rounds of the nodes' talk.
+/// Time between two rounds of the exchange.
 const ROUND: Duration = Duration::from_millis(100);
-/// The grain of the simulated time.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(20);
-/// How long a request runs until it ends its server.
-const DEADLY_RUN: Duration = Duration::from_millis(160);
-/// How long any other request runs.
-const PLAIN_RUN: Duration = Duration::from_millis(60);
-/// How long a server is away that ended.
-pub(crate) const AWAY: Duration = Duration::from_secs(3);
+/// Time that a poison request runs until it crashes its server.
+const POISON_RUN: Duration = Duration::from_millis(160);
+/// Time that any other request runs.
+const USUAL_RUN: Duration = Duration::from_millis(60);
+/// Time until a crashed server is back.
+pub(crate) const RESTART_TIME: Duration = Duration::from_secs(3);
 /// Time of day when a test begins, in milliseconds of the Unix epoch.
 const START_MS: u64 = 1_767_225_600_000;
 
-/// A request by its workspace and text.
+/// Returns the identity of a request by its workspace and text.
 pub(crate) fn identity(workspace: &str, text: &str) -> RequestIdentity {
     let workspace: WorkspaceId = workspace.into();
     let mut hasher = IdentityHasher::new(RequestHead {
@@ -40,7 +40,7 @@
     hasher.finish()
 }
 
-/// A configuration with these API keys.
+/// Returns a configuration with these API keys.
 pub(crate) fn config(version: u64, keys: &[&str]) -> GatewayConfig {
     let workspace = WorkspaceKeys {
         workspace: "lab".into(),
@@ -50,24 +50,24 @@
     GatewayConfig::new(version, CallerLimits::default()).with_workspace(&workspace, keys)
 }
 
-/// One node.
+/// A simulated node.
 pub(crate) struct SimNode {
     pub(crate) table: QuarantineTable,
     exchange: LoadExchange,
-    desk: SyncState,
+    sync: SyncState,
     address: SocketAddr,
     is_down: bool,
 }
 
-/// One server.
+/// A simulated server.
 struct SimServer {
     entry: ServerEntry,
-    /// Since when it is away.
-    ended: Option<Instant>,
-    births: u32,
+    /// Time of the crash of a server that is not back yet.
+    crashed_at: Option<Instant>,
+    restarts: u32,
 }
 
-/// One run.
+/// A run of a request on a server.
 struct SimRun {
     node: usize,
     server: usize,
@@ -76,31 +76,31 @@
     ends_at: Instant,
 }
 
-/// What callers of one request got.
+/// Results of the callers of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SimResult {
     pub(crate) answered: u32,
     pub(crate) broken: u32,
-    pub(crate) held: u32,
-    /// No server was there.
+    pub(crate) blocked: u32,
+    /// Requests for which no server was available.
     pub(crate) unserved: u32,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub(crate) struct SuspectFleet {
     pub(crate) nodes: Vec<SimNode>,
     servers: Vec<SimServer>,
     runs: Vec<SimRun>,
-    /// The requests that end servers.
-    pub(crate) deadly: BTreeSet<RequestIdentity>,
-    /// Ends of servers under each of them, in their order.
-    pub(crate) ends: Vec<(RequestIdentity, Instant)>,
-    /// When each of them was sent to a server.
+    /// Requests that crash servers.
+    pub(crate) poison: BTreeSet<RequestIdentity>,
+    /// Crashes of servers under each poison request, in their order.
+    pub(crate) crashes: Vec<(RequestIdentity, Instant)>,
+    /// Times at which poison requests were sent to a server.
     pub(crate) sent: Vec<(RequestIdentity, Instant)>,
     pub(crate) results: Vec<(RequestIdentity, SimResult)>,
     /// Whether the data centres are cut off from each other.
     pub(crate) is_cut: bool,
-    centres: usize,
+    data_centres: usize,
     pub(crate) bytes: usize,
     rng: fastrand::Rng,
     pub(crate) now: Instant,
@@ -109,20 +109,20 @@
 }
 
 impl SuspectFleet {
-    pub(crate) fn new(centres: usize, nodes_each: usize, servers: usize) -> Self {
+    pub(crate) fn new(data_centres: usize, nodes_each: usize, servers: usize) -> Self {
         let now = Instant::now() + Duration::from_secs(10_000);
-        let entries = node_entries(centres, nodes_each);
+        let entries = node_entries(data_centres, nodes_each);
         let nodes = (0..entries.len()).map(|index| node(&entries, index));
         let mut fleet = Self {
             nodes: nodes.collect(),
             servers: Vec::new(),
             runs: Vec::new(),
-            deadly: BTreeSet::new(),
-            ends: Vec::new(),
+            poison: BTreeSet::new(),
+            crashes: Vec::new(),
             sent: Vec::new(),
             results: Vec::new(),
             is_cut: false,
-            centres,
+            data_centres,
             bytes: 0,
             rng: fastrand::Rng::with_seed(7),
             now,
@@ -134,26 +134,26 @@
         fleet
     }
 
-    /// The time of day, in milliseconds of the Unix epoch.
+    /// Returns the time of day, in milliseconds of the Unix epoch.
     pub(crate) fn unix_ms(&self) -> u64 {
         START_MS + u64::try_from((self.now - self.start).as_millis()).expect("a short test")
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub(crate) fn advance(&mut self, by: Duration) {
         let until = self.now + by;
         while self.now < until {
             self.now += STEP.min(until - self.now);
-            self.end_runs();
-            self.bring_back();
+            self.finish_runs();
+            self.restart_servers();
             if self.now >= self.round_at {
                 self.round_at = self.now + ROUND;
-                self.talk();
+                self.exchange_round();
             }
         }
     }
 
-    fn talk(&mut self) {
+    fn exchange_round(&mut self) {
         let (now, unix_ms) = (self.now, self.unix_ms());
         let boot = now - self.start;
         for from in 0..self.nodes.len() {
@@ -164,33 +164,33 @@
             node.table.sync_with(&mut node.exchange, now, unix_ms);
             let moment = ExchangeMoment { now, boot };
             let work = std::iter::empty();
-            let packets = node.exchange.tick(work, &mut node.desk, moment);
+            let packets = node.exchange.tick(work, &mut node.sync, moment);
             let sender = node.address;
             for (address, bytes) in packets {
                 self.bytes += bytes.len();
                 let to = usize::from(address.port() - 1000);
-                let is_apart = to % self.centres != from % self.centres;
+                let is_remote = to % self.data_centres != from % self.data_centres;
                 let node = &mut self.nodes[to];
-                if node.is_down || self.is_cut && is_apart {
+                if node.is_down || self.is_cut && is_remote {
                     continue;
                 }
                 let moment = ExchangeMoment { now, boot };
-                let heard = node
+                let result = node
                     .exchange
-                    .receive(&bytes, sender, &mut node.desk, moment);
-                heard.expect("a message");
+                    .receive(&bytes, sender, &mut node.sync, moment);
+                result.expect("a message");
             }
         }
     }
 
-    /// A caller sends a request to a node, which sends it to a server, unless it is held back.
+    /// Sends a request to a node, which sends it to a random server unless it blocks the request.
     pub(crate) fn send(
         &mut self,
         node: usize,
         identity: RequestIdentity,
     ) -> Option<BlockedRequest> {
         let alive: Vec<usize> = (0..self.servers.len())
-            .filter(|index| self.servers[*index].ended.is_none())
+            .filter(|index| self.servers[*index].crashed_at.is_none())
             .collect();
         let Some(server) = self.rng.choice(&alive).copied() else {
             self.result(identity).unserved += 1;
@@ -199,7 +199,7 @@
         self.send_to(node, identity, server)
     }
 
-    /// The same to a certain server.
+    /// Sends a request to a node, which sends it to the given server unless it blocks the request.
     pub(crate) fn send_to(
         &mut self,
         node: usize,
@@ -213,29 +213,32 @@
             .begin(identity, &entry, ConnectionKind::New, now);
         let ticket = match begun {
             Ok(ticket) => ticket,
-            Err(hold) => {
-                self.result(identity).held += 1;
-                return Some(hold);
+            Err(blocked) => {
+                self.result(identity).blocked += 1;
+                return Some(blocked);
             }
         };
-        let is_deadly = self.deadly.contains(&identity);
-        if is_deadly {
+        let is_poison = self.poison.contains(&identity);
+        if is_poison {
             self.sent.push((identity, now));
         }
-        let lasts = if is_deadly { DEADLY_RUN } else { PLAIN_RUN };
+        let duration = if is_poison { POISON_RUN } else { USUAL_RUN };
         self.runs.push(SimRun {
             node,
             server,
             identity,
             ticket,
-            ends_at: now + lasts,
+            ends_at: now + duration,
         });
         None
     }
 
-    /// What became of a request's callers.
+    /// Returns the results of a request's callers.
     pub(crate) fn result(&mut self, identity: RequestIdentity) -> &mut SimResult {
-        let at = self.results.iter().position(|(held, _)| *held == identity);
+        let at = self
+            .results
+            .iter()
+            .position(|(known, _)| *known == identity);
         let at = at.unwrap_or_else(|| {
             self.results.push((identity, SimResult::default()));
             self.results.len() - 1
@@ -243,17 +246,17 @@
         &mut self.results[at].1
     }
 
-    fn end_runs(&mut self) {
+    fn finish_runs(&mut self) {
         let due: Vec<usize> = (0..self.runs.len())
             .rev()
             .filter(|index| self.runs[*index].ends_at <= self.now)
             .collect();
-        let mut ended = Vec::new();
+        let mut crashed = Vec::new();
         for index in due {
             let run = &self.runs[index];
-            if self.deadly.contains(&run.identity) {
-                self.ends.push((run.identity, self.now));
-                ended.push(run.server);
+            if self.poison.contains(&run.identity) {
+                self.crashes.push((run.identity, self.now));
+                crashed.push(run.server);
                 continue;
             }
             let run = self.runs.swap_remove(index);
@@ -261,39 +264,42 @@
             let table = &mut self.nodes[run.node].table;
             table.finish(run.ticket, WorkOutcome::Answered, self.now);
         }
-        for server in ended {
-            self.end_server(server, WorkOutcome::Broken);
+        for server in crashed {
+            self.crash_server(server, WorkOutcome::Broken);
         }
     }
 
-    /// A server ends: what runs there ends in some way.
-    pub(crate) fn end_server(&mut self, server: usize, how: WorkOutcome) {
-        self.servers[server].ended.get_or_insert(self.now);
-        let (cut, kept): (Vec<SimRun>, Vec<SimRun>) =
+    /// Crashes a server; its runs end with the given outcome.
+    pub(crate) fn crash_server(&mut self, server: usize, outcome: WorkOutcome) {
+        self.servers[server].crashed_at.get_or_insert(self.now);
+        let (broken, remaining): (Vec<SimRun>, Vec<SimRun>) =
             self.runs.drain(..).partition(|run| run.server == server);
-        self.runs = kept;
+        self.runs = remaining;
         let entry = self.servers[server].entry.clone();
-        for run in cut {
+        for run in broken {
             self.result(run.identity).broken += 1;
             let table = &mut self.nodes[run.node].table;
-            let finding = table.finish(run.ticket, how, self.now);
+            let finding = table.finish(run.ticket, outcome, self.now);
             if finding == RunFinding::ProbeServer {
                 table.on_server_gone(&entry, CrashSign::Refused, self.now);
             }
         }
     }
 
-    fn bring_back(&mut self) {
+    fn restart_servers(&mut self) {
         for index in 0..self.servers.len() {
             let state = &self.servers[index];
-            if state.ended.is_some_and(|at| self.now - at >= AWAY) {
-                let births = state.births + 1;
-                self.servers[index] = server(index, births);
+            if state
+                .crashed_at
+                .is_some_and(|at| self.now - at >= RESTART_TIME)
+            {
+                let restarts = state.restarts + 1;
+                self.servers[index] = server(index, restarts);
             }
         }
     }
 
-    /// All nodes learn that a server's entry lapsed.
+    /// Reports to all nodes that a server's entry lapsed.
     pub(crate) fn lapse(&mut self, server: usize) {
         let entry = self.servers[server].entry.clone();
         for node in &mut self.nodes {
@@ -302,37 +308,37 @@
         }
     }
 
-    /// A node's process ends and starts again.
+    /// Restarts a node's process.
     pub(crate) fn restart(&mut self, index: usize) {
-        let entries = node_entries(self.centres, self.nodes.len() / self.centres);
+        let entries = node_entries(self.data_centres, self.nodes.len() / self.data_centres);
         self.runs.retain(|run| run.node != index);
         self.nodes[index] = node(&entries, index);
     }
 
-    /// Puts a sealed notice into a node as if it had come by the network.
-    pub(crate) fn hear(&mut self, index: usize, notice: &[u8]) -> u64 {
+    /// Passes a sealed notice to a node as if it had come by the network; returns how many were refused.
+    pub(crate) fn receive_notice(&mut self, index: usize, notice: &[u8]) -> u64 {
         let (now, unix_ms) = (self.now, self.unix_ms());
-        self.nodes[index].hear_at(notice, now, unix_ms)
+        self.nodes[index].receive_notice_at(notice, now, unix_ms)
     }
 
-    /// What a node does with a request.
+    /// Returns a node's state of a request.
     pub(crate) fn state(&self, node: usize, identity: RequestIdentity) -> SuspectState {
         let suspects = self.nodes[node].table.suspects();
-        let mut of_request = suspects.filter(|(held, ..)| *held == identity);
+        let mut of_request = suspects.filter(|(known, ..)| *known == identity);
         of_request
             .next()
             .map_or(SuspectState::Free, |(_, state, _)| state)
     }
 
-    /// Whether all nodes hold a request back.
-    pub(crate) fn all_hold(&self, identity: RequestIdentity) -> bool {
+    /// Returns whether all nodes block a request.
+    pub(crate) fn all_block(&self, identity: RequestIdentity) -> bool {
         (0..self.nodes.len()).all(|node| self.state(node, identity) == SuspectState::Blocked)
     }
 
-    /// Times that a request was sent later than a while after it had ended its third server.
+    /// Counts how often a request was sent later than `contact` after the crash of its third server.
     pub(crate) fn sent_after_third(&self, identity: RequestIdentity, contact: Duration) -> usize {
-        let ends = self.ends.iter().filter(|(of, _)| *of == identity);
-        let Some((_, third)) = ends.clone().nth(2) else {
+        let crashes = self.crashes.iter().filter(|(of, _)| *of == identity);
+        let Some((_, third)) = crashes.clone().nth(2) else {
             return 0;
         };
         let sent = self.sent.iter().filter(|(of, _)| *of == identity);
@@ -341,15 +347,16 @@
 }
 
 impl SimNode {
-    /// What the node tells in its next round, sealed.
-    pub(crate) fn told(&mut self, now: Instant, unix_ms: u64) -> Vec<Vec<u8>> {
+    /// Returns the sealed notices that the node sends in its next round.
+    pub(crate) fn sealed_notices(&mut self, now: Instant, unix_ms: u64) -> Vec<Vec<u8>> {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
         self.table.sync_with(&mut exchange, now, unix_ms);
         exchange.outgoing_notices().to_vec()
     }
 
-    /// Puts a sealed notice into the node as if it had come at some time of day; tells how many were refused.
-    pub(crate) fn hear_at(&mut self, notice: &[u8], now: Instant, unix_ms: u64) -> u64 {
+    /// Passes a sealed notice to the node as if it had come at the given time of day; returns how many were
+    /// refused.
+    pub(crate) fn receive_notice_at(&mut self, notice: &[u8], now: Instant, unix_ms: u64) -> u64 {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
         exchange.receive_notices([notice.to_vec()], now);
         self.table.sync_with(&mut exchange, now, unix_ms)
@@ -365,16 +372,16 @@
     SimNode {
         table,
         exchange,
-        desk: SyncState::new(Duration::from_secs(5), index as u64),
+        sync: SyncState::new(Duration::from_secs(5), index as u64),
         address: own.address,
         is_down: false,
     }
 }
 
-fn server(index: usize, births: u32) -> SimServer {
+fn server(index: usize, restarts: u32) -> SimServer {
     SimServer {
-        entry: server_entry(&format!("s{index}-{births}")),
-        ended: None,
-        births,
+        entry: server_entry(&format!("s{index}-{restarts}")),
+        crashed_at: None,
+        restarts,
     }
 }
--- a/crates/plumgate/tests/wire.rs
+++ b/crates/plumgate/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes: packing, forgery, replay, and input that makes no sense.
+//! Messages between nodes: encoding, forgery, replay, and invalid input.
 
 use plumgate::Error;
 use plumgate::wire::{
@@ -34,11 +34,11 @@
 #[test]
 fn every_changed_or_missing_byte_is_found() {
     let bytes = key().seal(&envelope(1)).expect("packs");
-    for place in 0..bytes.len() {
+    for position in 0..bytes.len() {
         let mut changed = bytes.clone();
-        changed[place] ^= 1;
-        assert!(key().open(&changed).is_err(), "byte {place}");
-        assert!(key().open(&bytes[..place]).is_err(), "cut at {place}");
+        changed[position] ^= 1;
+        assert!(key().open(&changed).is_err(), "byte {position}");
+        assert!(key().open(&bytes[..position]).is_err(), "cut at {position}");
     }
     assert!(matches!(
         key().open(&vec![0; MAX_MESSAGE_BYTES + 1]),
@@ -46,7 +46,7 @@
     ));
 }
 
-// A recorded message is played again, or comes twice. It must not bring back old load.
+// Guards against a recorded message that is replayed, or arrives twice, and restores old load.
 #[test]
 fn message_counts_once_even_out_of_order() {
     let mut guard = ReplayGuard::new();
@@ -66,8 +66,8 @@
     }
 }
 
-// A node that was replaced starts over with a new incarnation; messages of the old one that
-// are still under way must not count any more.
+// Guards against messages of an old incarnation that are still in transit after a node was replaced and
+// started over with a new one.
 #[test]
 fn new_incarnation_ends_the_old_one() {
     let mut guard = ReplayGuard::new();
