--- a/crates/plumgate/src/dispatch/dispatcher.rs
+++ b/crates/plumgate/src/dispatch/dispatcher.rs
@@ -371,13 +371,13 @@
     pub fn finish(
         &mut self,
         request: &RequestId,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
         now: Instant,
     ) -> Vec<DispatchAction> {
         let Some(running) = self.release(request, now) else {
             return Vec::new();
         };
-        match end {
+        match outcome {
             AttemptOutcome::Answered {
                 to_first,
                 to_end,
--- a/crates/plumgate/src/duty/holder.rs
+++ b/crates/plumgate/src/duty/holder.rs
@@ -55,7 +55,7 @@
 pub enum HolderEvent {
     /// This node acquired the lease.
     Taken {
-        /// Generation number.
+        /// Fencing number.
         number: FencingNumber,
         /// Era of the store.
         era: StoreEra,
@@ -170,7 +170,7 @@
         })
     }
 
-    /// Tells whether this node holds the lease as far as it knows. It may still have to wait before it acts, or
+    /// Returns whether this node holds the lease as far as it knows. It may still have to wait before it acts, or
     /// may already have stopped acting.
     pub fn is_holder(&self) -> bool {
         self.tenure.is_some()
@@ -183,7 +183,7 @@
 
     /// Returns the next call to the store, if one is due. `contents` is the state to store for the next holder.
     /// `inherit` computes the state that a new holder starts with from the contents of the row. Its second
-    /// argument tells whether the history is broken: the store was restored from an older state, and something
+    /// argument says whether the history is broken: the store was restored from an older state, and something
     /// may have been sent that is not recorded in the row.
     pub fn tick(
         &mut self,
@@ -226,8 +226,8 @@
             let row_era = seen.row.as_ref().map(|row| row.era);
             let is_broken = row_era.unwrap_or(0) < seen.version.era;
             let empty = DutyContents::default();
-            let held = seen.row.as_ref().map_or(&empty, |row| &row.contents);
-            inherit(held, is_broken || seen.row.is_none())
+            let stored = seen.row.as_ref().map_or(&empty, |row| &row.contents);
+            inherit(stored, is_broken || seen.row.is_none())
         };
         self.write(None, inherited, expected_version, now)
     }
--- a/crates/plumgate/src/duty/mod.rs
+++ b/crates/plumgate/src/duty/mod.rs
@@ -2,7 +2,7 @@
 //! reports and orders of backend servers.
 //!
 //! The duty API keeps no state for the nodes and may not check who calls. The state that has to survive a change
-//! of holder is in the lease row in the store: the holder, its generation number, and the reports that may have
+//! of holder is in the lease row in the store: the holder, its fencing number, and the reports that may have
 //! been sent.
 
 mod agreed_clock;
--- a/crates/plumgate/src/duty/order_tracker.rs
+++ b/crates/plumgate/src/duty/order_tracker.rs
@@ -12,8 +12,8 @@
 /// Minimum time between an order for a subject and one that lowers its number, for reclaimable servers. These are
 /// cheap and stay for the next burst.
 const RECLAIMABLE_DECREASE_INTERVAL: Duration = Duration::from_secs(5);
-/// The same for lasting servers. They cost several times as much and are released as soon as the effect of the
-/// first order is visible.
+/// Minimum time between an order for lasting servers and one that lowers their number. They cost several times as
+/// much and are released as soon as the effect of the first order is visible.
 const LASTING_DECREASE_INTERVAL: Duration = Duration::from_secs(2);
 /// Maximum number of servers that one order removes. Nodes send each other 400 server updates a second; if
 /// thousands of servers left at once, nodes would learn of it too late and send requests to servers that are
@@ -55,12 +55,12 @@
         Self::default()
     }
 
-    /// Tells whether none of these servers were available when they were last ordered.
+    /// Returns whether none of these servers were available when they were last ordered.
     pub fn is_unavailable(&self, subject: &ScaleSubject) -> bool {
         self.unavailable.contains_key(subject)
     }
 
-    /// Tells whether these servers are not ordered for now because none were available.
+    /// Returns whether these servers are not ordered for now because none were available.
     fn is_paused(&self, subject: &ScaleSubject, now: Instant) -> bool {
         self.unavailable
             .get(subject)
@@ -68,13 +68,13 @@
     }
 
     /// Returns the order that is due for a subject, if any. `wanted` is the number of servers that it should have,
-    /// `present` the number of those that accept work, and `boot` the time that a new server takes to start.
+    /// `present` the number of those that accept work, and `boot_time` the time that a new server takes to start.
     pub fn next(
         &mut self,
         subject: &ScaleSubject,
         wanted: u32,
         present: u32,
-        boot: Duration,
+        boot_time: Duration,
         now: Instant,
     ) -> Option<ScaleOrder> {
         let last_count = self.ordered.get(subject).map(|last| last.count);
@@ -93,7 +93,8 @@
         let since = now.saturating_duration_since(last.at);
         let is_increase = wanted > last.count;
         // Servers that were reclaimed or crashed permanently are replaced by ordering the same number again.
-        let lacks_servers = wanted == last.count && present < wanted && since > boot + BOOT_MARGIN;
+        let lacks_servers =
+            wanted == last.count && present < wanted && since > boot_time + BOOT_MARGIN;
         let min_decrease = (f64::from(last.count) * MIN_DECREASE_SHARE).ceil().max(1.0) as u32;
         let is_decrease =
             wanted + min_decrease <= last.count && since > decrease_interval(subject.kind);
--- a/crates/plumgate/src/duty/row.rs
+++ b/crates/plumgate/src/duty/row.rs
@@ -9,7 +9,7 @@
 use crate::ids::{FencingNumber, NodeId};
 use crate::store_version::{StoreEra, StoreVersion};
 
-/// Low bits of a generation number that hold the store version; the era is above them. 40 bits last 80 years at
+/// Low bits of a fencing number that hold the store version; the era is above them. 40 bits last 80 years at
 /// 400 writes a second.
 const VERSION_BITS: u32 = 40;
 
@@ -53,7 +53,7 @@
     /// Random number drawn for each write. It identifies the write, even if another one got the same version
     /// because the store was restored from an older state.
     pub nonce: u64,
-    /// Generation number; `None` in the write that acquires the lease, where it follows from the version of that
+    /// Fencing number; `None` in the write that acquires the lease, where it follows from the version of that
     /// write.
     pub number: Option<FencingNumber>,
     /// State for the next holder.
@@ -72,7 +72,7 @@
         serde_json::from_slice(bytes).map_err(|_| Error::MalformedMessage)
     }
 
-    /// Returns the generation number of the row stored at `version`.
+    /// Returns the fencing number of the row stored at `version`.
     ///
     /// The store assigns a version once in an era, so two writes that acquire the lease never have the same
     /// number, and the later one has the higher number.
@@ -125,6 +125,6 @@
 pub struct DutyCredential {
     /// Name of the node.
     pub node: NodeId,
-    /// Generation number of the lease.
+    /// Fencing number of the lease.
     pub number: FencingNumber,
 }
--- a/crates/plumgate/src/duty/scale.rs
+++ b/crates/plumgate/src/duty/scale.rs
@@ -122,7 +122,7 @@
 
 /// Policy that decides how many servers a pool should have.
 pub trait ScalePolicy {
-    /// Returns the wanted numbers of servers. `is_unavailable` tells whether a kind of servers is not available
+    /// Returns the wanted numbers of servers. `is_unavailable` says whether a kind of servers is not available
     /// in a data centre.
     fn wanted(
         &mut self,
@@ -183,7 +183,7 @@
     /// Minimum total with reclaimable servers, as a ratio to the initial number of servers: before any load is
     /// seen, the number set by the operator is the best estimate.
     pub floor: f64,
-    /// Minimum of that total, as the same ratio.
+    /// Minimum of the total that `lasting_headroom` leads to, as the same ratio.
     pub lasting_floor: f64,
 }
 
@@ -224,7 +224,7 @@
         is_observed
     }
 
-    /// Tells whether the pool has been observed for long enough to order servers.
+    /// Returns whether the pool has been observed for long enough to order servers.
     pub fn is_observed(&self, now: Instant) -> bool {
         let since = self.observed_since;
         since.is_some_and(|since| now.saturating_duration_since(since) > OBSERVATION_TIME)
@@ -313,8 +313,8 @@
         };
         for (data_centre, servers) in &load.data_centres {
             // Reclaimable servers with cached prompt parts are not replaced by lasting ones with empty caches.
-            let room = scaling.max - servers.reclaimable.min(scaling.max);
-            let lasting = lasting_each.min(room.max(scaling.min));
+            let free = scaling.max - servers.reclaimable.min(scaling.max);
+            let lasting = lasting_each.min(free.max(scaling.min));
             wanted.insert((data_centre.clone(), ServerKind::Lasting), lasting);
             if !has_reclaimable {
                 continue;
--- a/crates/plumgate/src/duty/usage.rs
+++ b/crates/plumgate/src/duty/usage.rs
@@ -338,7 +338,7 @@
         windows.flat_map(BTreeMap::values).map(BTreeMap::len).sum()
     }
 
-    /// Tells whether there are no counts.
+    /// Returns whether there are no counts.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/plumgate/src/gateway/admission/freshness.rs
+++ b/crates/plumgate/src/gateway/admission/freshness.rs
@@ -35,9 +35,9 @@
         self.max_age = max_age;
     }
 
-    /// Records that the store answered a read sent at `asked_at`, and that its result is in force.
-    pub fn renew(&mut self, asked_at: Duration) {
-        self.known_at = self.known_at.max(Some(asked_at));
+    /// Records that the store answered a read sent at `requested_at`, and that its result is in force.
+    pub fn renew(&mut self, requested_at: Duration) {
+        self.known_at = self.known_at.max(Some(requested_at));
     }
 
     /// Returns the age of what is known, or `None` before the first read.
@@ -45,17 +45,17 @@
         self.known_at.map(|known| now.saturating_sub(known))
     }
 
-    /// Whether a known key may be trusted.
+    /// Returns whether a known key may be trusted.
     pub fn allows_keys(&self, now: Duration) -> bool {
         self.is_within(now, KEY_SHARE)
     }
 
-    /// Whether a request with an unknown key or route may be rejected as such.
+    /// Returns whether a request with an unknown key or route may be rejected as such.
     pub fn allows_denials(&self, now: Duration) -> bool {
         self.is_within(now, DENIAL_SHARE)
     }
 
-    /// Whether this node may report itself as ready for new callers.
+    /// Returns whether this node may report itself as ready for new callers.
     pub fn allows_ready(&self, now: Duration) -> bool {
         self.is_within(now, READY_SHARE)
     }
--- a/crates/plumgate/src/gateway/exchange/duty_messages.rs
+++ b/crates/plumgate/src/gateway/exchange/duty_messages.rs
@@ -13,8 +13,8 @@
 pub(crate) const DATA_CENTRE_SILENCE: Duration = Duration::from_millis(1_500);
 /// Time for which a demand report counts.
 const DEMAND_LIFETIME: Duration = Duration::from_secs(2);
-/// Maximum number of usage reports that wait to be taken: two of each node of a large data centre.
-const MAX_USAGE_REPORTS: usize = 256;
+/// Maximum number of usage updates that wait to be taken: two of each node of a large data centre.
+const MAX_USAGE_UPDATES: usize = 256;
 
 /// Another node's report of the time of day.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     Collector,
 }
 
-/// Another node's usage report.
+/// Another node's usage update, which is part of the usage reports to the duty API.
 #[derive(Clone, Debug)]
 pub struct ReceivedUsage {
     /// Node that sent the report.
@@ -60,7 +60,7 @@
     /// Report of the time of day that this node sends.
     clock: Option<ClockReport>,
     received_clocks: Vec<ReceivedClock>,
-    /// Usage reports that this node sends in this round.
+    /// Usage updates that this node sends in this round.
     outgoing_usage: Vec<UsageUpdate>,
     received_usage: Vec<ReceivedUsage>,
     /// Demand of this node's own requests.
@@ -109,25 +109,25 @@
         std::mem::take(&mut self.received_clocks)
     }
 
-    /// Sets the usage reports of the next round: a node sends them to its collector, a collector to the
+    /// Sets the usage updates of the next round: a node sends them to its collector, a collector to the
     /// collectors of the other data centres.
     pub fn set_usage(&mut self, reports: Vec<UsageUpdate>) {
         self.outgoing_usage = reports;
     }
 
-    /// Takes the usage reports to send in this round.
+    /// Takes the usage updates to send in this round.
     pub(crate) fn take_outgoing_usage(&mut self) -> Vec<UsageUpdate> {
         std::mem::take(&mut self.outgoing_usage)
     }
 
-    /// Stores another node's usage report.
+    /// Stores another node's usage update.
     pub(crate) fn receive_usage(
         &mut self,
         node: NodeId,
         report: UsageUpdate,
         moment: ExchangeMoment,
     ) {
-        if self.received_usage.len() < MAX_USAGE_REPORTS {
+        if self.received_usage.len() < MAX_USAGE_UPDATES {
             self.received_usage.push(ReceivedUsage {
                 node,
                 report,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes the usage reports received since the last call.
+    /// Takes the usage updates received since the last call.
     pub fn take_usage(&mut self) -> Vec<ReceivedUsage> {
         std::mem::take(&mut self.received_usage)
     }
@@ -189,7 +189,7 @@
         self.has_new_receiver = true;
     }
 
-    /// Takes whether another node receives the reports than at the last call: it needs all of them.
+    /// Returns whether the receiver of the reports has changed since the last call. A new one needs all of them.
     pub fn take_has_new_receiver(&mut self) -> bool {
         std::mem::take(&mut self.has_new_receiver)
     }
--- a/crates/plumgate/src/gateway/exchange/load_exchange.rs
+++ b/crates/plumgate/src/gateway/exchange/load_exchange.rs
@@ -33,8 +33,8 @@
 /// often enough that these still count when one of them takes over. Sent to them each round, the sums were half of
 /// the bytes that collectors send to other data centres.
 const STANDBY_ROUNDS: u32 = 4;
-/// Rounds in which a collector that handed over says so: enough that one of the messages arrives. Nodes that
-/// miss them all treat it as a silent collector, and follow the store by themselves meanwhile.
+/// Number of rounds in which a collector that handed over announces it: enough that one of the messages arrives.
+/// Nodes that miss them all treat it as a silent collector, and follow the store by themselves meanwhile.
 const HANDOVER_ROUNDS: u32 = 3;
 /// Maximum number of servers in one message, so that it fits into one network packet.
 const MAX_ENTRIES: usize = 100;
@@ -85,7 +85,7 @@
     collector_received_at: Option<Instant>,
     /// Rounds in which this node was the collector.
     rounds: u32,
-    /// Rounds left in which this node still tells its data centre that another node collects.
+    /// Rounds left in which this node still announces to its data centre that another node collects.
     handover_rounds: u32,
     /// When this node became the collector.
     collecting_since: Option<Instant>,
@@ -281,7 +281,7 @@
         packets
     }
 
-    /// Encodes the usage reports of this round.
+    /// Encodes the usage updates of this round.
     fn usage_packets(&mut self, recipients: &[NodeId]) -> Vec<ExchangePacket> {
         let mut packets = Vec::new();
         for report in self.duty_messages.take_outgoing_usage() {
--- a/crates/plumgate/src/gateway/exchange/messages.rs
+++ b/crates/plumgate/src/gateway/exchange/messages.rs
@@ -12,8 +12,8 @@
 /// Tokens per unit of [`WorkEntry::pending_prefill`].
 const TOKEN_UNIT: u64 = 64;
 
-/// Short key of a server in messages: a digest of its id, which is long, and of its start time. Reports on an
-/// earlier incarnation of the id thus never count for the current one.
+/// Key of a server's incarnation in messages: a 32-bit digest of its id, which is long, and of its start time.
+/// Reports on an earlier incarnation of the id thus never count for the current one.
 pub(crate) type ServerKey = u32;
 
 /// Work in flight at one server.
@@ -34,7 +34,7 @@
     DataCentre(Vec<WorkEntry>),
     /// Work that the whole fleet has in flight.
     Total(Vec<WorkEntry>),
-    /// Usage report: requests that began at servers.
+    /// Usage update: counts of the requests that began at servers.
     Usage(UsageUpdate),
     /// A message about the statements of servers, sealed with one key or two.
     Statements(Vec<Vec<u8>>),
@@ -72,7 +72,7 @@
 pub struct PartLocation {
     /// Id of the part.
     pub part: u64,
-    /// Key of the server: a digest of its id and start time.
+    /// Key of the server's incarnation.
     pub server: u32,
 }
 
--- a/crates/plumgate/src/gateway/exchange/part_locations.rs
+++ b/crates/plumgate/src/gateway/exchange/part_locations.rs
@@ -5,7 +5,7 @@
 
 use super::messages::PartLocation;
 
-/// Rounds in which a location is sent: enough that one of the messages arrives.
+/// Number of rounds in which a location is sent: enough that one of the messages arrives.
 const LOCATION_ROUNDS: u32 = 3;
 /// Maximum number of locations in one message.
 const MAX_LOCATIONS: usize = 80;
--- a/crates/plumgate/src/gateway/exchange/peers.rs
+++ b/crates/plumgate/src/gateway/exchange/peers.rs
@@ -25,7 +25,8 @@
 /// lost the store, it answers nobody, and going on through all nodes would only change the collector again and
 /// again.
 const MAX_HANDOVERS: usize = 2;
-/// Possible collectors of another data centre that get a sum: a second one in case the first has just failed.
+/// Number of possible collectors of another data centre that get a sum: a second one in case the first has just
+/// failed.
 const FOREIGN_COLLECTORS: usize = 2;
 
 /// Silence after which a node counts as gone, where [`PeerView::alive_count`] is computed.
--- a/crates/plumgate/src/gateway/placement/affinity.rs
+++ b/crates/plumgate/src/gateway/placement/affinity.rs
@@ -11,7 +11,7 @@
 /// busy.
 const FIRST_PREFILL_WEIGHT: f64 = 2.0;
 /// The same for a prompt that another server of the group caches: prefilling it again takes engine time from
-/// all other prompts, at the very time when none is left. Dossiers answered in time in a simulated fleet of
+/// all other prompts, at the very time when none is left. Long prompts answered in time in a simulated fleet of
 /// 60 engines and 64 nodes under a burst of 2.7 times: 0.63 with a weight of 2, 0.67 with 8
 /// (`tests/gateway_load.rs`).
 const REPEATED_PREFILL_WEIGHT: f64 = 8.0;
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -49,7 +49,7 @@
         loads.filter(|load| load.entry.pool == *request.pool)
     }
 
-    /// Whether nothing that this node observed speaks against a server.
+    /// Returns whether nothing that this node observed speaks against a server.
     fn seems_usable(&self, load: &ServerLoad, now: Instant) -> bool {
         load.is_healthy(self.options.switches, now) && !self.is_cut_off(&load.entry)
     }
@@ -77,7 +77,7 @@
             .min_by_key(|deferral| deferral.until)
     }
 
-    /// Whether the pool has known servers and all of them are leaving.
+    /// Returns whether the pool has known servers and all of them are leaving.
     pub fn has_only_leaving(&self, pool: &PoolId) -> bool {
         let of_pool = || {
             self.servers
--- a/crates/plumgate/src/gateway/placement/data_centres.rs
+++ b/crates/plumgate/src/gateway/placement/data_centres.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether the data centre seems cut off.
+    /// Returns whether the data centre seems cut off.
     pub fn is_cut_off(&self, data_centre: &DataCentreId) -> bool {
         self.data_centres
             .get(data_centre)
--- a/crates/plumgate/src/gateway/placement/groups.rs
+++ b/crates/plumgate/src/gateway/placement/groups.rs
@@ -38,7 +38,7 @@
         self.shares.get(pool).copied().unwrap_or(INITIAL_SHARE)
     }
 
-    /// Whether the shares are due for an adjustment; if so, the next one is due after `ADAPT_INTERVAL`.
+    /// Returns whether the shares are due for an adjustment; if so, the next one is due after `ADAPT_INTERVAL`.
     pub(crate) fn is_due(&mut self, now: Instant) -> bool {
         let is_early = self
             .adapted_at
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Applies what the other nodes reported, and passes on what this node has to report.
+    /// Applies what the other nodes reported, and queues what this node has to report.
     pub fn sync_with(&mut self, exchange: &mut LoadExchange, now: Instant) {
         self.adapt_shares(now);
         exchange.announce_part_locations(self.new_locations.drain(..));
@@ -194,8 +194,8 @@
                     load.limited += (1.0 - usable_share).max(0.0);
                 }
             }
-            let unread = server.own.plus(&server.peers).pending_prefill;
-            load.pending_prefill_tokens += unread.iter().sum::<u64>() as f64;
+            let pending = server.own.plus(&server.peers).pending_prefill;
+            load.pending_prefill_tokens += pending.iter().sum::<u64>() as f64;
         }
         load
     }
@@ -299,7 +299,7 @@
         })
     }
 
-    /// Whether the data centre of a server seems cut off.
+    /// Returns whether the data centre of a server seems cut off.
     pub(super) fn is_cut_off(&self, server: &ServerEntry) -> bool {
         self.has(PolicyPart::DataCentreLoss) && self.data_centres.is_cut_off(&server.data_centre)
     }
@@ -401,16 +401,16 @@
     }
 
     /// Records how a request ended.
-    pub fn finish(&mut self, ticket: WorkTicket, end: WorkOutcome, now: Instant) {
+    pub fn finish(&mut self, ticket: WorkTicket, outcome: WorkOutcome, now: Instant) {
         let Some(load) = ticket_load(&mut self.servers, &ticket) else {
             return;
         };
         load.own.in_flight = load.own.in_flight.saturating_sub(1);
-        let unread = &mut load.own.pending_prefill[ticket.urgency];
-        *unread = unread.saturating_sub(ticket.prefill_tokens);
-        load.record_end(end, now);
+        let pending = &mut load.own.pending_prefill[ticket.urgency];
+        *pending = pending.saturating_sub(ticket.prefill_tokens);
+        load.record_outcome(outcome, now);
         let data_centre = &load.entry.data_centre;
-        match end {
+        match outcome {
             WorkOutcome::Answered | WorkOutcome::Full | WorkOutcome::Refused => {
                 self.data_centres.record_answer(data_centre)
             }
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -37,7 +37,7 @@
 /// Time of copying a shared token from another server, as a share of its prefill time: an engine prefills
 /// 13,300 tokens in 235 ms and copies them in 5 to 30 ms, behind other copies.
 const COPY_SHARE: f64 = 0.1;
-/// Prompt parts that are remembered for one server.
+/// Maximum number of prompt parts that are remembered for one server.
 const MAX_PARTS: usize = 512;
 /// Time after its last use for which a server is believed to cache a part.
 const PART_LIFETIME: Duration = Duration::from_secs(30);
@@ -50,7 +50,7 @@
 /// Pause after a server could not be reached, during which this node sends it nothing. Each of the next
 /// requests would lose the time of a failing connection.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(400);
-/// Longest rest that is told apart from longer ones, so that its end is a moment that the clock can
+/// Upper bound of a rest: a longer one is cut to it, so that its end is a moment that the clock can
 /// represent.
 const MAX_REST: Duration = Duration::from_secs(365 * 86_400);
 
@@ -72,7 +72,7 @@
     full_until: Option<Instant>,
     /// End of the pause after it could not be reached.
     unreachable_until: Option<Instant>,
-    /// Key of its incarnation.
+    /// Id of its incarnation.
     incarnation: IncarnationId,
     /// Until when it accepts work of last resort, if it reported that it is leaving.
     serves_until: Option<Instant>,
@@ -144,7 +144,7 @@
         self.entry = entry.clone();
     }
 
-    /// Returns the key of its incarnation.
+    /// Returns the id of its incarnation.
     pub(crate) fn incarnation(&self) -> IncarnationId {
         self.incarnation
     }
@@ -156,23 +156,23 @@
         self.resting_until = rest.map(|left| now + left);
     }
 
-    /// Whether it reported in an answer that it is leaving.
+    /// Returns whether it reported in an answer that it is leaving.
     pub(crate) fn is_leaving(&self) -> bool {
         self.serves_until.is_some()
     }
 
-    /// Whether it accepts new work by its own reports.
+    /// Returns whether it accepts new work by its own reports.
     pub(crate) fn accepts_work(&self) -> bool {
         self.entry.state == ServerState::Ready && !self.is_leaving()
     }
 
-    /// Whether it is leaving and still accepts requests for which there is no other server.
+    /// Returns whether it is leaving and still accepts requests for which there is no other server.
     pub(crate) fn accepts_last_resort(&self, now: Instant) -> bool {
         let serves = self.serves_until.is_some_and(|until| now < until);
         serves && self.entry.state == ServerState::Ready
     }
 
-    /// Whether nothing that this node observed of it speaks against new work.
+    /// Returns whether nothing that this node observed of it speaks against new work.
     pub(crate) fn is_healthy(&self, switches: PolicySwitches, now: Instant) -> bool {
         let is_resting = |part, until: Option<Instant>| {
             switches.has(part) && until.is_some_and(|until| now < until)
@@ -206,7 +206,7 @@
         limited.chain(rest).max_by_key(|deferral| deferral.until)
     }
 
-    /// Whether it rests at its own request.
+    /// Returns whether it rests at its own request.
     pub(crate) fn is_resting(&self, now: Instant) -> bool {
         self.resting_until.is_some_and(|until| now < until)
     }
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Whether the server is believed to cache all shared parts of a request's prompt.
+    /// Returns whether the server is believed to cache all shared parts of a request's prompt.
     pub(crate) fn caches_shared(&self, request: &PlacementRequest<'_>, now: Instant) -> bool {
         request
             .prompt
@@ -284,7 +284,7 @@
     /// Returns the shared tokens of a prompt that the server is not believed to cache.
     pub(crate) fn uncached(&self, prompt: &PromptShape, now: Instant) -> u64 {
         let shared = prompt.shared();
-        let kept = shared
+        let cached = shared
             .iter()
             .take_while(|part| {
                 part.tokens < MIN_TRACKED_TOKENS
@@ -294,7 +294,7 @@
                         .is_some_and(|used| now.saturating_duration_since(*used) < PART_LIFETIME)
             })
             .count();
-        shared[kept..]
+        shared[cached..]
             .iter()
             .map(|part| u64::from(part.tokens))
             .sum()
@@ -324,15 +324,15 @@
         self.answered_at = Some(now);
     }
 
-    /// Whether it answered this node recently.
+    /// Returns whether it answered this node recently.
     pub(crate) fn answered_recently(&self, now: Instant) -> bool {
         self.answered_at
             .is_some_and(|at| now.saturating_duration_since(at) < RECENT_ANSWER)
     }
 
     /// Records how a request to it ended.
-    pub(crate) fn record_end(&mut self, end: WorkOutcome, now: Instant) {
-        let failed = match end {
+    pub(crate) fn record_outcome(&mut self, outcome: WorkOutcome, now: Instant) {
+        let failed = match outcome {
             WorkOutcome::Answered => {
                 self.breaker.record_success();
                 self.record_answer(now);
--- a/crates/plumgate/src/gateway/quarantine/answers.rs
+++ b/crates/plumgate/src/gateway/quarantine/answers.rs
@@ -1,10 +1,10 @@
-//! Recently answered requests, which are taken as harmless.
+//! Recently answered requests, which count as harmless.
 
 use std::time::{Duration, Instant};
 
 use super::identity::RequestIdentity;
 
-/// Requests that are remembered, 48 bytes each. A popular request is recorded again and again. Of two
+/// Number of slots for requests, 48 bytes each. A popular request is recorded again and again. Of two
 /// requests that share a slot either may be forgotten, as a forgotten one just counts as unknown.
 const SLOT_COUNT: usize = 1_024;
 /// How long an answer counts in a request's favour. It is short, as a request that crashes servers only since
--- a/crates/plumgate/src/gateway/quarantine/evidence.rs
+++ b/crates/plumgate/src/gateway/quarantine/evidence.rs
@@ -6,7 +6,8 @@
 
 use crate::gateway::exchange::messages::ServerKey;
 
-/// Crashes kept of one request: more than any verdict needs, so that enough remain when a few are refuted.
+/// Maximum number of crashes recorded for one request: more than any verdict needs, so that enough remain when a
+/// few are refuted.
 const MAX_CRASHES: usize = 8;
 
 /// Least time between the end of one run and the begin of the next for the two to be consecutive. A node's
@@ -15,7 +16,7 @@
 /// than this gap, so that the next run but one counts.
 const CONSECUTIVE_GAP: Duration = Duration::from_millis(100);
 
-/// Sign by which a server's crash is believed.
+/// Sign from which a server's crash is inferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CrashSign {
     /// The answer broke off or did not come, and the server's machine refused the next connection.
@@ -37,12 +38,12 @@
     }
 }
 
-/// Crash of a server that is believed to have happened while the server ran a request.
+/// Crash of a server that, by some sign, happened while the server ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CrashEvidence {
     /// Incarnation of the server.
     pub(crate) server: ServerKey,
-    /// Sign by which the crash is believed.
+    /// Sign from which the crash is inferred.
     pub(crate) sign: CrashSign,
     /// When the request was sent.
     pub(crate) began: Instant,
--- a/crates/plumgate/src/gateway/quarantine/in_doubt.rs
+++ b/crates/plumgate/src/gateway/quarantine/in_doubt.rs
@@ -12,9 +12,9 @@
 use super::identity::RequestIdentity;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// Runs that are remembered.
+/// Maximum number of runs that are remembered.
 const MAX_RUNS: usize = 256;
-/// Servers that are remembered as gone, and servers that are remembered as being probed.
+/// Maximum number of servers that are remembered as gone, and of those that are remembered as being probed.
 const MAX_SERVERS: usize = 256;
 /// How long runs and servers are remembered. Entries of servers that stop responding lapse within three
 /// seconds.
--- a/crates/plumgate/src/gateway/quarantine/notice.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice.rs
@@ -8,15 +8,15 @@
 use super::identity::RequestIdentity;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// Bytes of the reports in one notice. Two notices, sealed by two keys, fit into a datagram beside load
-/// reports, prompt locations and store sync; a longer datagram would be lost with all of these.
+/// Maximum size in bytes of the reports in one notice. Two notices, sealed by two keys, fit into a datagram beside
+/// load reports, prompt locations and store sync; a longer datagram would be lost with all of these.
 const MAX_NOTICE_BYTES: usize = 1_000;
 /// Upper bounds, in bytes, of a report without its crashes and of one crash.
 const REPORT_BYTES: usize = 32;
 const CRASH_BYTES: usize = 17;
-/// Rounds in which a change is sent, so that at least one message arrives.
+/// Number of rounds in which a change is sent, so that at least one message arrives.
 pub(crate) const SEND_ROUNDS: u32 = 3;
-/// Crashes read from one report; the rest is ignored.
+/// Maximum number of crashes read from one report; the rest is ignored.
 const MAX_REPORT_CRASHES: usize = 8;
 /// Crash as it is sent to other nodes. The order of the fields is the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/plumgate/src/gateway/quarantine/rule.rs
+++ b/crates/plumgate/src/gateway/quarantine/rule.rs
@@ -60,8 +60,8 @@
         if count.servers >= MIN_CRASHED_SERVERS && count.consecutive >= MIN_CONSECUTIVE {
             return Self::Blocked;
         }
-        // One of the two alone is a rare coincidence, so the request goes on with care, but too frequent to
-        // block it.
+        // One of the two conditions alone may be a coincidence, which is too rare to send the request like any
+        // other and too frequent to block it.
         if count.servers >= MIN_CRASHED_SERVERS || count.consecutive >= MIN_CONSECUTIVE {
             return Self::OneByOne;
         }
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -21,7 +21,7 @@
 use crate::gateway::servers::ServerEntry;
 use crate::gateway::work::WorkOutcome;
 
-/// Requests that are remembered, some 400 bytes each: those that were cut at a hundred crashes.
+/// Maximum number of requests that are remembered, some 400 bytes each: as many as a hundred crashes cut.
 const MAX_RECORDS: usize = 1_024;
 /// Once the table is full, a workspace may hold one part in this many of its records.
 const WORKSPACE_DIVISOR: usize = 4;
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct QuarantineTable {
     pub(crate) records: HashMap<RequestIdentity, SuspectRecord>,
-    /// Latest believed crash of each server.
+    /// Latest crash of each server for which there is evidence.
     crash_times: HashMap<ServerKey, Instant>,
     in_flight: InFlightTable,
     in_doubt: InDoubtQueue,
@@ -104,7 +104,7 @@
             SuspectState::Free => RequestVerdict::Send,
             SuspectState::OneByOne => self.check_turn(record, now),
             SuspectState::Blocked => {
-                let until = record.history.last_crash().map(|end| end + BLOCK_DURATION);
+                let until = record.history.last_crash().map(|at| at + BLOCK_DURATION);
                 let remaining = until.map(|until| until.saturating_duration_since(now));
                 RequestVerdict::Block(BlockedRequest {
                     reason: BlockReason::Quarantined,
@@ -131,7 +131,7 @@
         let since_crash = record
             .history
             .last_crash()
-            .map(|end| now.saturating_duration_since(end));
+            .map(|at| now.saturating_duration_since(at));
         match position.zip(since_crash) {
             Some((position, since)) if has_turn(position, self.node_count, since) => {
                 RequestVerdict::SendIsolated
@@ -147,7 +147,7 @@
         &mut self,
         identity: RequestIdentity,
         server: &ServerEntry,
-        link: ConnectionKind,
+        connection: ConnectionKind,
         now: Instant,
     ) -> std::result::Result<RunTicket, BlockedRequest> {
         match self.verdict(identity, now) {
@@ -160,7 +160,7 @@
             RequestVerdict::Block(blocked) => return Err(blocked),
         }
         let server = server_key(server);
-        let (earliest_crash, earliest_silent_crash) = match link {
+        let (earliest_crash, earliest_silent_crash) = match connection {
             ConnectionKind::New => (
                 Some(now),
                 Some(self.responses.earliest_silence(server, now)),
@@ -418,9 +418,13 @@
         }
         let is_relaxed = (before, state) == (SuspectState::Blocked, SuspectState::OneByOne)
             || state == SuspectState::Free;
-        let evidence = record.history.crashes().iter().map(|end| {
-            let age = now.saturating_duration_since(end.ended).as_millis();
-            (end.server, end.sign, u64::try_from(age).unwrap_or(u64::MAX))
+        let evidence = record.history.crashes().iter().map(|crash| {
+            let age = now.saturating_duration_since(crash.ended).as_millis();
+            (
+                crash.server,
+                crash.sign,
+                u64::try_from(age).unwrap_or(u64::MAX),
+            )
         });
         let event = SuspectEvent {
             identity,
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -122,7 +122,7 @@
 pub enum ReleaseReason {
     /// The request was answered, so it does not crash servers.
     Answered,
-    /// Servers that were believed to have crashed are alive.
+    /// Servers that seemed to have crashed are alive.
     Refuted,
     /// The crashes are too old.
     Expired,
--- a/crates/plumgate/src/gateway/rate_limit/issuer.rs
+++ b/crates/plumgate/src/gateway/rate_limit/issuer.rs
@@ -37,7 +37,7 @@
 const DENIAL_WINDOW: Duration = Duration::from_secs(1);
 /// Denied requests per issued permit: enough that a request arrives whenever a permit is available.
 const DENIALS_PER_PERMIT: f64 = 4.0;
-/// Bounds of the pause that a denied node is told to make before it requests again.
+/// Bounds of the pause that a denial imposes on a node before it requests again.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 /// Pause given by a node that must not issue permits.
--- a/crates/plumgate/src/gateway/rate_limit/messaging.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messaging.rs
@@ -123,8 +123,8 @@
         (packets, outcome)
     }
 
-    /// Records activity. A node that was suspended finds messages that waited as long, and can't tell them
-    /// from new ones.
+    /// Records activity. A node that was suspended finds messages that waited as long, and can't distinguish
+    /// them from new ones.
     fn record_activity(&mut self, now: BootTime) {
         if now.saturating_sub(self.active_at) > STALL_THRESHOLD {
             self.distrust_until = now + DISTRUST_TIME;
--- a/crates/plumgate/src/gateway/rate_limit/server_limits.rs
+++ b/crates/plumgate/src/gateway/rate_limit/server_limits.rs
@@ -36,7 +36,7 @@
 /// A change of a limit that was learnt from another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitEvent {
-    /// Digest of the server's id and start time.
+    /// Key of the server's incarnation.
     pub server: u32,
     /// What has changed.
     pub change: LimitChange,
@@ -119,7 +119,7 @@
         self.table.is_empty()
     }
 
-    /// Returns the servers that are limited, by the digest of id and start time.
+    /// Returns the servers that are limited, by the keys of their incarnations.
     pub fn limited(&self) -> impl Iterator<Item = (u32, RequestRate)> {
         self.table.limited()
     }
--- a/crates/plumgate/src/gateway/servers.rs
+++ b/crates/plumgate/src/gateway/servers.rs
@@ -22,7 +22,7 @@
 /// Unix time in milliseconds at which a server started, as it reports itself.
 pub type StartTime = u64;
 
-/// Id of one incarnation of a server: a digest of the server's id and start time.
+/// Id of one incarnation of a server: a 64-bit digest of the server's id and start time.
 pub type IncarnationId = u64;
 
 /// Registration of one incarnation of a backend server.
@@ -61,7 +61,7 @@
             }
     }
 
-    /// Returns the short id of this incarnation, which nodes use in their messages.
+    /// Returns the key of this incarnation: the low half of its id, which is shorter in messages between nodes.
     pub fn incarnation_key(&self) -> u32 {
         // 32 bits are enough to distinguish a few thousand servers.
         self.incarnation_id() as u32
@@ -218,8 +218,8 @@
     /// Removes a server whose entry is gone from the store.
     ///
     /// Entries expire while the store is unavailable, although their servers run; the servers register again soon
-    /// after the outage. With `grace_period`, such a server stays in use for that time: refusing all requests for lack
-    /// of entries would turn an outage of the store into one of the fleet.
+    /// after the outage. With `grace_period`, such a server stays in use for that time: refusing all requests for
+    /// lack of entries would turn an outage of the store into one of the fleet.
     pub fn remove(
         &mut self,
         id: &ServerId,
--- a/crates/plumgate/src/gateway/statements/leave_reports.rs
+++ b/crates/plumgate/src/gateway/statements/leave_reports.rs
@@ -43,7 +43,7 @@
 /// A leaving server that was learnt from another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaveEvent {
-    /// Key of the server's incarnation.
+    /// Id of the server's incarnation.
     pub incarnation: IncarnationId,
     /// How long ago the reporting node learnt it.
     pub age: Duration,
--- a/crates/plumgate/src/gateway/statements/notice_table.rs
+++ b/crates/plumgate/src/gateway/statements/notice_table.rs
@@ -62,7 +62,7 @@
 /// State of this node's reports to others that a server leaves.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeaveAnnouncement {
-    /// Whether this node reports it: the server told this node itself, or the node is the collector.
+    /// Whether this node reports it: the server announced it to this node itself, or the node is the collector.
     is_active: bool,
     /// Number of rounds in which it was reported.
     sent_count: u32,
--- a/crates/plumgate/src/gateway/sync/state.rs
+++ b/crates/plumgate/src/gateway/sync/state.rs
@@ -22,8 +22,8 @@
 use crate::ids::ConfigVersion;
 use crate::store_version::StoreVersion;
 
-/// Requests to which a response is still accepted. Responses to older ones are too old to extend the
-/// trust in keys.
+/// Maximum number of requests to which a response is still accepted. Responses to older ones are too old to extend
+/// the trust in keys.
 const MAX_PENDING_REQUESTS: usize = 16;
 /// Age up to which a collector relies on received state and makes no calls to the store, as a share of the
 /// longest age of keys. State of a watcher is up to two of its waits old, which is a share of 0.24, and takes
@@ -340,10 +340,10 @@
 
     /// Applies a response.
     ///
-    /// The response replaces own reads, and is passed on, only if it comes from a node `in_charge`, the one
-    /// that this node follows: if two nodes relied on each other, neither would read the store. A
+    /// The response replaces own reads, and is passed on, only if it comes from the node that this
+    /// one follows (`is_followed`): if two nodes relied on each other, neither would read the store. A
     /// response of any other node still confirms that the configuration of this node is in force.
-    pub fn apply(&mut self, response: SyncResponse, in_charge: bool) -> SyncOutcome {
+    pub fn apply(&mut self, response: SyncResponse, is_followed: bool) -> SyncOutcome {
         let mut outcome = SyncOutcome::default();
         let mut pending = self.pending.iter();
         let Some(sent) = pending.find(|sent| sent.request.nonce == response.nonce) else {
@@ -356,13 +356,13 @@
                 outcome.must_query = true;
                 outcome.missing.push(SourceTopic::Config);
             } else if let Some(known_at) = sent.known_at(config.age_ms) {
-                if in_charge {
+                if is_followed {
                     record_response(&mut self.config, known_at);
                 }
                 outcome.config_known_at = Some(known_at);
             }
         }
-        if in_charge && let Some(servers) = response.servers {
+        if is_followed && let Some(servers) = response.servers {
             self.apply_servers(servers, &sent, &mut outcome);
         }
         outcome
--- a/crates/plumgate/src/route/table/choose.rs
+++ b/crates/plumgate/src/route/table/choose.rs
@@ -98,7 +98,7 @@
         // Reports of other nodes lag behind. Against requests of its own tier the highest tier keeps its
         // equal share, so that two nodes that see each other's finished requests don't both leave a free
         // server idle. Slots that other nodes use for lower tiers are requested back by preemption: a
-        // request sent beside those would wait within the server for as long as an overnight answer takes.
+        // request sent beside those would wait within the server until a long answer of a lower tier ends.
         let free = slots.saturating_sub(estimate.peers_in_flight(now));
         own < free.max(equal_share.saturating_sub(estimate.peers_below(rank, now)))
     }
