--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -19,10 +19,10 @@
 use crate::http::OutgoingRequest;
 use crate::link::{HttpLink, LinkError};
 
-/// How long a new connection to a server may take to open. A lost first packet is sent again only after a second;
+/// Maximum time for opening a new connection to a server. A lost first packet is sent again only after a second;
 /// another server answers sooner.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long after the request's deadline the node still waits for the server's own answer.
+/// Time after the request's deadline for which the node still waits for the server's own answer.
 const ANSWER_GRACE: Duration = Duration::from_millis(80);
 
 /// Carries out one attempt up to the head of the answer.
@@ -91,7 +91,7 @@
 /// Reason for which no connection was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectFailure {
-    /// The server's machine refused it.
+    /// The server's machine refused the connection.
     Refused,
     /// No response arrived in time.
     Silent,
--- a/crates/plumgate-node/src/gateway/caller.rs
+++ b/crates/plumgate-node/src/gateway/caller.rs
@@ -180,9 +180,9 @@
 /// Reason for which a connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// It was closed by the caller, after an answer, or by an error.
+    /// The connection was closed by the caller, after an answer, or by an error.
     Served,
-    /// It was idle, or received the head of a request, for too long.
+    /// The connection was idle, or received the head of a request, for too long.
     Expired,
     /// The node is leaving.
     Leaving,
--- a/crates/plumgate-node/src/gateway/checks.rs
+++ b/crates/plumgate-node/src/gateway/checks.rs
@@ -22,13 +22,13 @@
 use crate::caller_error::CallerError;
 use crate::clock::{Clock, until};
 
-/// Retry delay given to a caller while this node's configuration or keys are stale or missing, but this node still
-/// receives from others. Theirs are then as old: the store answers no node.
+/// Retry delay given to a caller while this node's configuration or keys are stale or missing, but messages of
+/// other nodes still arrive. The data of those nodes is then as old: the store answers no node.
 const STALE_PAUSE: Duration = Duration::from_millis(500);
-/// Retry delay while this node is cut off from the other nodes too. They most likely serve, and the caller's next
+/// Retry delay while this node is cut off from the other nodes too. Those most likely serve, and the caller's next
 /// connection leads to one of them.
 const CUT_OFF_PAUSE: Duration = Duration::from_millis(20);
-/// Time limit of a request that names none.
+/// Time limit of a request that does not state one.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
 
 /// Checks a request, finds its route and workspace, and reads its body.
--- a/crates/plumgate-node/src/gateway/connection.rs
+++ b/crates/plumgate-node/src/gateway/connection.rs
@@ -16,11 +16,11 @@
 
 use crate::clock::Clock;
 
-/// How long a connection is kept beyond the idle limit that callers know, so that a request sent at the limit does
-/// not cross the close.
+/// Time for which a connection stays open beyond the idle limit that callers know, so that a request sent at the
+/// limit does not cross the close.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What a connection currently does.
+/// Current activity of a connection.
 #[derive(Clone, Copy, Debug)]
 enum ActivityState {
     /// Waits for a request since then.
@@ -84,7 +84,7 @@
     }
 }
 
-/// Marks a connection as answering until it is dropped.
+/// Guard that marks a connection as answering until it is dropped.
 pub(crate) struct AnswerGuard<C: Clock> {
     activity: Arc<ConnectionActivity>,
     clock: C,
--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -90,8 +90,8 @@
         let duties = DutyState::new(control.shared.clone()).map(Rc::new);
         if let Some(duties) = &duties {
             let api = source.duty_api(duties.options.address);
-            let keeping = duties.clone().keep_lease(source.clone());
-            executor.spawn(keeping).detach();
+            let maintaining = duties.clone().maintain_lease(source.clone());
+            executor.spawn(maintaining).detach();
             executor.spawn(duties.clone().call_duty_api(api)).detach();
         }
         let own = PeerExchange::new(control.shared.clone(), control.view.clone(), duties)
--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -1,4 +1,4 @@
-//! Duties (usage reports, orders of servers) that one node of the fleet performs: the state that a node keeps for
+//! Duties (usage reports, orders of servers) that one node of the fleet performs: the state that each node has for
 //! them.
 
 use std::cell::{Cell, RefCell};
@@ -26,7 +26,7 @@
 /// Path of the operators' page on the state of the duties.
 pub const DUTIES_PATH: &str = "/duties";
 
-/// State that a node keeps for the duties; it stays on the control thread.
+/// State of a node for the duties; it stays on the control thread.
 pub(crate) struct DutyState<C, W> {
     pub(super) shared: Arc<GatewayShared<C, W>>,
     pub(super) options: DutyOptions,
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -29,7 +29,7 @@
 
 impl<C: Clock, W> DutyState<C, W> {
     /// Acquires and renews the lease of the duties while this node should hold them; runs as long as the node.
-    pub(crate) async fn keep_lease<S: FleetSource>(self: Rc<Self>, mut source: S) {
+    pub(crate) async fn maintain_lease<S: FleetSource>(self: Rc<Self>, mut source: S) {
         loop {
             self.shared.clock.sleep(CHECK_INTERVAL).await;
             if self.shared.options.peer_listen.is_none() {
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -27,12 +27,12 @@
 /// Pause before the register is read for the first time: nodes that start together are in it by then.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(700);
 /// Mean time between two reads of the register by a collector. All other nodes are known by then, as they
-/// send it messages, and it tells the others the number of nodes.
+/// send it messages, and it sends the others the number of nodes.
 const READ_INTERVAL: Duration = Duration::from_secs(30);
 /// Time between two full updates of the servers' availability in placement. New statements of servers are
 /// applied at once; this update applies the clock that counts suspension.
 const AVAILABILITY_INTERVAL: Duration = Duration::from_secs(1);
-/// Time over which the nodes spread the writes of their rows after the store was restored from an old copy:
+/// Time over which the nodes spread the writes of their rows after the store was restored from an old backup:
 /// 76 nodes then make some 40 writes a second, a tenth of what a small store can handle.
 const REREGISTER_SPREAD: Duration = Duration::from_secs(2);
 /// Pause before a failed call to the register is retried.
@@ -253,7 +253,7 @@
                         .set(moment.now + AVAILABILITY_INTERVAL);
                     loads.set_availabilities(&statements.notices, moment.boot, moment.now);
                 }
-                let is_known = |life| loads.entries().any(|entry| entry.incarnation_id() == life);
+                let is_known = |id| loads.entries().any(|entry| entry.incarnation_id() == id);
                 statements.notices.forget_old(moment.boot, is_known);
                 if knew_limits {
                     loads.set_limits(&statements.limits);
--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -64,7 +64,7 @@
                 Ok(change)
                     if since.is_some_and(|since: StoreVersion| since.era < change.version.era) =>
                 {
-                    // The store was restored from an old copy. Its changes after a version of another era
+                    // The store was restored from an old backup. Its changes after a version of another era
                     // don't include what differs between the two, so all is read again.
                     self.on_new_era(topic, change.version);
                     since = None;
@@ -162,10 +162,10 @@
     /// While the store is away, each node of a large fleet would retry both topics. One is enough to detect
     /// that it is back.
     fn pause_before_query(&self, topic: SourceTopic) -> Option<Duration> {
-        let defers = topic == SourceTopic::Servers
+        let relies = topic == SourceTopic::Servers
             && self.view.sync_state().is_failing(SourceTopic::Config)
-            && self.view.defers_to_collector();
-        self.view.fresh_for(topic).or(defers.then_some(TICK))
+            && self.view.relies_on_collector();
+        self.view.fresh_for(topic).or(relies.then_some(TICK))
     }
 
     async fn query<S: FleetSource>(
@@ -235,7 +235,7 @@
     /// 184 calls in 6 s of an outage without this, and less than 75 with it (`platform/tests/told.rs`).
     fn retry_pause(&self, topic: SourceTopic, own_pause: Duration) -> Duration {
         let is_known = self.view.sync_state().known_at(topic).is_some();
-        if !is_known || !self.view.defers_to_collector() {
+        if !is_known || !self.view.relies_on_collector() {
             return own_pause;
         }
         FOLLOWER_RETRY_PAUSE.mul_f64(0.5 + self.shared.random_share())
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -15,7 +15,7 @@
 use super::suspects::probe_server;
 use crate::clock::Clock;
 
-/// Counts a caller's connection as open until it is dropped.
+/// Guard that counts a caller's connection as open until it is dropped.
 pub(crate) struct ConnectionGuard<C, W>(Arc<GatewayShared<C, W>>);
 
 impl<C, W> ConnectionGuard<C, W> {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Counts a request as open until it is dropped.
+/// Guard that counts a request as open until it is dropped.
 pub(crate) struct RequestGuard<C, W>(Arc<GatewayShared<C, W>>);
 
 impl<C, W> RequestGuard<C, W> {
@@ -54,13 +54,13 @@
 /// Reason for which a request is not sent to the chosen server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunRefusal {
-    /// It is blocked because it may crash the server.
+    /// The request is blocked because it may crash the server.
     Blocked(BlockedRequest),
-    /// The server's own statements forbid it: it made one in the meantime, or a permit has expired.
+    /// The server's own statements forbid it: the server made one in the meantime, or a permit has expired.
     Disallowed(SendRefusal),
 }
 
-/// One request at a server. When it is dropped, however the request ended, the server's load is released, the
+/// Guard of one request at a server. When it is dropped, however the request ended, the server's load is released, the
 /// outcome recorded, and an unused permit returned.
 pub(crate) struct WorkGuard<C: Clock, W: WireFormat> {
     shared: Arc<GatewayShared<C, W>>,
@@ -68,7 +68,7 @@
     ticket: Option<WorkTicket>,
     /// Run in the quarantine table, once the request was sent.
     run: Option<RunTicket>,
-    /// When the request was sent.
+    /// Time at which the request was sent.
     sent: BootTime,
     /// Permit to send the request, until it is used.
     permit: Option<SendPermit>,
--- a/crates/plumgate-node/src/gateway/metrics.rs
+++ b/crates/plumgate-node/src/gateway/metrics.rs
@@ -15,7 +15,7 @@
 /// Labels of a finished request.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct OutcomeLabels {
-    /// Kind of the request, which says what of it may be repeated.
+    /// Kind of the request, which determines whether it may run again.
     pub(crate) kind: &'static str,
     /// Priority of the request.
     pub(crate) priority: u32,
@@ -94,7 +94,7 @@
     pub(crate) retries_refused: Counter,
     /// Version of the configuration in force.
     pub(crate) config_version: Gauge,
-    /// Age of this node's API keys, in milliseconds.
+    /// Age of this node's knowledge of the API keys, in milliseconds.
     pub(crate) key_age: Gauge,
     /// Known servers.
     pub(crate) servers: Gauge,
@@ -127,7 +127,7 @@
     /// Requests sent to servers with such a notice.
     pub(crate) noticed_sends: Family<NoticeLabels, Counter>,
     /// Requests that were not sent because of a statement of their server.
-    pub(crate) barred_sends: Family<ReasonLabels, Counter>,
+    pub(crate) disallowed_sends: Family<ReasonLabels, Counter>,
     /// Servers with a leave notice.
     pub(crate) leaving_servers: Gauge,
     /// Servers with a rest notice.
@@ -167,7 +167,7 @@
             limits_malformed: Counter::default(),
             notices: Family::default(),
             noticed_sends: Family::default(),
-            barred_sends: Family::default(),
+            disallowed_sends: Family::default(),
             leaving_servers: Gauge::default(),
             resting_servers: Gauge::default(),
         };
@@ -263,7 +263,7 @@
         registry.register(
             "barred_sends",
             "Requests not sent as their server's own word was against it",
-            self.barred_sends.clone(),
+            self.disallowed_sends.clone(),
         );
         registry.register(
             "leaving_servers",
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -30,8 +30,8 @@
 const HEAD_TIMEOUT_TARGETS: f64 = 2.5;
 /// Largest share of the time left that one attempt of a repeatable request may take.
 const MAX_ATTEMPT_SHARE: f64 = 0.5;
-/// How long after its deadline a request still receives an answer that has begun, so that the server can end it
-/// itself.
+/// Time after its deadline for which a request still receives an answer that has begun, so that the server can
+/// end it itself.
 const BODY_GRACE: Duration = Duration::from_millis(80);
 /// Delay that a caller is asked for if all tried servers refused the request.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(400);
@@ -42,15 +42,18 @@
 const ALL_LEAVING_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Share of a route's target latency for which a request waits for a server whose own statements defer requests.
 const DEFERRAL_WAIT_SHARE: f64 = 0.125;
-/// How much longer a request waits for a deferred server than a request that is one urgency level higher.
+/// Additional wait for a deferred server for each urgency level below the most urgent one.
 const URGENCY_WAKE_STEP: Duration = Duration::from_millis(2);
 /// Margin by which an idle connection is discarded before the server would close it.
 const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What the relay does after an attempt.
+/// Next step of a request after an attempt.
 enum NextStep {
+    /// Choose a server again.
     Retry,
+    /// The whole answer is sent to the caller.
     Respond(Response<Bytes>),
+    /// The request fails with this error.
     Fail(CallerError),
 }
 
--- a/crates/plumgate-node/src/gateway/request.rs
+++ b/crates/plumgate-node/src/gateway/request.rs
@@ -47,7 +47,7 @@
     pub(crate) body: Bytes,
     /// Facts read from the head.
     pub(crate) metadata: RequestMetadata,
-    /// When the request arrived.
+    /// Time at which the request arrived.
     pub(crate) arrived: Instant,
     /// Deadline of the answer.
     pub(crate) due: Instant,
@@ -106,13 +106,13 @@
     TimedOut,
 }
 
-/// Order to send a request to a server.
+/// Request, target server and limits of one attempt.
 pub(crate) struct AttemptOrder<'a> {
     /// Request to send.
     pub(crate) request: &'a RelayRequest,
     /// Server that receives the request.
     pub(crate) server: &'a ServerEntry,
-    /// Why the node sends the request now.
+    /// Reason for which the node sends the request now.
     pub(crate) cause: SendCause,
     /// Deadline of the answer's head.
     pub(crate) head_deadline: Instant,
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -30,25 +30,25 @@
     pub(crate) shared: Arc<GatewayShared<C, W>>,
     /// The request.
     pub(crate) request: RelayRequest,
-    /// Its state in the chart of attempts.
+    /// State of the request in the chart of attempts.
     pub(crate) run: AttemptRun,
     /// Servers that were tried, the current one last.
     pub(crate) tried: Vec<ServerId>,
-    /// When the current attempt started.
+    /// Time at which the current attempt started.
     pub(crate) attempt_started_at: Option<Instant>,
     /// Number of attempts that reached a server.
     pub(crate) arrivals: u32,
     /// Number of attempts that may have run.
     pub(crate) runs: u32,
-    /// Time from its arrival until the first byte of the answer was sent to the caller.
+    /// Time from the arrival of the request until the first byte of the answer was sent to the caller.
     pub(crate) first_byte: Option<Duration>,
-    /// Longest pause between two events of its answer.
+    /// Longest pause between two events of the answer.
     pub(crate) longest_pause: Duration,
-    /// Whether it was recorded as demand of its pool.
+    /// Whether the request was recorded as demand of its pool.
     pub(crate) is_demand_recorded: bool,
     /// Whether the start of a run was recorded.
     is_run_recorded: bool,
-    /// Whether its outcome was reported.
+    /// Whether the outcome of the request was reported.
     pub(crate) is_reported: bool,
     _guard: RequestGuard<C, W>,
 }
@@ -119,7 +119,7 @@
         permit
     }
 
-    /// Returns why the node sends the request now.
+    /// Returns the reason for which the node sends the request now.
     fn send_cause(&self) -> SendCause {
         if self.first_byte.is_some() {
             SendCause::Resume
@@ -191,7 +191,7 @@
         self.apply(AttemptEvent::ConnectFailed);
         self.tried.pop();
         self.shared
-            .record_barred_send(&self.request, server, refusal);
+            .record_disallowed_send(&self.request, server, refusal);
     }
 
     /// Records that a server did certainly not run the request; `arrived` if the server received it.
--- a/crates/plumgate-node/src/gateway/server_limits.rs
+++ b/crates/plumgate-node/src/gateway/server_limits.rs
@@ -20,9 +20,9 @@
 /// Reason for which this node sends a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendCause {
-    /// The first server that gets the request.
+    /// No server has received the request yet.
     FirstTry,
-    /// Another server failed or refused the request.
+    /// Another server received the request, and failed or refused it.
     Retry,
     /// The stream of the request broke and is resumed.
     Resume,
--- a/crates/plumgate-node/src/gateway/server_notices.rs
+++ b/crates/plumgate-node/src/gateway/server_notices.rs
@@ -58,7 +58,7 @@
     }
 
     /// Logs and counts a request that was not sent because of a statement of its server.
-    pub(crate) fn record_barred_send(
+    pub(crate) fn record_disallowed_send(
         &self,
         request: &RelayRequest,
         server: &ServerEntry,
@@ -69,7 +69,7 @@
         let labels = ReasonLabels {
             reason: refusal.as_str(),
         };
-        self.metrics.barred_sends.get_or_create(&labels).inc();
+        self.metrics.disallowed_sends.get_or_create(&labels).inc();
         LogLine::new("barred_send")
             .with("request", &request.id)
             .with("server", &server.id)
@@ -138,7 +138,7 @@
         line.info(&self.log);
     }
 
-    /// Logs the number of notices that were dropped for lack of room.
+    /// Logs the number of notices that were dropped because the table of notices was full.
     fn log_dropped_notices(&self) {
         let dropped = self.statements().notices.take_dropped();
         if dropped > 0 {
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -50,13 +50,13 @@
     pub(crate) duties_page: ArcSwap<String>,
     /// Operators' bounds, as last read.
     pub(crate) bounds: ArcSwap<GatewayBounds>,
-    /// Notifies that a probe of a server ended.
+    /// Event that is notified when a probe of a server has ended.
     pub(crate) server_probed: Event,
-    /// Notifies that permits for limited servers are needed.
+    /// Event that is notified when permits for limited servers are needed.
     pub(crate) permits_requested: Event,
-    /// Notifies that requests for permits were answered.
+    /// Event that is notified when requests for permits were answered.
     pub(crate) permits_answered: Event,
-    /// Notifies connections that the state of the lifecycle changed.
+    /// Event by which connections are notified that the state of the lifecycle changed.
     pub(crate) lifecycle_changed: Event,
     /// Idle connections to servers.
     pub(crate) links: LinkPool,
--- a/crates/plumgate-node/src/gateway/source_calls.rs
+++ b/crates/plumgate-node/src/gateway/source_calls.rs
@@ -44,7 +44,7 @@
     Followed(SourceTopic),
     /// The register of nodes.
     Nodes,
-    /// Blocked requests.
+    /// Stored verdicts on poison requests.
     Verdicts,
     /// The lease of the duties.
     Duties,
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -24,9 +24,9 @@
 use crate::link::HttpLink;
 use crate::log::LogLine;
 
-/// How long after the request's deadline the server may still end the stream itself.
+/// Time after the request's deadline for which the server may still end the stream itself.
 const END_GRACE: Duration = Duration::from_millis(80);
-/// How long a server may be silent within a stream before another server continues it: several times the pause
+/// Silence of a server within a stream after which another server continues it: several times the pause
 /// that makes an answer late, and less than callers tolerate.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
@@ -44,7 +44,7 @@
     source: Option<StreamSource<C, W>>,
     splitter: EventSplitter,
     last_piece: Option<Instant>,
-    /// When the first event of a run was received, as long as the run is not recorded.
+    /// Time at which the first event of a run was received, as long as the run is not recorded.
     first_piece: Option<Instant>,
     is_finished: bool,
 }
--- a/crates/plumgate-node/src/gateway/verdicts.rs
+++ b/crates/plumgate-node/src/gateway/verdicts.rs
@@ -19,7 +19,7 @@
 /// Pause between two attempts to write a change.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Writes verdicts to the store and applies those read from it.
+/// Writer of verdicts to the store, which also applies those read from it.
 pub(crate) struct VerdictStore<C, W> {
     shared: Arc<GatewayShared<C, W>>,
     changes: Sender<VerdictChange>,
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -24,12 +24,13 @@
 /// Time for which a server stays in use after its entry went missing in an outage. A running server has
 /// renewed its entry by then.
 pub(super) const UNCONFIRMED_GRACE_PERIOD: Duration = Duration::from_millis(1_800);
-/// State of the fleet as the node knows it, kept on the control thread.
+
+/// State of the fleet as the node knows it; it stays on the control thread.
 pub(crate) struct FleetView<C, W> {
     pub(super) shared: Arc<GatewayShared<C, W>>,
     pub(super) servers: RefCell<ServerTable>,
     sync_state: RefCell<SyncState>,
-    /// Notifies the tasks that follow the store that they may have to call it.
+    /// Event by which the tasks that follow the store are notified that they may have to call it.
     pub(super) sync_changed: Event,
     is_collector: Cell<bool>,
     /// Requests for snapshots of state that this node lacks and other nodes hold.
@@ -88,9 +89,9 @@
         }
     }
 
-    /// Handles an era of the store; a later one means that the store was restored from an old copy. Entries
-    /// of servers that have left may be in it again, and those of servers that were added are missing until
-    /// these write them again.
+    /// Handles the era of an answer of the store; a later one means that the store was restored from an old
+    /// backup. Entries of servers that have left may be in it again, and those of servers that were added are
+    /// missing until these write them again.
     pub(crate) fn set_era(&self, era: StoreEra) {
         if era <= self.era.get() {
             return;
@@ -112,9 +113,9 @@
         self.failed_at.set(Some(self.shared.clock.now()));
     }
 
-    /// Returns whether this node leaves it to its collector to detect that a lost store is back: the
-    /// collector is another node, and messages of other nodes arrive.
-    pub(crate) fn defers_to_collector(&self) -> bool {
+    /// Returns whether this node relies on its collector to detect that a lost store is back: the collector is
+    /// another node, and messages of other nodes arrive.
+    pub(crate) fn relies_on_collector(&self) -> bool {
         let has_recent_peers = self.shared.has_recent_peers();
         self.shared.options.switches.has(PolicyPart::StateSync)
             && has_recent_peers
--- a/crates/plumgate-node/src/link.rs
+++ b/crates/plumgate-node/src/link.rs
@@ -31,8 +31,8 @@
 
 /// HTTP/1 connection for one request at a time.
 ///
-/// Its methods also drive the connection. Dropping it closes the connection at once, which tells the server
-/// that the caller is gone.
+/// Its methods also drive the connection. Dropping it closes the connection at once, which signals to the
+/// server that the caller is gone.
 pub struct HttpLink {
     sender: SendRequest<Full<Bytes>>,
     driver: Option<Connection<FuturesIo<Async<TcpStream>>, Full<Bytes>>>,
--- a/crates/plumgate-node/src/shared.rs
+++ b/crates/plumgate-node/src/shared.rs
@@ -91,7 +91,7 @@
     pub(crate) executor: Arc<Executor<'static>>,
     /// The queue of events to the control thread.
     pub(crate) control: Sender<ControlEvent>,
-    /// Notifies connections to close after their current request.
+    /// Event by which connections are notified to close after their current request.
     pub(crate) closing: Event,
     /// The incarnation of the node: its start time in milliseconds of the Unix epoch.
     pub(crate) incarnation: u64,
@@ -278,7 +278,7 @@
         self.open_requests.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Counts down when the caller of a request has its last byte, or disconnected.
+    /// Ends the count of a request whose caller has received the last byte, or disconnected.
     pub(crate) fn close_request(&self) {
         self.open_requests.fetch_sub(1, Ordering::SeqCst);
     }
