--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -102,7 +102,7 @@
 
     /// Applies the clock and usage reports received from other nodes and sets those to send; called once for each
     /// round of the exchange between nodes.
-    pub(crate) fn sync_with(&self, exchange: &mut LoadExchange) {
+    pub(crate) fn exchange_with(&self, exchange: &mut LoadExchange) {
         let now = self.shared.clock.now();
         let boot = self.shared.clock.boot_time();
         let is_collector = exchange.is_collector();
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -232,16 +232,16 @@
             let packets = {
                 let mut loads = self.shared.loads();
                 let mut exchange = self.exchange.borrow_mut();
-                loads.sync_with(&mut exchange, moment.now);
+                loads.exchange_with(&mut exchange, moment.now);
                 let unix_ms = self.shared.clock.unix_ms();
                 let mut quarantine = self.shared.quarantine();
-                let refused = quarantine.sync_with(&mut exchange, moment.now, unix_ms);
+                let refused = quarantine.exchange_with(&mut exchange, moment.now, unix_ms);
                 self.shared.metrics.peer_refused.inc_by(refused);
                 let changes = quarantine.take_changes();
                 drop(quarantine);
                 self.verdicts.queue_changes(changes);
                 if let Some(duties) = &self.duties {
-                    duties.sync_with(&mut exchange);
+                    duties.exchange_with(&mut exchange);
                 }
                 let mut packets =
                     exchange.tick(loads.own_work(), &mut self.view.sync_state(), moment);
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -103,7 +103,7 @@
     }
 
     /// Applies what the other nodes reported, and queues what this node has to report.
-    pub fn sync_with(&mut self, exchange: &mut LoadExchange, now: Instant) {
+    pub fn exchange_with(&mut self, exchange: &mut LoadExchange, now: Instant) {
         self.adapt_shares(now);
         exchange.announce_part_locations(self.new_locations.drain(..));
         let rates = self.demand.rates(now);
--- a/crates/plumgate/src/gateway/quarantine/notice_exchange.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice_exchange.rs
@@ -17,7 +17,12 @@
 impl QuarantineTable {
     /// Runs one round of the exchange: merges received notices and queues this node's own. Returns how many
     /// notices were forged, too old or malformed.
-    pub fn sync_with(&mut self, exchange: &mut LoadExchange, now: Instant, unix_ms: u64) -> u64 {
+    pub fn exchange_with(
+        &mut self,
+        exchange: &mut LoadExchange,
+        now: Instant,
+        unix_ms: u64,
+    ) -> u64 {
         self.tick(now);
         let is_relaying = exchange.is_collector();
         let received = exchange.take_notices().into_iter();
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -44,7 +44,7 @@
     table.record_demand(&pool, &pick, now);
     now += Duration::from_secs(2);
     let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
-    table.sync_with(&mut exchange, now);
+    table.exchange_with(&mut exchange, now);
     let observation = LimitObservation {
         rate: RequestRate::new(rate),
         sent: Duration::from_secs(1),
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -488,7 +488,7 @@
             result.expect("a message");
         }
         for node in &mut self.nodes {
-            node.table.sync_with(&mut node.exchange, at);
+            node.table.exchange_with(&mut node.exchange, at);
         }
     }
 }
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -161,7 +161,7 @@
             if node.is_down {
                 continue;
             }
-            node.table.sync_with(&mut node.exchange, now, unix_ms);
+            node.table.exchange_with(&mut node.exchange, now, unix_ms);
             let moment = ExchangeMoment { now, boot };
             let work = std::iter::empty();
             let packets = node.exchange.tick(work, &mut node.sync, moment);
@@ -350,7 +350,7 @@
     /// Returns the sealed notices that the node sends in its next round.
     pub(crate) fn sealed_notices(&mut self, now: Instant, unix_ms: u64) -> Vec<Vec<u8>> {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
-        self.table.sync_with(&mut exchange, now, unix_ms);
+        self.table.exchange_with(&mut exchange, now, unix_ms);
         exchange.outgoing_notices().to_vec()
     }
 
@@ -359,7 +359,7 @@
     pub(crate) fn receive_notice_at(&mut self, notice: &[u8], now: Instant, unix_ms: u64) -> u64 {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
         exchange.receive_notices([notice.to_vec()], now);
-        self.table.sync_with(&mut exchange, now, unix_ms)
+        self.table.exchange_with(&mut exchange, now, unix_ms)
     }
 }
 
