--- a/crates/plumgate-node/src/control/gossip.rs
+++ b/crates/plumgate-node/src/control/gossip.rs
@@ -6,7 +6,8 @@
 use plumgate::ids::{PoolId, ServerId, TierRank, WorkspaceId};
 use plumgate::route::{LeavingSource, PeerServerLoad};
 use plumgate::wire::{
-    NodeDigest, PeerEnvelope, PeerMessage, ServerLoad, max_digest_servers, max_digest_workspaces,
+    NodeDigest, PeerEnvelope, PeerMessage, ServerRequests, max_digest_servers,
+    max_digest_workspaces,
 };
 
 use super::{ControlLoop, MAX_PREEMPT_PEERS, PREEMPT_REQUEST_INTERVAL};
@@ -43,7 +44,7 @@
             let servers =
                 busiest_servers(dispatcher.routes().own_loads(), max_digest_servers(nodes));
             (
-                dispatcher.pool_loads(),
+                dispatcher.pool_requests(),
                 servers,
                 dispatcher.limits_mut().demand(now),
             )
@@ -239,13 +240,13 @@
     }
 }
 
-fn busiest_servers(mut loads: Vec<PeerServerLoad>, limit: usize) -> Vec<ServerLoad> {
+fn busiest_servers(mut loads: Vec<PeerServerLoad>, limit: usize) -> Vec<ServerRequests> {
     let total = |load: &PeerServerLoad| load.counts.iter().map(|(_, count)| *count).sum::<u32>();
     loads.sort_by_key(|load| std::cmp::Reverse(total(load)));
     loads.truncate(limit);
     let loads = loads.into_iter();
     loads
-        .map(|load| ServerLoad {
+        .map(|load| ServerRequests {
             server: load.server.to_string(),
             counts: load.counts,
         })
@@ -261,7 +262,7 @@
         .collect()
 }
 
-fn peer_load(load: &ServerLoad) -> PeerServerLoad {
+fn peer_load(load: &ServerRequests) -> PeerServerLoad {
     PeerServerLoad {
         server: load.server.as_str().into(),
         counts: load.counts.clone(),
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -14,7 +14,8 @@
 use plumgate::membership::{MemberTable, NodeGroup, SharingNodes};
 use plumgate::route::RouteOptions;
 use plumgate::wire::{
-    NodeDigest, PeerEnvelope, PeerKey, PeerMessage, PoolLoad, ReplayGuard, ServerLoad, TextPatch,
+    NodeDigest, PeerEnvelope, PeerKey, PeerMessage, PoolRequests, ReplayGuard, ServerRequests,
+    TextPatch,
 };
 
 /// Times that each figure is measured; the median is printed.
@@ -260,14 +261,14 @@
         beat: 1,
         config: 7_500,
         pools: (0..6)
-            .map(|pool| PoolLoad {
+            .map(|pool| PoolRequests {
                 pool: format!("model-{pool}"),
                 running: vec![(1, 40), (2, 60), (3, 40)],
                 waiting: vec![(3, 5)],
             })
             .collect(),
         servers: (0..plumgate::wire::max_digest_servers(113))
-            .map(|server| ServerLoad {
+            .map(|server| ServerRequests {
                 server: format!("engine-{server:04}"),
                 counts: counts.clone(),
             })
--- a/crates/plumgate/src/dispatch/dispatcher/load.rs
+++ b/crates/plumgate/src/dispatch/dispatcher/load.rs
@@ -7,7 +7,7 @@
 use super::super::ticket::QueueLoad;
 use super::Dispatcher;
 use crate::ids::{PoolId, RequestId, TierRank};
-use crate::wire::PoolLoad;
+use crate::wire::PoolRequests;
 
 impl Dispatcher {
     /// Returns when the next waiting request expires.
@@ -33,7 +33,7 @@
     }
 
     /// Counts waiting and running requests of each pool, to report to other nodes.
-    pub fn pool_loads(&self) -> Vec<PoolLoad> {
+    pub fn pool_requests(&self) -> Vec<PoolRequests> {
         let mut running: BTreeMap<&PoolId, BTreeMap<TierRank, u32>> = BTreeMap::new();
         for request in self.running.values() {
             let counts = running.entry(&request.ticket.pool).or_default();
@@ -49,7 +49,7 @@
                 .into_iter()
                 .collect();
             if !waiting.is_empty() || !running.is_empty() {
-                loads.push(PoolLoad {
+                loads.push(PoolRequests {
                     pool: pool.to_string(),
                     running,
                     waiting,
--- a/crates/plumgate/src/wire.rs
+++ b/crates/plumgate/src/wire.rs
@@ -100,9 +100,9 @@
     /// Whether it is stopping.
     pub stopping: bool,
     /// Its requests by pool.
-    pub pools: Vec<PoolLoad>,
+    pub pools: Vec<PoolRequests>,
     /// Its requests on the busiest servers.
-    pub servers: Vec<ServerLoad>,
+    pub servers: Vec<ServerRequests>,
     /// Its demand by workspace in requests per second, only the largest.
     pub demand: Vec<(String, f32)>,
     /// The backend servers that the platform or the servers themselves reported to it as leaving.
@@ -111,7 +111,7 @@
 
 /// Requests of one node for one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PoolLoad {
+pub struct PoolRequests {
     /// The model or service.
     pub pool: String,
     /// Running requests by rank.
@@ -122,7 +122,7 @@
 
 /// Requests of one node on one server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerLoad {
+pub struct ServerRequests {
     /// The server.
     pub server: String,
     /// Running requests by rank.
