--- a/crates/plumgate-node/src/control/gossip.rs
+++ b/crates/plumgate-node/src/control/gossip.rs
@@ -146,7 +146,7 @@
         let Some(own) = digests.iter().find(|digest| digest.node == sender) else {
             return;
         };
-        if let Some(known) = self.members.greeting(sender, now) {
+        if let Some(known) = self.members.known_digests(sender, now) {
             let address = own.address.clone();
             self.send(&[address], PeerMessage::Digests(known));
         }
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -337,7 +337,7 @@
                 if guards[to].check(&envelope, step * 50).is_ok()
                     && let PeerMessage::Digests(digests) = envelope.message
                 {
-                    let known = tables[to].greeting(&envelope.sender, now);
+                    let known = tables[to].known_digests(&envelope.sender, now);
                     greeted += known.as_ref().map_or(0, Vec::len) as u64;
                     tables[to].apply(digests, now);
                     tables[from].apply(known.unwrap_or_default(), now);
--- a/crates/plumgate/src/membership.rs
+++ b/crates/plumgate/src/membership.rs
@@ -31,8 +31,8 @@
 /// Gossip bytes per second that a node of a large fleet sends. It receives as much; both together stay
 /// below 14 KB/s and leave bandwidth for requests to servers and platform.
 const LARGE_FLEET_BYTE_RATE: f64 = 5.0 * 1024.0;
-/// Shortest time between two greetings of new nodes, since each contains all digests.
-const GREETING_INTERVAL: Duration = Duration::from_secs(1);
+/// Shortest time between two messages to new nodes that contain all known digests.
+const KNOWN_DIGESTS_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for which a gone node is remembered, so that relayed old digests don't make it count as alive.
 const GONE_RETENTION: Duration = Duration::from_secs(120);
 /// Gap between two ticks above which this process counts as having been suspended.
@@ -107,7 +107,7 @@
     next_round: Option<Instant>,
     round: Duration,
     next_beat: Option<Instant>,
-    next_greeting: Option<Instant>,
+    next_known_digests: Option<Instant>,
     pending_events: Vec<MemberEvent>,
     beat: Duration,
     last_tick: Option<Instant>,
@@ -128,7 +128,7 @@
             next_round: None,
             round: MIN_ROUND_INTERVAL,
             next_beat: None,
-            next_greeting: None,
+            next_known_digests: None,
             pending_events: Vec::new(),
             beat: MIN_ROUND_INTERVAL,
             last_tick: None,
@@ -193,12 +193,12 @@
     ///
     /// Rounds carry a few digests at a time. A node that has just started, or a whole data centre that
     /// reconnects, would need many rounds to learn of all others.
-    pub fn greeting(&mut self, sender: &str, now: Instant) -> Option<Vec<NodeDigest>> {
+    pub fn known_digests(&mut self, sender: &str, now: Instant) -> Option<Vec<NodeDigest>> {
         let is_known = self.peers.get(sender).is_some_and(|peer| !peer.is_gone);
-        if is_known || self.next_greeting.is_some_and(|due| now < due) {
+        if is_known || self.next_known_digests.is_some_and(|due| now < due) {
             return None;
         }
-        self.next_greeting = Some(now + GREETING_INTERVAL);
+        self.next_known_digests = Some(now + KNOWN_DIGESTS_INTERVAL);
         let alive = self.peers.values().filter(|peer| !peer.is_gone);
         Some(alive.map(|peer| peer.digest.clone()).collect())
     }
