--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -179,18 +179,18 @@
     }
 
     /// Ends a run and records what its end says of the request and the server.
-    pub fn finish(&mut self, ticket: RunTicket, end: WorkOutcome, now: Instant) -> RunFinding {
+    pub fn finish(&mut self, ticket: RunTicket, outcome: WorkOutcome, now: Instant) -> RunFinding {
         self.in_flight
             .remove(ticket.server, ticket.identity, ticket.began);
         let is_unexplained = matches!(
-            end,
+            outcome,
             WorkOutcome::Broken | WorkOutcome::Silent | WorkOutcome::Inconclusive
         );
-        if let Some(run) = ticket.in_doubt_run(end, now).filter(|_| is_unexplained) {
-            return self.on_in_doubt_run(run, end, now);
+        if let Some(run) = ticket.in_doubt_run(outcome, now).filter(|_| is_unexplained) {
+            return self.on_in_doubt_run(run, outcome, now);
         }
         self.clear_isolated_run(ticket.identity);
-        match end {
+        match outcome {
             WorkOutcome::Answered => {
                 self.answers.record(ticket.identity, now);
                 self.responses.record(ticket.server, now);
@@ -202,7 +202,7 @@
                 self.on_server_alive(ticket.server, ticket.began, now);
             }
             WorkOutcome::Restarted => {
-                if let Some(run) = ticket.in_doubt_run(end, now) {
+                if let Some(run) = ticket.in_doubt_run(outcome, now) {
                     self.record_crash(run, CrashSign::Restarted, now);
                     return RunFinding::ServerCrashed(CrashSign::Restarted);
                 }
@@ -217,14 +217,19 @@
         RunFinding::Nothing
     }
 
-    fn on_in_doubt_run(&mut self, run: InDoubtRun, end: WorkOutcome, now: Instant) -> RunFinding {
+    fn on_in_doubt_run(
+        &mut self,
+        run: InDoubtRun,
+        outcome: WorkOutcome,
+        now: Instant,
+    ) -> RunFinding {
         if let Some(sign) = self.in_doubt.add_run(run, now) {
             self.record_crash(run, sign, now);
             return RunFinding::ServerCrashed(sign);
         }
         // A silent run may go on for long, and a caller that disconnects says nothing of the server. A server
         // that stopped responding is detected by the lapse of its entry.
-        if end != WorkOutcome::Broken {
+        if outcome != WorkOutcome::Broken {
             self.clear_isolated_run(run.identity);
             return RunFinding::Nothing;
         }
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -78,8 +78,8 @@
     /// On a reused connection the run counts from the server's last answer on, as the server may have crashed
     /// at any time since; otherwise runs that one crash cut would look consecutive. The same holds for a run
     /// without any response on a new connection, as the machine of a hung server still accepts connections.
-    pub(crate) fn in_doubt_run(&self, end: WorkOutcome, now: Instant) -> Option<InDoubtRun> {
-        let is_silent = matches!(end, WorkOutcome::Silent | WorkOutcome::Inconclusive);
+    pub(crate) fn in_doubt_run(&self, outcome: WorkOutcome, now: Instant) -> Option<InDoubtRun> {
+        let is_silent = matches!(outcome, WorkOutcome::Silent | WorkOutcome::Inconclusive);
         let earliest_crash = if is_silent {
             self.earliest_silent_crash
         } else {
