--- a/crates/plumgate/src/store_version.rs
+++ b/crates/plumgate/src/store_version.rs
@@ -1,15 +1,15 @@
-//! Versions of the platform's store, which may be restored from an old snapshot.
+//! Versions of the platform's store, which may be restored from an old backup.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Number of times that the store was restored from an old snapshot.
+/// Number of times that the store was restored from an old backup.
 pub type StoreEra = u64;
 
 /// Position in the store's history.
 ///
-/// A store that was restored from a snapshot assigns numbers again, so that two different states may
+/// A store that was restored from a backup assigns numbers again, so that two different states may
 /// have one number. The era increases with each restore and is compared first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
