--- a/crates/plumgate-node/src/gateway/checks.rs
+++ b/crates/plumgate-node/src/gateway/checks.rs
@@ -11,8 +11,7 @@
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use plumgate::gateway::{
-    CallerLimits, GatewayConfig, GatewayRoute, IdentityHasher, RequestHead, RouteMatch,
-    WorkspaceKeys,
+    CallerLimits, GatewayConfig, GatewayRoute, IdentityHasher, KeyOwner, RequestHead, RouteMatch,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -130,7 +129,7 @@
     config: &'a GatewayConfig,
     route: &GatewayRoute,
     metadata: &RequestMetadata,
-) -> Result<Option<&'a WorkspaceKeys>, CallerError> {
+) -> Result<Option<&'a KeyOwner>, CallerError> {
     if !config.needs_keys || route.public {
         return Ok(None);
     }
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::duty::{
-    DutyAnswer, DutyCall, LoadScaling, LoadScalingOptions, PoolScaling, ScaleOrder, ScalePolicy,
-    ScaleSubject, ServerKind,
+    CapacityType, DutyAnswer, DutyCall, LoadScaling, LoadScalingOptions, PoolScaling, ScaleOrder,
+    ScalePolicy, ScaleSubject,
 };
 use plumgate::gateway::PolicyPart;
 use plumgate::ids::{DataCentreId, PoolId};
@@ -274,8 +274,8 @@
                 .copied()
                 .unwrap_or_default();
             let present = match kind {
-                ServerKind::Lasting => counts.lasting,
-                ServerKind::Reclaimable => counts.reclaimable,
+                CapacityType::Lasting => counts.lasting,
+                CapacityType::Reclaimable => counts.reclaimable,
             };
             let subject = subject(&data_centre, kind);
             if let Some(order) = tracker.next(&subject, count, present, scaling.boot, now) {
--- a/crates/plumgate/src/duty/mod.rs
+++ b/crates/plumgate/src/duty/mod.rs
@@ -22,8 +22,8 @@
     DutyAnswer, DutyCall, DutyContents, DutyCredential, DutyIdentity, DutyRow, DutyWrite, UsageNote,
 };
 pub use scale::{
-    DataCentreServers, LoadScaling, LoadScalingOptions, NoScaling, PoolLoad, PoolScaling,
-    PriceMillis, ScaleOrder, ScalePolicy, ScaleSubject, ServerKind, WantedServers,
+    CapacityType, DataCentreServers, LoadScaling, LoadScalingOptions, NoScaling, PoolLoad,
+    PoolScaling, PriceMillis, ScaleOrder, ScalePolicy, ScaleSubject, WantedServers,
 };
 pub use usage::{UsageCounts, UsageReport, UsageTable, UsageTally, UsageUpdate, workspace_key};
 pub use usage_reporter::{ReportTimes, UsageReporter, WindowId, WindowOutcome, WindowState};
--- a/crates/plumgate/src/duty/order_tracker.rs
+++ b/crates/plumgate/src/duty/order_tracker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::scale::{ScaleOrder, ScaleSubject, ServerKind};
+use super::scale::{CapacityType, ScaleOrder, ScaleSubject};
 
 /// Time for which a kind of servers is not ordered again in a data centre that had none available.
 const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(2_500);
@@ -42,10 +42,10 @@
     unavailable: BTreeMap<ScaleSubject, Instant>,
 }
 
-fn decrease_interval(kind: ServerKind) -> Duration {
+fn decrease_interval(kind: CapacityType) -> Duration {
     match kind {
-        ServerKind::Lasting => LASTING_DECREASE_INTERVAL,
-        ServerKind::Reclaimable => RECLAIMABLE_DECREASE_INTERVAL,
+        CapacityType::Lasting => LASTING_DECREASE_INTERVAL,
+        CapacityType::Reclaimable => RECLAIMABLE_DECREASE_INTERVAL,
     }
 }
 
--- a/crates/plumgate/src/duty/scale.rs
+++ b/crates/plumgate/src/duty/scale.rs
@@ -31,14 +31,14 @@
 
 /// Kind of a backend server: whether the platform may reclaim it at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum ServerKind {
+pub enum CapacityType {
     /// The server stays until it is released.
     Lasting,
     /// The server is cheaper, but the platform may reclaim all of them in a data centre at once.
     Reclaimable,
 }
 
-impl ServerKind {
+impl CapacityType {
     /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -56,7 +56,7 @@
     /// Data centre of the servers.
     pub data_centre: DataCentreId,
     /// Kind of the servers.
-    pub kind: ServerKind,
+    pub kind: CapacityType,
 }
 
 /// Order that sets the number of servers of a subject.
@@ -118,7 +118,7 @@
 }
 
 /// Number of servers that a pool should have, by data centre and kind.
-pub type WantedServers = BTreeMap<(DataCentreId, ServerKind), u32>;
+pub type WantedServers = BTreeMap<(DataCentreId, CapacityType), u32>;
 
 /// Policy that decides how many servers a pool should have.
 pub trait ScalePolicy {
@@ -128,7 +128,7 @@
         &mut self,
         scaling: &PoolScaling,
         load: &PoolLoad,
-        is_unavailable: &dyn Fn(&DataCentreId, ServerKind) -> bool,
+        is_unavailable: &dyn Fn(&DataCentreId, CapacityType) -> bool,
         now: Instant,
     ) -> WantedServers;
 }
@@ -142,7 +142,7 @@
         &mut self,
         _: &PoolScaling,
         _: &PoolLoad,
-        _: &dyn Fn(&DataCentreId, ServerKind) -> bool,
+        _: &dyn Fn(&DataCentreId, CapacityType) -> bool,
         _: Instant,
     ) -> WantedServers {
         WantedServers::new()
@@ -273,7 +273,7 @@
         &mut self,
         scaling: &PoolScaling,
         load: &PoolLoad,
-        is_unavailable: &dyn Fn(&DataCentreId, ServerKind) -> bool,
+        is_unavailable: &dyn Fn(&DataCentreId, CapacityType) -> bool,
         now: Instant,
     ) -> WantedServers {
         self.record_need(load, now);
@@ -303,7 +303,7 @@
         let lasting_each = lasting.div_ceil(count).max(scaling.min).min(scaling.max);
         // Reclaimable servers that are unavailable in one data centre are ordered in the others.
         let is_available =
-            |data_centre: &&DataCentreId| !is_unavailable(data_centre, ServerKind::Reclaimable);
+            |data_centre: &&DataCentreId| !is_unavailable(data_centre, CapacityType::Reclaimable);
         let available_count =
             u32::try_from(load.data_centres.keys().filter(is_available).count()).unwrap_or(count);
         let share = |data_centre_count: u32| {
@@ -315,7 +315,7 @@
             // Reclaimable servers with cached prompt parts are not replaced by lasting ones with empty caches.
             let free = scaling.max - servers.reclaimable.min(scaling.max);
             let lasting = lasting_each.min(free.max(scaling.min));
-            wanted.insert((data_centre.clone(), ServerKind::Lasting), lasting);
+            wanted.insert((data_centre.clone(), CapacityType::Lasting), lasting);
             if !has_reclaimable {
                 continue;
             }
@@ -325,7 +325,7 @@
                 count
             };
             let each = share(data_centre_count).min(scaling.max - lasting);
-            wanted.insert((data_centre.clone(), ServerKind::Reclaimable), each);
+            wanted.insert((data_centre.clone(), CapacityType::Reclaimable), each);
         }
         wanted
     }
--- a/crates/plumgate/src/gateway/config.rs
+++ b/crates/plumgate/src/gateway/config.rs
@@ -115,7 +115,7 @@
 
 /// Workspace that an API key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkspaceKeys {
+pub struct KeyOwner {
     /// Id of the workspace.
     pub workspace: WorkspaceId,
     /// Priority of the workspace, which takes precedence over that of a route.
@@ -167,7 +167,7 @@
     /// Routes by host, the longest prefix first.
     routes: HashMap<String, Vec<Arc<GatewayRoute>>>,
     /// Workspaces by API key.
-    keys: HashMap<String, WorkspaceKeys>,
+    keys: HashMap<String, KeyOwner>,
     /// Number of route priorities: one more than the highest priority of a route.
     route_ranks: u8,
     /// Shortest pause target among the routes of each pool.
@@ -250,7 +250,7 @@
     /// Adds a workspace with its API keys.
     pub fn with_workspace(
         mut self,
-        workspace: &WorkspaceKeys,
+        workspace: &KeyOwner,
         keys: impl IntoIterator<Item = String>,
     ) -> Self {
         self.needs_keys = true;
@@ -271,14 +271,14 @@
 
     /// Returns the urgency of a request, 0 for the most urgent. The priority of the workspace decides first,
     /// then that of the route.
-    pub fn urgency(&self, route: &GatewayRoute, workspace: Option<&WorkspaceKeys>) -> u8 {
+    pub fn urgency(&self, route: &GatewayRoute, workspace: Option<&KeyOwner>) -> u8 {
         let rank = workspace.and_then(|keys| keys.priority).unwrap_or(0);
         rank.saturating_mul(self.route_ranks)
             .saturating_add(route.priority)
     }
 
     /// Finds the workspace that an API key belongs to.
-    pub fn workspace(&self, key: &str) -> Option<&WorkspaceKeys> {
+    pub fn workspace(&self, key: &str) -> Option<&KeyOwner> {
         self.keys.get(key)
     }
 
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -23,8 +23,8 @@
     AdmissionDecision, AdmissionPolicy, FreshnessLease, QueuePrediction, WindowBudget,
 };
 pub use config::{
-    CallerLimits, GatewayConfig, GatewayRoute, PoolSplit, RepeatKind, RouteMatch, StreamClass,
-    WorkspaceKeys,
+    CallerLimits, GatewayConfig, GatewayRoute, KeyOwner, PoolSplit, RepeatKind, RouteMatch,
+    StreamClass,
 };
 pub use events::EventSplitter;
 pub use exchange::{
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -12,7 +12,7 @@
 use super::groups::{GroupShares, ServerGroups};
 use super::prefill_speed::PrefillSpeeds;
 use super::server_load::{CostPrediction, ServerLoad, TokenCosts};
-use crate::duty::{PoolLoad, ServerKind};
+use crate::duty::{CapacityType, PoolLoad};
 use crate::gateway::config::StreamClass;
 use crate::gateway::exchange::LoadExchange;
 use crate::gateway::exchange::messages::{PartLocation, PoolDemand, ServerKey, server_key};
@@ -185,8 +185,8 @@
                 .or_default();
             if server.accepts_work() {
                 match server.entry.kind {
-                    ServerKind::Lasting => counts.lasting += 1,
-                    ServerKind::Reclaimable => counts.reclaimable += 1,
+                    CapacityType::Lasting => counts.lasting += 1,
+                    CapacityType::Reclaimable => counts.reclaimable += 1,
                 }
                 if let Some(limit) = server.limit.filter(|_| mean_tokens > 0.0) {
                     let usable_share =
--- a/crates/plumgate/src/gateway/servers.rs
+++ b/crates/plumgate/src/gateway/servers.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::duty::ServerKind;
+use crate::duty::CapacityType;
 use crate::ids::{DataCentreId, PoolId, ServerId};
 
 /// State that a server reports of itself.
@@ -45,7 +45,7 @@
     /// Remaining time for which it is slow after its start, as of the entry.
     pub cold_for: Duration,
     /// Whether the platform may reclaim the server at any time.
-    pub kind: ServerKind,
+    pub kind: CapacityType,
     /// Number of times the server has written its entry; a newer entry has a higher number.
     pub writes: u64,
 }
--- a/crates/plumgate/tests/duty_scale.rs
+++ b/crates/plumgate/tests/duty_scale.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::duty::{
-    DataCentreServers, LoadScaling, LoadScalingOptions, NoScaling, OrderTracker, PoolLoad,
-    PoolScaling, ScalePolicy, ScaleSubject, ServerKind,
+    CapacityType, DataCentreServers, LoadScaling, LoadScalingOptions, NoScaling, OrderTracker,
+    PoolLoad, PoolScaling, ScalePolicy, ScaleSubject,
 };
 use plumgate::ids::DataCentreId;
 
@@ -55,7 +55,7 @@
 struct SimPool {
     now: Instant,
     start: Instant,
-    servers: BTreeMap<(DataCentreId, ServerKind), SimServers>,
+    servers: BTreeMap<(DataCentreId, CapacityType), SimServers>,
     unavailable_until: BTreeMap<DataCentreId, Instant>,
     tracker: OrderTracker,
     backlog: f64,
@@ -76,7 +76,7 @@
                 ordered: lasting_each,
                 ..SimServers::default()
             };
-            (((*data_centre).into(), ServerKind::Lasting), servers)
+            (((*data_centre).into(), CapacityType::Lasting), servers)
         });
         Self {
             now: start,
@@ -105,8 +105,8 @@
                 servers.map_or(0, |servers| servers.ready)
             };
             let counts = DataCentreServers {
-                lasting: of_kind(ServerKind::Lasting),
-                reclaimable: of_kind(ServerKind::Reclaimable),
+                lasting: of_kind(CapacityType::Lasting),
+                reclaimable: of_kind(CapacityType::Reclaimable),
             };
             load.data_centres.insert(data_centre.into(), counts);
         }
@@ -115,7 +115,7 @@
 
     /// Takes away all reclaimable servers of a data centre; none is available there for ten seconds.
     fn reclaim(&mut self, data_centre: &str) {
-        let key = (data_centre.into(), ServerKind::Reclaimable);
+        let key = (data_centre.into(), CapacityType::Reclaimable);
         self.servers.remove(&key);
         let until = self.now + Duration::from_secs(10);
         self.unavailable_until.insert(data_centre.into(), until);
@@ -135,7 +135,7 @@
         }
         let price = f64::from(scaling.reclaimable_price.unwrap_or(1_000)) / 1_000.0;
         for ((_, kind), servers) in &self.servers {
-            let each = if *kind == ServerKind::Lasting {
+            let each = if *kind == CapacityType::Lasting {
                 1.0
             } else {
                 price
@@ -183,7 +183,7 @@
                 .unavailable_until
                 .get(&data_centre)
                 .is_some_and(|until| now < *until);
-            if kind == ServerKind::Reclaimable && lacks_reclaimable {
+            if kind == CapacityType::Reclaimable && lacks_reclaimable {
                 self.tracker.record_unavailable(&subject, now);
                 continue;
             }
@@ -283,9 +283,9 @@
     }
     let later = now + Duration::from_secs(4);
     let wanted = policy.wanted(&limits, &load, &none_unavailable, later);
-    let reclaimable = wanted.get(&("a".into(), ServerKind::Reclaimable));
+    let reclaimable = wanted.get(&("a".into(), CapacityType::Reclaimable));
     assert_eq!(reclaimable, Some(&30));
-    let lasting = wanted.get(&("a".into(), ServerKind::Lasting));
+    let lasting = wanted.get(&("a".into(), CapacityType::Lasting));
     assert!(lasting.is_some_and(|count| *count >= 18), "{lasting:?}");
 }
 
@@ -297,7 +297,7 @@
     let subject = ScaleSubject {
         pool: "models".into(),
         data_centre: "a".into(),
-        kind: ServerKind::Lasting,
+        kind: CapacityType::Lasting,
     };
     let mut now = Instant::now();
     let first = tracker.next(&subject, 20, 10, BOOT, now).expect("an order");
@@ -333,7 +333,7 @@
     policy.wanted(&limits, &load, &none_unavailable, now);
     let later = now + Duration::from_secs(4);
     let reclaimable = |wanted: &BTreeMap<_, u32>, data_centre: &str| {
-        let key = (DataCentreId::from(data_centre), ServerKind::Reclaimable);
+        let key = (DataCentreId::from(data_centre), CapacityType::Reclaimable);
         wanted.get(&key).copied()
     };
     let a_unavailable = |data_centre: &DataCentreId, _| **data_centre == *"a";
@@ -352,7 +352,7 @@
     let subject = ScaleSubject {
         pool: "models".into(),
         data_centre: "a".into(),
-        kind: ServerKind::Lasting,
+        kind: CapacityType::Lasting,
     };
     let mut now = Instant::now();
     let mut present = 1_000;
--- a/crates/plumgate/tests/entries/mod.rs
+++ b/crates/plumgate/tests/entries/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use plumgate::duty::ServerKind;
+use plumgate::duty::CapacityType;
 use plumgate::gateway::{NodeEntry, ServerEntry, ServerState};
 
 /// Returns the entry of a ready server without a start time.
@@ -18,7 +18,7 @@
         slots: 64,
         state: ServerState::Ready,
         cold_for: Duration::ZERO,
-        kind: ServerKind::Lasting,
+        kind: CapacityType::Lasting,
         writes: 1,
     }
 }
--- a/crates/plumgate/tests/gateway_config.rs
+++ b/crates/plumgate/tests/gateway_config.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use plumgate::gateway::{
-    CallerLimits, ConfigSnapshot, FreshnessLease, GatewayConfig, GatewayRoute, PoolSplit,
-    RepeatKind, RouteMatch, StreamClass, WorkspaceKeys,
+    CallerLimits, ConfigSnapshot, FreshnessLease, GatewayConfig, GatewayRoute, KeyOwner, PoolSplit,
+    RepeatKind, RouteMatch, StreamClass,
 };
 use quickcheck::quickcheck;
 
@@ -79,7 +79,7 @@
 
 #[test]
 fn key_finds_its_workspace_and_only_its() {
-    let first = WorkspaceKeys {
+    let first = KeyOwner {
         workspace: "first".into(),
         priority: Some(1),
     };
@@ -97,7 +97,7 @@
     let mut bulk = route("bulk", "a.example", "/b/");
     bulk.priority = 2;
     let config = config(vec![urgent.clone(), bulk.clone()]);
-    let keys = |priority| WorkspaceKeys {
+    let keys = |priority| KeyOwner {
         workspace: "w".into(),
         priority: Some(priority),
     };
@@ -215,7 +215,7 @@
 
 #[test]
 fn passed_on_configuration_routes_as_the_one_that_was_read() {
-    let workspace = WorkspaceKeys {
+    let workspace = KeyOwner {
         workspace: "norte".into(),
         priority: Some(1),
     };
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use plumgate::gateway::{
-    ExchangeMoment, GatewayConfig, LimitChange, LimitObservation, LoadExchange, MessageTime,
-    NodeEntry, PermitStatus, RequestRate, ServerLimits, SyncState, WorkspaceKeys,
+    ExchangeMoment, GatewayConfig, KeyOwner, LimitChange, LimitObservation, LoadExchange,
+    MessageTime, NodeEntry, PermitStatus, RequestRate, ServerLimits, SyncState,
 };
 
 fn seconds(count: f64) -> Duration {
@@ -127,7 +127,7 @@
 ) -> (LoadExchange, ServerLimits) {
     let mut exchange = LoadExchange::new(own.clone());
     exchange.set_nodes(entries.to_vec());
-    let workspace = WorkspaceKeys {
+    let workspace = KeyOwner {
         workspace: "lab".into(),
         priority: None,
     };
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use plumgate::duty::ServerKind;
+use plumgate::duty::CapacityType;
 use plumgate::gateway::servers::ServerChange;
 use plumgate::gateway::{
     AdmissionDecision, AdmissionPolicy, ExchangeMoment, LoadExchange, LoadTable, NodeEntry,
@@ -531,7 +531,7 @@
         slots: SLOTS as u32,
         state: ServerState::Ready,
         cold_for: Duration::ZERO,
-        kind: ServerKind::Lasting,
+        kind: CapacityType::Lasting,
         writes: 1,
     }
 }
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -7,8 +7,8 @@
 
 use plumgate::gateway::{
     BlockedRequest, CallerLimits, ConnectionKind, CrashSign, ExchangeMoment, GatewayConfig,
-    IdentityHasher, LoadExchange, QuarantineTable, RequestHead, RequestIdentity, RunFinding,
-    RunTicket, ServerEntry, SuspectState, SyncState, WorkOutcome, WorkspaceKeys,
+    IdentityHasher, KeyOwner, LoadExchange, QuarantineTable, RequestHead, RequestIdentity,
+    RunFinding, RunTicket, ServerEntry, SuspectState, SyncState, WorkOutcome,
 };
 use plumgate::ids::WorkspaceId;
 
@@ -42,7 +42,7 @@
 
 /// Returns a configuration with these API keys.
 pub(crate) fn config(version: u64, keys: &[&str]) -> GatewayConfig {
-    let workspace = WorkspaceKeys {
+    let workspace = KeyOwner {
         workspace: "lab".into(),
         priority: None,
     };
