--- a/crates/plumgate/src/claim.rs
+++ b/crates/plumgate/src/claim.rs
@@ -24,11 +24,11 @@
     pub node: String,
     /// Digest of the request, to detect a key that is reused for another request.
     pub request_digest: String,
-    /// What is known about the run.
+    /// Known state of the run.
     pub state: ClaimState,
 }
 
-/// What is known about the run of a claimed key.
+/// Known state of the run of a claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
--- a/crates/plumgate/src/config/inventory.rs
+++ b/crates/plumgate/src/config/inventory.rs
@@ -58,7 +58,7 @@
     pub pool: PoolId,
     /// The address that the server listens on.
     pub address: SocketAddr,
-    /// How many requests the server processes concurrently.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
     /// Whether the server refuses an order with an outdated fencing number.
     pub checks_fencing: bool,
@@ -71,9 +71,9 @@
     pub id: WorkspaceId,
     /// The highest tier that the workspace pays for.
     pub tier: TierId,
-    /// How many requests the workspace may have in flight over all nodes.
+    /// Number of requests that the workspace may have in flight over all nodes.
     pub concurrency: u32,
-    /// How many requests the workspace may start per second over all nodes.
+    /// Number of requests that the workspace may start per second over all nodes.
     pub requests_per_second: u32,
 }
 
--- a/crates/plumgate/src/config/rules.rs
+++ b/crates/plumgate/src/config/rules.rs
@@ -39,17 +39,17 @@
     pub services: BTreeMap<PoolId, ServiceRule>,
     /// The class of a request that names none.
     pub default_class: Option<ClassId>,
-    /// How many requests of each tier one node queues at most.
+    /// Maximum number of requests of each tier that one node queues.
     pub queue_length: usize,
-    /// How long a request may wait in a queue, whatever its class.
+    /// Maximum time for which a request waits in a queue, whatever its class.
     pub longest_wait: Duration,
-    /// How long a claimed key and its response are stored.
+    /// Time for which a claimed key and its response are stored.
     pub key_lifetime: Duration,
-    /// How many retries a node may start for each request that it accepts.
+    /// Number of retries that a node may start for each request that it accepts.
     pub retry_share: f64,
-    /// How long a server may send nothing within a response before its connection is replaced.
+    /// Time for which a server may send nothing within a response before its connection is replaced.
     pub progress_timeout: Duration,
-    /// How many loads of one model from the weight store a data centre starts per minute.
+    /// Number of loads of one model from the weight store that a data centre starts per minute.
     pub loads_per_minute: u32,
     /// Share of each pool's slots that is reserved for the highest tier.
     pub burst_reserve: f64,
@@ -75,7 +75,7 @@
     pub tier: TierId,
     /// The target time from arrival to the first token, or to the whole response of a service.
     pub target: Duration,
-    /// How long a request of the class waits for a server before it is refused.
+    /// Time for which a request of the class waits for a server before it is refused.
     pub patience: Duration,
     /// Whether a request of the class may run more than once.
     pub idempotent: bool,
--- a/crates/plumgate/src/findings.rs
+++ b/crates/plumgate/src/findings.rs
@@ -14,7 +14,7 @@
     pub line: Option<usize>,
     /// Dotted path of the field; empty where the finding is about the whole input.
     pub field: String,
-    /// What is wrong, and what is expected instead.
+    /// Description of what is wrong, and what is expected instead.
     pub message: String,
 }
 
--- a/crates/plumgate/src/gateway/config.rs
+++ b/crates/plumgate/src/gateway/config.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// How sensitive a stream is to pauses while its server prefills other prompts.
+/// Sensitivity of a stream to pauses while its server prefills other prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StreamClass {
     /// Read by a person as it comes: each pause matters.
--- a/crates/plumgate/src/gateway/exchange/duty_messages.rs
+++ b/crates/plumgate/src/gateway/exchange/duty_messages.rs
@@ -54,7 +54,7 @@
 /// Reported demand and the time of the report.
 type ReportedDemand = (Vec<PoolDemand>, Instant);
 
-/// What this node sends and has received for the duties.
+/// Messages that this node sends and has received for the duties.
 #[derive(Debug, Default)]
 pub struct DutyMessages {
     /// Report of the time of day that this node sends.
--- a/crates/plumgate/src/gateway/placement/affinity.rs
+++ b/crates/plumgate/src/gateway/placement/affinity.rs
@@ -10,13 +10,14 @@
 /// prompt that no server of the group caches yet: some server has to prefill it, and the first one may be
 /// busy.
 const FIRST_PREFILL_WEIGHT: f64 = 2.0;
-/// The same for a prompt that another server of the group caches: prefilling it again takes engine time from
-/// all other prompts, at the very time when none is left. Long prompts answered in time in a simulated fleet of
-/// 60 engines and 64 nodes under a burst of 2.7 times: 0.63 with a weight of 2, 0.67 with 8
+/// Extra cost of such a token for a prompt that another server of the group caches: prefilling it again takes
+/// engine time from all other prompts, at the very time when none is left. Long prompts answered in time in a
+/// simulated fleet of 60 engines and 64 nodes under a burst of 2.7 times: 0.63 with a weight of 2, 0.67 with 8
 /// (`tests/gateway_load.rs`).
 const REPEATED_PREFILL_WEIGHT: f64 = 8.0;
-/// The same for a server that is not preferred. All nodes have to fall back to the same second server: if
-/// each found another one for a prompt, the fleet would prefill it many times just when it is busiest.
+/// Extra cost of such a token at a server that is not preferred. All nodes have to fall back to the same second
+/// server: if each found another one for a prompt, the fleet would prefill it many times just when it is
+/// busiest.
 const OTHER_PREFILL_WEIGHT: f64 = 25.0;
 
 /// Extra cost of a shared token that the second preferred server copies from a server that caches it, as a
@@ -27,7 +28,7 @@
 /// answered in time in a simulated fleet of 20 engines under a burst of 2.7 times: 0.66 where all parts are
 /// prefilled again, 0.72 with copies (`tests/gateway_load.rs`).
 const COPY_WEIGHT: f64 = 4.0;
-/// The same for a server that is not preferred.
+/// Extra cost of such a copied token at a server that is not preferred.
 const OTHER_COPY_WEIGHT: f64 = 12.0;
 
 /// Rank of a server among those preferred for a prompt's shared parts.
--- a/crates/plumgate/src/gateway/placement/choice.rs
+++ b/crates/plumgate/src/gateway/placement/choice.rs
@@ -82,7 +82,7 @@
     pub prompt: Option<&'a PromptShape>,
     /// Urgency rank; 0 is the most urgent.
     pub urgency: u8,
-    /// How sensitive its stream is to pauses.
+    /// Sensitivity of its stream to pauses.
     pub class: StreamClass,
     /// Whether the request may crash its server, so that the server with the least work is best.
     pub is_isolated: bool,
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -87,7 +87,7 @@
     part_order: VecDeque<u64>,
 }
 
-/// What the shared tokens of a prompt cost at one server.
+/// Costs of the shared tokens of a prompt at one server.
 pub(crate) struct TokenCosts {
     /// Prompt tokens per second that it prefills.
     pub(crate) speed: f64,
--- a/crates/plumgate/src/gateway/quarantine/answers.rs
+++ b/crates/plumgate/src/gateway/quarantine/answers.rs
@@ -7,8 +7,8 @@
 /// Number of slots for requests, 48 bytes each. A popular request is recorded again and again. Of two
 /// requests that share a slot either may be forgotten, as a forgotten one just counts as unknown.
 const SLOT_COUNT: usize = 1_024;
-/// How long an answer counts in a request's favour. It is short, as a request that crashes servers only since
-/// their last update may have been answered before the update.
+/// Time for which an answer counts in a request's favour. It is short, as a request that crashes servers only
+/// since their last update may have been answered before the update.
 const ANSWER_LIFETIME: Duration = Duration::from_secs(10);
 
 /// Request and the time of its last answer.
--- a/crates/plumgate/src/gateway/quarantine/evidence.rs
+++ b/crates/plumgate/src/gateway/quarantine/evidence.rs
@@ -54,7 +54,7 @@
     pub(crate) is_refuted: bool,
 }
 
-/// Where evidence comes from.
+/// Origin of evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EvidenceSource {
     /// Observed by this node.
--- a/crates/plumgate/src/gateway/quarantine/in_doubt.rs
+++ b/crates/plumgate/src/gateway/quarantine/in_doubt.rs
@@ -16,10 +16,10 @@
 const MAX_RUNS: usize = 256;
 /// Maximum number of servers that are remembered as gone, and of those that are remembered as being probed.
 const MAX_SERVERS: usize = 256;
-/// How long runs and servers are remembered. Entries of servers that stop responding lapse within three
+/// Time for which runs and servers are remembered. Entries of servers that stop responding lapse within three
 /// seconds.
 const RETENTION: Duration = Duration::from_secs(8);
-/// How long a probed server is not probed again; longer than it may take to connect.
+/// Time for which a probed server is not probed again; longer than it may take to connect.
 const PROBE_DURATION: Duration = Duration::from_millis(400);
 
 /// Run whose server may have crashed.
--- a/crates/plumgate/src/gateway/quarantine/response_times.rs
+++ b/crates/plumgate/src/gateway/quarantine/response_times.rs
@@ -5,8 +5,8 @@
 
 use crate::gateway::exchange::messages::ServerKey;
 
-/// How long a server may be silent before its entry lapses: three times the interval of its status reports,
-/// and a margin. A server that is still listed has not been silent for longer.
+/// Time for which a server may be silent before its entry lapses: three times the interval of its status
+/// reports, and a margin. A server that is still listed has not been silent for longer.
 const MAX_SILENCE: Duration = Duration::from_secs(4);
 
 /// Last response time of each server; dropped once it is no more recent than the entry implies.
--- a/crates/plumgate/src/gateway/quarantine/rule.rs
+++ b/crates/plumgate/src/gateway/quarantine/rule.rs
@@ -15,9 +15,9 @@
 /// Consecutive crashes from which on a coincidence is unlikely.
 const MIN_CONSECUTIVE: usize = 2;
 
-/// How long a request is blocked after the last crash, and how long any crash is remembered. Longer than
-/// clients go on retrying one request; short enough that a wrong verdict, or one that a server update made
-/// obsolete, expires without an operator.
+/// Time for which a request is blocked after the last crash, and any crash is remembered. Longer than clients
+/// go on retrying one request; short enough that a wrong verdict, or one that a server update made obsolete,
+/// expires without an operator.
 pub const BLOCK_DURATION: Duration = Duration::from_secs(600);
 /// Length of a node's turn with a request that is sent one by one. Within it a crash is detected (200 ms in
 /// the median, a second behind a queue) and reported to all nodes (300 ms over three hops).
@@ -41,7 +41,7 @@
     position / group_size == turn % groups
 }
 
-/// How a request is handled because of the crashes under it, in the order of severity.
+/// Handling of a request because of the crashes under it, in the order of severity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SuspectState {
     /// Sent like any other request.
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -25,10 +25,10 @@
 const MAX_RECORDS: usize = 1_024;
 /// Once the table is full, a workspace may hold one part in this many of its records.
 const WORKSPACE_DIVISOR: usize = 4;
-/// How soon after a crash a response of the same server refutes the crash. A later response may come from the
-/// restarted process, as not all entries carry a start time; no server restarts sooner than this.
+/// Time after a crash within which a response of the same server refutes the crash. A later response may come
+/// from the restarted process, as not all entries carry a start time; no server restarts sooner than this.
 const ALIVE_WINDOW: Duration = Duration::from_millis(1_500);
-/// How long an isolated run makes other callers wait if its end is not reported.
+/// Time for which an isolated run makes other callers wait if its end is not reported.
 const MAX_ISOLATED_RUN: Duration = Duration::from_secs(10);
 /// Bound of the events that wait to be logged.
 const MAX_EVENTS: usize = 64;
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -37,7 +37,7 @@
     pub retry_after: Duration,
 }
 
-/// What may be done with a request.
+/// Decision on what may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestVerdict {
     /// Send it.
--- a/crates/plumgate/src/gateway/rate_limit/issuer.rs
+++ b/crates/plumgate/src/gateway/rate_limit/issuer.rs
@@ -28,7 +28,7 @@
 const MAX_DEPTH: f64 = 4.0;
 /// Minimum number of permits by which a window stays below its bound.
 const WINDOW_MARGIN: f64 = 1.0;
-/// How long after the denial of a more urgent request the last permit is reserved for requests of that
+/// Time after the denial of a more urgent request for which the last permit is reserved for requests of that
 /// urgency.
 const URGENT_RESERVATION: Duration = Duration::from_secs(1);
 /// One of this many permits is issued regardless of urgency.
@@ -42,7 +42,7 @@
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 /// Pause given by a node that must not issue permits.
 const NOT_ELECTED_PAUSE: Duration = Duration::from_millis(200);
-/// How long the bucket of a server is retained after the last request for its permits.
+/// Time for which the bucket of a server is retained after the last request for its permits.
 const IDLE_RETENTION: Duration = Duration::from_secs(60);
 
 /// Bucket and denials of one server.
--- a/crates/plumgate/src/gateway/rate_limit/limit_table.rs
+++ b/crates/plumgate/src/gateway/rate_limit/limit_table.rs
@@ -8,9 +8,9 @@
 use super::statement::RequestRate;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// How long a limit is retained while no answer from its server names one.
+/// Time for which a limit is retained while no answer from its server names one.
 const LIMIT_RETENTION: Duration = Duration::from_secs(600);
-/// How long the end of a limit is retained.
+/// Time for which the end of a limit is retained.
 const END_RETENTION: Duration = Duration::from_secs(30);
 /// Maximum number of servers in the table, some 100 bytes each.
 const MAX_SERVERS: usize = 8_192;
--- a/crates/plumgate/src/gateway/rate_limit/messaging.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messaging.rs
@@ -23,8 +23,8 @@
 /// Time without activity after which a node distrusts the messages it receives, as they may have been delayed
 /// as long.
 const STALL_THRESHOLD: Duration = Duration::from_millis(700);
-/// How long reports that loosen a limit are ignored after such a time, until messages sent after it have
-/// arrived.
+/// Time for which reports that loosen a limit are ignored after such a period, until messages sent after it
+/// have arrived.
 const DISTRUST_TIME: Duration = Duration::from_secs(1);
 
 /// Result of handling received messages.
--- a/crates/plumgate/src/gateway/rate_limit/observation.rs
+++ b/crates/plumgate/src/gateway/rate_limit/observation.rs
@@ -18,7 +18,7 @@
     pub seen: BootTime,
 }
 
-/// How an observation changed the known limit.
+/// Change of the known limit by an observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
     /// The server named a limit.
@@ -58,7 +58,7 @@
     }
 }
 
-/// What is known about one server's limit.
+/// Known state of one server's limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservedLimit {
     known: LimitObservation,
--- a/crates/plumgate/src/gateway/rate_limit/permit_requester.rs
+++ b/crates/plumgate/src/gateway/rate_limit/permit_requester.rs
@@ -8,15 +8,15 @@
 use super::votes::PERMIT_LIFETIME;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// How long a request waits for the response of the issuer.
+/// Time for which a request waits for the response of the issuer.
 pub const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Interval after which an unanswered request is sent again.
 pub const PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(35);
-/// How long a server is deferred after its issuer did not respond.
+/// Time for which a server is deferred after its issuer did not respond.
 const NO_RESPONSE_PAUSE: Duration = Duration::from_millis(300);
 /// Maximum number of pending requests of one node for one server and urgency.
 const MAX_PENDING_REQUESTS: usize = 4;
-/// How long a server is deferred after that maximum is reached.
+/// Time for which a server is deferred after that maximum is reached.
 const BUSY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Permission to send one request to one server.
--- a/crates/plumgate/src/gateway/rate_limit/server_limits.rs
+++ b/crates/plumgate/src/gateway/rate_limit/server_limits.rs
@@ -38,7 +38,7 @@
 pub struct LimitEvent {
     /// Key of the server's incarnation.
     pub server: u32,
-    /// What has changed.
+    /// The change.
     pub change: LimitChange,
     /// Time since the answer that named the change.
     pub age: Duration,
--- a/crates/plumgate/src/gateway/rate_limit/statement.rs
+++ b/crates/plumgate/src/gateway/rate_limit/statement.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// What an answer states about the requests that its server accepts from all nodes together.
+/// Statement of an answer about the requests that its server accepts from all nodes together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RateStatement {
     /// The answer names no limit.
--- a/crates/plumgate/src/gateway/rate_limit/votes.rs
+++ b/crates/plumgate/src/gateway/rate_limit/votes.rs
@@ -16,11 +16,11 @@
 use crate::gateway::exchange::PeerView;
 use crate::ids::{DataCentreId, NodeId};
 
-/// How long a vote is valid.
+/// Time for which a vote is valid.
 pub(crate) const VOTE_LIFETIME: Duration = Duration::from_millis(800);
-/// How long a permit is valid, from the time of its request.
+/// Time for which a permit is valid, from the time of its request.
 pub(crate) const PERMIT_LIFETIME: Duration = Duration::from_millis(400);
-/// How long a newly elected issuer waits: after that the votes and permits of its predecessor have expired.
+/// Time for which a newly elected issuer waits: after it the votes and permits of its predecessor have expired.
 pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(1_400);
 /// Maximum number of remembered round ids: those made within the lifetime of a vote, and some more.
 const MAX_ROUND_IDS: usize = 16;
--- a/crates/plumgate/src/gateway/statements/leave_reports.rs
+++ b/crates/plumgate/src/gateway/statements/leave_reports.rs
@@ -45,7 +45,7 @@
 pub struct LeaveEvent {
     /// Id of the server's incarnation.
     pub incarnation: IncarnationId,
-    /// How long ago the reporting node learnt it.
+    /// Time since the reporting node learnt it.
     pub age: Duration,
 }
 
--- a/crates/plumgate/src/gateway/statements/notice_table.rs
+++ b/crates/plumgate/src/gateway/statements/notice_table.rs
@@ -7,7 +7,7 @@
 use crate::gateway::rate_limit::BootTime;
 use crate::gateway::servers::{IncarnationId, ServerEntry};
 
-/// How long the leaving of a server is retained after it was last confirmed.
+/// Time for which the leaving of a server is retained after it was last confirmed.
 const LEAVE_RETENTION: Duration = Duration::from_secs(600);
 /// Margin by which a request must precede the end of service that a leaving server promised: it first waits
 /// for a connection, and is then in transit.
@@ -21,7 +21,7 @@
 /// Maximum number of servers in the table, some 100 bytes each.
 const MAX_NOTICES: usize = 8_192;
 
-/// How an answer changed what is known about its server.
+/// Change that an answer makes to what is known about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeChange {
     /// The server leaves.
@@ -39,12 +39,12 @@
     pub is_extended: bool,
 }
 
-/// What the notices of a server mean for requests now.
+/// Current meaning of the notices of a server for requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerAvailability {
-    /// How much longer the server serves requests, if it leaves.
+    /// Remaining time for which the server serves requests, if it leaves.
     pub serves_for: Option<Duration>,
-    /// How much longer the server wants no requests, if it rests.
+    /// Remaining time for which the server wants no requests, if it rests.
     pub rest_left: Option<Duration>,
 }
 
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 pub struct NoticeTable {
     notices: BTreeMap<IncarnationId, ServerNotice>,
-    /// How long a server continues to serve after it announced that it leaves.
+    /// Time for which a server continues to serve after it announced that it leaves.
     drain_time: Duration,
     /// Number of notices dropped because the table was full.
     dropped: u64,
--- a/crates/plumgate/src/gateway/statements/server_statements.rs
+++ b/crates/plumgate/src/gateway/statements/server_statements.rs
@@ -19,7 +19,7 @@
     pub sent: BootTime,
     /// When the head of the answer was received, as time since the VM started.
     pub seen: BootTime,
-    /// The same in milliseconds since the Unix epoch.
+    /// When the head of the answer was received, in milliseconds since the Unix epoch.
     pub seen_unix_ms: u64,
 }
 
--- a/crates/plumgate/src/gateway/statements/statement.rs
+++ b/crates/plumgate/src/gateway/statements/statement.rs
@@ -1,4 +1,4 @@
-//! What a backend server states about itself in an answer, in addition to the answer.
+//! Statements of a backend server about itself in an answer, in addition to the answer.
 
 use std::time::Duration;
 
--- a/crates/plumgate/src/gateway/sync/state.rs
+++ b/crates/plumgate/src/gateway/sync/state.rs
@@ -29,8 +29,9 @@
 /// longest age of keys. State of a watcher is up to two of its waits old, which is a share of 0.24, and takes
 /// two rounds to arrive.
 const COLLECTOR_AGE_SHARE: f64 = 0.36;
-/// The same for all other nodes. It is longer, so that when the watcher is lost, their collector calls the
-/// store first and they need not.
+/// Age up to which all other nodes rely on received state and make no calls to the store, as a share of the
+/// longest age of keys. It is longer, so that when the watcher is lost, their collector calls the store first
+/// and they need not.
 const FOLLOWER_AGE_SHARE: f64 = 0.54;
 /// Age of a collector's state from which on it can't serve others, as a share of the longest age of keys. It
 /// has called the store without success since 0.36, and its followers must learn of another collector
@@ -79,7 +80,7 @@
     /// When the state was last known to be the newest, by an own read or a response of the node that this one
     /// follows.
     known_at: Option<Duration>,
-    /// The same by a response of the node that this one follows.
+    /// When the state was last known to be the newest by a response of the node that this one follows.
     reported_at: Option<Duration>,
     /// Whether state is missing that only a whole read or a snapshot brings.
     must_read: bool,
--- a/crates/plumgate/src/wire.rs
+++ b/crates/plumgate/src/wire.rs
@@ -153,7 +153,7 @@
 pub struct TextPatch {
     /// Byte offset at which the region starts.
     pub start: usize,
-    /// How many bytes are removed.
+    /// Number of bytes that are removed.
     pub removed: usize,
     /// Text that replaces the region.
     pub inserted: String,
