--- a/crates/plumgate/src/gateway/admission/budget.rs
+++ b/crates/plumgate/src/gateway/admission/budget.rs
@@ -70,7 +70,7 @@
         self.part(pool, now).requests += 1;
     }
 
-    /// Spends one retry; returns false, without spending, where none is left.
+    /// Spends one retry and returns true, or returns false if none is left.
     pub fn spend(&mut self, pool: &PoolId, now: Instant) -> bool {
         if self.left(pool, now) < 1.0 {
             return false;
--- a/crates/plumgate/src/gateway/admission/freshness.rs
+++ b/crates/plumgate/src/gateway/admission/freshness.rs
@@ -5,8 +5,8 @@
 /// Share of the allowed age after which requests with a key are refused. The rest allows for a read whose
 /// answer reflects a moment somewhat before the read was sent.
 const KEY_SHARE: f64 = 0.88;
-/// Share of the allowed age after which a key or route that is not known may be new. A node that receives
-/// the store's changes knows all within two waits of a watch, which are shorter.
+/// Share of the allowed age after which an unknown key or route is not rejected as such, since it may be new. A
+/// node that receives the store's changes knows all of them within two waits of a watch, which are shorter.
 const DENIAL_SHARE: f64 = 0.6;
 /// Share of the allowed age after which the node reports itself as not ready for new callers.
 const READY_SHARE: f64 = 0.66;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Replaces that age.
+    /// Replaces the age after which a revoked key must not work any more.
     pub fn set_max_age(&mut self, max_age: Duration) {
         self.max_age = max_age;
     }
@@ -40,7 +40,7 @@
         self.known_at = self.known_at.max(Some(requested_at));
     }
 
-    /// Returns the age of what is known, or `None` before the first read.
+    /// Returns the age of the known state, or `None` before the first read.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.known_at.map(|known| now.saturating_sub(known))
     }
--- a/crates/plumgate/src/gateway/admission/policy.rs
+++ b/crates/plumgate/src/gateway/admission/policy.rs
@@ -1,4 +1,4 @@
-//! Decision whether a request is worth sending now, and when its caller should come back if not.
+//! Decision whether a request is worth sending now, and after which delay its caller should retry if not.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 /// Share of a request's target that it may spend in a server's queue.
 ///
 /// An overloaded engine answers as many requests whether its queue is short or long, but behind a long queue
-/// all of them are late. A request that is refused at once comes back when the burst is over. The rest of
+/// all of them are late. A request that is refused at once is retried when the burst is over. The rest of
 /// the target is for the prefill of the prompt. Long prompts answered in time in a simulated fleet of 20
 /// engines under a burst of 2.3 times: 0.38 without this limit, 0.73 with it (`tests/gateway_load.rs`).
 const QUEUE_SHARE: f64 = 0.7;
 /// Share of the time left within which a server must be able to begin its answer. The rest is for the answer
 /// itself.
 const START_SHARE: f64 = 0.9;
-/// Shortest delay that a caller is asked for. With a shorter one it would come back before anything has
-/// changed.
+/// Minimum delay after which a caller is asked to retry. After a shorter one, the load would not have changed
+/// yet.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Longest delay that a caller is asked for.
+/// Maximum delay after which a caller is asked to retry.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
-/// Largest share of the time left that a caller is asked to wait: it needs the rest to be served.
+/// Maximum retry delay as a share of the time left: the rest is needed to serve the request.
 const RETRY_DELAY_SHARE: f64 = 0.3;
 
 /// Decision about a request.
@@ -29,7 +29,7 @@
     Send,
     /// Refuse it; it was not run.
     Refuse {
-        /// Delay after which the caller should come back.
+        /// Delay after which the caller should retry.
         retry_after: Duration,
     },
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuePrediction {
     /// Time until the server starts on it. Its own prefill is not included: a large request must not be
-    /// refused for its size alone, as it would be refused each time that it comes.
+    /// refused for its size alone, as every retry would be refused as well.
     pub queue: Duration,
     /// Time until the answer begins.
     pub wait: Duration,
@@ -67,7 +67,7 @@
     }
 
     /// Decides about a request. `spread`, from 0 to 1, is a random number that keeps refused callers from
-    /// coming back all at once.
+    /// retrying all at once.
     pub fn decide(&self, prediction: &QueuePrediction, spread: f64) -> AdmissionDecision {
         let max_queue = prediction.target_left.mul_f64(QUEUE_SHARE);
         let max_wait = prediction.left.mul_f64(START_SHARE);
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the delay after which a caller should come back; `spread`, from 0 to 1, is as for the decision.
+    /// Returns the delay after which a caller should retry; `spread`, from 0 to 1, is as in [`Self::decide`].
     pub fn retry_delay(&self, wait: Duration, left: Duration, spread: f64) -> Duration {
         let longest = left.mul_f64(RETRY_DELAY_SHARE).min(MAX_RETRY_DELAY);
         let spread = if self.switches.has(PolicyPart::ReturnSpread) {
--- a/crates/plumgate/src/gateway/config.rs
+++ b/crates/plumgate/src/gateway/config.rs
@@ -9,7 +9,7 @@
 use crate::duty::PoolScaling;
 use crate::ids::{ConfigVersion, PoolId, WorkspaceId};
 
-/// Whether the requests of a route may run more than once.
+/// Repeatability of a route's requests: whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RepeatKind {
     /// Requests may run any number of times.
@@ -47,9 +47,9 @@
 /// Sensitivity of a stream to pauses while its server prefills other prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StreamClass {
-    /// Read by a person as it comes: each pause matters.
+    /// A person reads the answer while it is generated: each pause matters.
     Interactive,
-    /// Not read as it comes: pauses of several times that length don't matter.
+    /// The answer is not read while it is generated: pauses several times as long don't matter.
     Batch,
 }
 
@@ -71,13 +71,13 @@
 pub struct GatewayRoute {
     /// Name of the route, for logs.
     pub name: String,
-    /// Host that callers name, in lower case.
+    /// Host that callers address, in lower case.
     pub host: String,
     /// Prefix of the path; it ends with a slash.
     pub prefix: String,
     /// Whether requests may run more than once.
     pub kind: RepeatKind,
-    /// Time after which a request without an answer is given up.
+    /// Timeout of a request without an answer.
     pub timeout: Duration,
     /// Time to the answer within which a request meets its target.
     pub target: Duration,
@@ -174,7 +174,7 @@
     shortest_pauses: HashMap<PoolId, Duration>,
     /// Longest target among the routes of each pool, by priority.
     longest_targets: HashMap<PoolId, BTreeMap<u8, Duration>>,
-    /// Bounds of the pools whose servers Plumgate orders.
+    /// Bounds of the pools whose number of servers Plumgate controls.
     scaling: BTreeMap<PoolId, PoolScaling>,
 }
 
@@ -218,21 +218,21 @@
 
     fn record_target(&mut self, route: &GatewayRoute) {
         for split in &route.pools {
-            let ranks = self.longest_targets.entry(split.pool.clone()).or_default();
-            let longest = ranks.entry(route.priority).or_default();
+            let targets = self.longest_targets.entry(split.pool.clone()).or_default();
+            let longest = targets.entry(route.priority).or_default();
             *longest = (*longest).max(route.target);
         }
     }
 
-    /// Returns the target by which a route's requests are refused in a pool: the longest target of this
-    /// route and all routes that are less urgent.
+    /// Returns the target that decides whether a route's requests are refused in a pool: the longest target of
+    /// this route and all routes that are less urgent.
     ///
-    /// An urgent route often has a short target. If it were refused by that one, servers would refuse its
-    /// requests while they still accept less urgent requests, whose targets are longer.
+    /// An urgent route often has a short target. With that one, its requests would be refused while less urgent
+    /// requests, whose targets are longer, are still accepted.
     pub fn refusal_target(&self, route: &GatewayRoute, pool: &PoolId) -> Duration {
-        let ranks = self.longest_targets.get(pool);
-        let less_urgent = ranks.map(|ranks| ranks.range(route.priority..));
-        let longest = less_urgent.and_then(|ranks| ranks.map(|(_, target)| *target).max());
+        let targets = self.longest_targets.get(pool);
+        let less_urgent = targets.map(|targets| targets.range(route.priority..));
+        let longest = less_urgent.and_then(|targets| targets.map(|(_, target)| *target).max());
         longest.unwrap_or(route.target)
     }
 
@@ -272,8 +272,9 @@
     /// Returns the urgency of a request, 0 for the most urgent. The priority of the workspace decides first,
     /// then that of the route.
     pub fn urgency(&self, route: &GatewayRoute, workspace: Option<&KeyOwner>) -> u8 {
-        let rank = workspace.and_then(|keys| keys.priority).unwrap_or(0);
-        rank.saturating_mul(self.route_ranks)
+        let priority = workspace.and_then(|owner| owner.priority).unwrap_or(0);
+        priority
+            .saturating_mul(self.route_ranks)
             .saturating_add(route.priority)
     }
 
@@ -282,20 +283,20 @@
         self.keys.get(key)
     }
 
-    /// Adds a pool whose servers Plumgate orders.
+    /// Adds a pool whose number of servers Plumgate controls.
     pub fn with_scaling(mut self, pool: PoolId, scaling: PoolScaling) -> Self {
         self.scaling.insert(pool, scaling);
         self
     }
 
-    /// Returns the pools whose servers Plumgate orders, with their bounds.
+    /// Returns the pools whose number of servers Plumgate controls, with their bounds.
     pub fn scaling(&self) -> impl Iterator<Item = (&PoolId, &PoolScaling)> {
         self.scaling.iter()
     }
 
     /// Returns the workspaces, each once.
     pub fn workspaces(&self) -> BTreeSet<&WorkspaceId> {
-        self.keys.values().map(|keys| &keys.workspace).collect()
+        self.keys.values().map(|owner| &owner.workspace).collect()
     }
 
     /// Returns the number of routes.
--- a/crates/plumgate/src/gateway/events.rs
+++ b/crates/plumgate/src/gateway/events.rs
@@ -1,4 +1,4 @@
-//! Splits a stream into complete events, so that another server can continue it if it breaks.
+//! Splitter of a stream into complete events, so that another server can continue the stream if it breaks.
 
 use bytes::{Buf, Bytes, BytesMut};
 
@@ -20,7 +20,7 @@
 }
 
 impl EventSplitter {
-    /// Creates a splitter for a stream. `last_id` is the number of the last event that the caller has already.
+    /// Creates a splitter for a stream. `last_id` is the number of the last event that the caller has received.
     pub fn new(last_id: Option<u64>) -> Self {
         Self {
             last_id,
@@ -32,18 +32,18 @@
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.buffer.extend_from_slice(bytes);
         let end = self.last_event_end()?;
-        let whole = self.buffer.split_to(end).freeze();
+        let events = self.buffer.split_to(end).freeze();
         self.scanned = 0;
-        self.record_id(&whole);
-        Some(whole)
+        self.record_id(&events);
+        Some(events)
     }
 
-    /// Returns the buffered bytes, which are no complete event.
+    /// Returns the buffered bytes, which don't form a complete event yet.
     pub fn partial(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Drops the buffered beginning of an event whose end will not come.
+    /// Drops the buffered beginning of an event whose end will not be received.
     pub fn drop_partial(&mut self) {
         let buffer = self.buffer.len();
         self.buffer.advance(buffer);
@@ -74,8 +74,8 @@
         end
     }
 
-    fn record_id(&mut self, whole: &[u8]) {
-        let lines = whole.split(|byte| *byte == b'\n');
+    fn record_id(&mut self, events: &[u8]) {
+        let lines = events.split(|byte| *byte == b'\n');
         let ids = lines.filter_map(|line| line.strip_prefix(ID_FIELD));
         let mut numbers = ids.filter_map(|id| std::str::from_utf8(id).ok()?.trim().parse().ok());
         self.last_id = numbers.next_back().or(self.last_id);
--- a/crates/plumgate/src/gateway/exchange/duty_messages.rs
+++ b/crates/plumgate/src/gateway/exchange/duty_messages.rs
@@ -1,4 +1,4 @@
-//! Data for the fleet's duties that goes along with the messages: time of day, usage and demand.
+//! Data for the fleet's duties that the exchange messages carry: time of day, usage and demand.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 pub(crate) const DATA_CENTRE_SILENCE: Duration = Duration::from_millis(1_500);
 /// Time for which a demand report counts.
 const DEMAND_LIFETIME: Duration = Duration::from_secs(2);
-/// Maximum number of usage updates that wait to be taken: two of each node of a large data centre.
+/// Maximum number of received usage updates in the queue: two of each node of a large data centre.
 const MAX_USAGE_UPDATES: usize = 256;
 
 /// Another node's report of the time of day.
@@ -54,7 +54,7 @@
 /// Reported demand and the time of the report.
 type ReportedDemand = (Vec<PoolDemand>, Instant);
 
-/// Messages that this node sends and has received for the duties.
+/// Data for the duties that this node sends and has received.
 #[derive(Debug, Default)]
 pub struct DutyMessages {
     /// Report of the time of day that this node sends.
@@ -151,8 +151,8 @@
         &self.own_demand
     }
 
-    /// Stores the demand of a node of this data centre. A node's demand goes along with its first message of a
-    /// round only: one without demand leaves the stored demand as it is.
+    /// Stores the demand of a node of this data centre. Only the first message of a round contains the sender's
+    /// demand: one without demand leaves the stored demand as it is.
     pub(crate) fn receive_member_demand(
         &mut self,
         node: NodeId,
@@ -200,7 +200,7 @@
         earlier.any(|(_, at)| now.saturating_duration_since(*at) <= DATA_CENTRE_SILENCE)
     }
 
-    /// Returns the prompt tokens per second that the fleet's requests for a pool bring. Complete only on a
+    /// Returns the demand of the fleet's requests for a pool, in prompt tokens per second. Complete only on a
     /// collector.
     pub fn demand(&self, pool: &str, now: Instant) -> u64 {
         let key = pool_key(pool);
--- a/crates/plumgate/src/gateway/exchange/load_exchange.rs
+++ b/crates/plumgate/src/gateway/exchange/load_exchange.rs
@@ -3,9 +3,9 @@
 //! Each node reports what it has in flight to one collector of its data centre. The collector adds up its data
 //! centre, exchanges sums with the collectors of the other data centres, and sends its nodes the total. So a
 //! node sends and receives a constant number of messages, and only a collector's grow with the nodes of its
-//! data centre. Messages may be lost: each is complete in itself, and entries that are not renewed expire. Long
-//! prompts answered in time in a model fleet of 20 nodes: 0.35 with each node's own knowledge alone, 0.73 with
-//! the exchange (`tests/gateway_load.rs`).
+//! data centre. Messages may be lost: each is self-contained, and entries that are not renewed expire. Share of
+//! long prompts answered in time in a simulated fleet of 20 nodes: 0.35 where each node knows only its own load,
+//! 0.73 with the exchange (`tests/gateway_load.rs`).
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -27,11 +27,11 @@
 use crate::gateway::work::ServerWork;
 use crate::ids::{DataCentreId, NodeId};
 
-/// Time that a new collector has for its first read of the store.
+/// Grace period after a node becomes the collector, for its first read of the store.
 const FIRST_READ_TIME: Duration = Duration::from_millis(500);
 /// Interval, in rounds, at which the nodes that may become collectors next in other data centres get the sums too:
-/// often enough that these still count when one of them takes over. Sent to them each round, the sums were half of
-/// the bytes that collectors send to other data centres.
+/// often enough that these have not expired when one of them takes over. Sent to them in each round, the sums were
+/// half of the bytes that collectors send to other data centres.
 const STANDBY_ROUNDS: u32 = 4;
 /// Number of rounds in which a collector that handed over announces it: enough that one of the messages arrives.
 /// Nodes that miss them all treat it as a silent collector, and follow the store by themselves meanwhile.
@@ -39,10 +39,10 @@
 /// Maximum number of servers in one message, so that it fits into one network packet.
 const MAX_ENTRIES: usize = 100;
 
-/// Maximum number of notices that wait to be taken: two of each node of a large data centre per round.
+/// Maximum number of received notices in the queue: two of each node of a large data centre per round.
 const MAX_NOTICES: usize = 256;
 
-/// Maximum number of messages about statements that wait to be taken: those of a round in which all nodes of a
+/// Maximum number of received messages about statements in the queue: those of a round in which all nodes of a
 /// large data centre request permits.
 const MAX_STATEMENTS: usize = 1_024;
 
@@ -60,8 +60,8 @@
 pub struct ReceivedNotice {
     /// The notice as received.
     pub sealed: Vec<u8>,
-    /// When it was received. The notice is opened up to one round later and holds ages: if they were counted
-    /// from then, the runs of two nodes would shift against each other.
+    /// When it was received. The notice is opened up to one round later and holds ages: if they were counted back
+    /// from the opening, the times of runs on different nodes would be shifted against each other.
     pub received_at: Instant,
 }
 
@@ -89,7 +89,7 @@
     handover_rounds: u32,
     /// When this node became the collector.
     collecting_since: Option<Instant>,
-    /// Data for the duties that goes along with the messages.
+    /// Data for the duties that the messages carry.
     duty_messages: DutyMessages,
     /// Sealed messages about the statements of servers, received and not taken yet.
     received_statements: Vec<ReceivedStatement>,
@@ -214,14 +214,14 @@
         Some((to, bytes))
     }
 
-    /// Returns the data for the duties that goes along with the messages.
+    /// Returns the data for the duties that the messages carry.
     pub fn duty_messages(&mut self) -> &mut DutyMessages {
         &mut self.duty_messages
     }
 
     /// Returns whether this node should hold the fleet's duties: it is the collector of the data centre whose
     /// name sorts first among the reachable ones. The same node reads the store for the collectors, so that no
-    /// other node has to see everything.
+    /// other node needs the state of the whole fleet.
     pub fn should_hold_duties(&self, now: Instant) -> bool {
         let own = &self.peers.own().data_centre;
         let is_settled = self
@@ -250,7 +250,7 @@
         let now = moment.now;
         self.peers.set_now(now);
         let sync_request = sync.create_request(moment.boot);
-        let ended: Vec<ServerKey> = self.own_reported.keys().copied().collect();
+        let previous: Vec<ServerKey> = self.own_reported.keys().copied().collect();
         self.own_reported = work
             .map(|(server, work)| (server_key(server), work))
             .collect();
@@ -265,9 +265,9 @@
             return self.collect(sync, sync_request, now);
         };
         let mut packets = self.usage_packets(std::slice::from_ref(&collector));
-        // Work that has ended must be reported once as none, or it would count until it expires.
+        // Work that has ended must be reported once as zero, or it would count until it expires.
         let mut entries = self.own_reported.clone();
-        for key in ended {
+        for key in previous {
             entries.entry(key).or_default();
         }
         packets.extend(self.packets(
@@ -298,7 +298,7 @@
         packets
     }
 
-    /// Creates a message of this node with nothing but a body.
+    /// Creates a message of this node that contains only a body.
     fn message(&self, body: ExchangeBody) -> ExchangeMessage {
         let own = self.peers.own();
         ExchangeMessage {
@@ -415,10 +415,10 @@
                 }
             }
         }
-        let merged = message
+        let outcome = message
             .sync_response
             .map(|response| sync.apply(response, is_watcher));
-        Ok(merged.unwrap_or_default())
+        Ok(outcome.unwrap_or_default())
     }
 
     /// Returns whether a node reads the store on behalf of this one: the collector for the nodes of its data
@@ -452,7 +452,7 @@
 
     /// Hands over the collector's role if this node is the collector and can't read the store.
     ///
-    /// A store may refuse single nodes. If the collector is among them, each node of its data centre follows
+    /// A store may refuse individual nodes. If the collector is among them, each node of its data centre follows
     /// the store by itself: 28 nodes then made up to 112 calls per second.
     fn check_store_access(&mut self, sync: &SyncState, moment: ExchangeMoment) {
         if !self.is_collector() {
--- a/crates/plumgate/src/gateway/exchange/messages.rs
+++ b/crates/plumgate/src/gateway/exchange/messages.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// One message: a body, and what goes along with it.
+/// Message between nodes: a body, and the data that it carries beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ExchangeMessage {
     pub(crate) node: String,
--- a/crates/plumgate/src/gateway/exchange/mod.rs
+++ b/crates/plumgate/src/gateway/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! Messages that the nodes exchange about their load, and the choice of the collector that aggregates them.
+//! Messages by which the nodes exchange their load, and the choice of the collectors that aggregate it.
 
 pub(crate) mod messages;
 
--- a/crates/plumgate/src/gateway/exchange/nodes.rs
+++ b/crates/plumgate/src/gateway/exchange/nodes.rs
@@ -1,4 +1,4 @@
-//! A node as it registers itself with the others.
+//! Entry of a node in the register of nodes.
 
 use std::net::SocketAddr;
 
--- a/crates/plumgate/src/gateway/exchange/peer_view.rs
+++ b/crates/plumgate/src/gateway/exchange/peer_view.rs
@@ -25,7 +25,7 @@
     /// Number of known nodes of the fleet, this one included.
     pub(crate) fleet_size: usize,
     /// Number of nodes of this node's data centre, this one included, that have not been silent for so long
-    /// that they count as gone.
+    /// that they count as failed.
     pub(crate) alive_count: usize,
     /// Whether this node would be the collector if all nodes of its data centre were reachable.
     pub(crate) is_preferred: bool,
--- a/crates/plumgate/src/gateway/exchange/peers.rs
+++ b/crates/plumgate/src/gateway/exchange/peers.rs
@@ -1,6 +1,6 @@
 //! The other nodes, and which of them are the collectors of their data centres.
 //!
-//! All nodes prefer the same collector of a data centre without any agreement: the node with the largest
+//! All nodes prefer the same collector of a data centre without coordination: the node with the largest
 //! capacity, and among equals the one that rendezvous hashing selects. A silent node is passed over until a
 //! message of it is received.
 
@@ -19,18 +19,17 @@
 /// Silence of a collector after which the next one is chosen.
 pub(crate) const COLLECTOR_SILENCE: Duration = Duration::from_millis(900);
 /// Time for which a collector that handed over is passed over: longer than most outages of single nodes, as
-/// after each change of the collector its nodes load all servers anew.
+/// its nodes reload all servers after each change of the collector.
 const HANDOVER_TIME: Duration = Duration::from_secs(10);
-/// Maximum number of nodes of a data centre that have handed over at the same time. If several in a row have
-/// lost the store, it answers nobody, and going on through all nodes would only change the collector again and
-/// again.
+/// Maximum number of nodes of a data centre that have handed over at the same time. If several in a row can't
+/// read the store, it answers no node, and further handovers would only change the collector again and again.
 const MAX_HANDOVERS: usize = 2;
 /// Number of possible collectors of another data centre that get a sum: a second one in case the first has just
 /// failed.
 const FOREIGN_COLLECTORS: usize = 2;
 
-/// Silence after which a node counts as gone, where [`PeerView::alive_count`] is computed.
-const GONE_AFTER: Duration = Duration::from_secs(15);
+/// Silence after which [`PeerView::alive_count`] counts a node as failed.
+const FAILURE_SILENCE: Duration = Duration::from_secs(15);
 
 /// State of another node.
 #[derive(Clone, Debug)]
@@ -42,8 +41,8 @@
     received_at: Option<Instant>,
     /// Until when it is passed over as a collector, since it reported that it can't read the store for others.
     behind_until: Option<Instant>,
-    /// Since when this node, as a collector, has sent to it as the collector of its data centre without a
-    /// response.
+    /// Start of the period in which this node, as a collector, has sent to it as the collector of its data centre
+    /// without receiving a message of it.
     unanswered_since: Option<Instant>,
     /// Its last sync request that has not been answered yet, and when that was received.
     pub(crate) sync_request: Option<(SyncRequest, Duration)>,
@@ -239,8 +238,8 @@
     }
 
     /// Returns whether a node reads the store for the collectors of all data centres: it is the collector of
-    /// the one whose name sorts first. There is a single one, as the sync responses of two nodes don't fit
-    /// together, and the order prevents that two collectors each rely on the other to read.
+    /// the one whose name sorts first. There is a single one, as the sync responses of two nodes are from
+    /// different logs. The order by name keeps two collectors from each relying on the other to read.
     pub(crate) fn is_watcher(&self, node: &NodeId) -> bool {
         let first = self.ranked.iter().find(|(_, nodes)| !nodes.is_empty());
         let first = first.filter(|(data_centre, _)| **data_centre < self.own.data_centre);
@@ -263,7 +262,7 @@
     }
 
     /// Passes over collectors of other data centres that don't respond, until a message of them is received.
-    /// One that has failed for good stays in the register, and would otherwise be addressed for ever.
+    /// One that has failed permanently stays in the register, and would otherwise be used for ever.
     pub(crate) fn check_foreign_collectors(&mut self, now: Instant) {
         for data_centre in self.foreign_data_centres() {
             let Some(first) = self.eligible(&data_centre).next().cloned() else {
@@ -300,8 +299,8 @@
         for data_centre in self.foreign_data_centres() {
             let eligible = self.eligible(&data_centre).take(FOREIGN_COLLECTORS);
             collectors.extend(eligible.cloned());
-            let usual = self.data_centre_peers(&data_centre).next();
-            collectors.extend(usual.map(|peer| peer.entry.node.clone()));
+            let preferred = self.data_centre_peers(&data_centre).next();
+            collectors.extend(preferred.map(|peer| peer.entry.node.clone()));
         }
         collectors
     }
@@ -323,7 +322,7 @@
             (entry.node.clone(), entry.address)
         });
         let alive = self.own_data_centre_peers();
-        let alive = alive.filter(|peer| !self.is_gone(peer, collecting_since));
+        let alive = alive.filter(|peer| !self.has_failed(peer, collecting_since));
         let mut others = self.own_data_centre_peers();
         let own_rank = collector_rank(&self.own);
         PeerView {
@@ -339,15 +338,15 @@
         }
     }
 
-    /// Returns whether a node has been silent for so long that it counts as gone. Nodes send to their
+    /// Returns whether a node has been silent for so long that it counts as failed. Nodes send to their
     /// collector, so silence means something only since this node became the collector.
-    fn is_gone(&self, peer: &PeerState, collecting_since: Option<Instant>) -> bool {
+    fn has_failed(&self, peer: &PeerState, collecting_since: Option<Instant>) -> bool {
         let (Some(now), Some(received), Some(since)) =
             (self.now, peer.received_at, collecting_since)
         else {
             return false;
         };
-        now.saturating_duration_since(received.max(since)) > GONE_AFTER
+        now.saturating_duration_since(received.max(since)) > FAILURE_SILENCE
     }
 
     /// Stores the number of nodes of a data centre, as counted by its collector.
--- a/crates/plumgate/src/gateway/exchange/reported_work.rs
+++ b/crates/plumgate/src/gateway/exchange/reported_work.rs
@@ -29,7 +29,7 @@
         self.0 = entries.collect();
     }
 
-    /// Returns the work reported at a server; none if the report has expired.
+    /// Returns the work reported at a server, or zero if the report has expired.
     pub(crate) fn fresh(&self, key: ServerKey, now: Instant) -> ServerWork {
         match self.0.get(&key) {
             Some((work, at)) if now.saturating_duration_since(*at) < LIFETIME => *work,
--- a/crates/plumgate/src/gateway/mod.rs
+++ b/crates/plumgate/src/gateway/mod.rs
@@ -1,8 +1,8 @@
 //! Decisions of the gateway, which relays requests byte for byte by host and path.
 //!
 //! The gateway serves fleets whose callers and backend servers already share a protocol. It selects the route,
-//! the workspace and the server, keeps retries within the fleet's budget, and refuses requests that may not
-//! run. Network input and output is left to adapters.
+//! the workspace and the server, keeps retries within the fleet's budget, and refuses requests that are not
+//! admitted. Network I/O is left to adapters.
 
 pub mod admission;
 pub mod config;
--- a/crates/plumgate/src/gateway/notice_keys.rs
+++ b/crates/plumgate/src/gateway/notice_keys.rs
@@ -11,8 +11,8 @@
 use crate::errors::{Error, Result};
 use crate::wire::{MAX_CLOCK_DIFFERENCE_MS, PeerKey};
 
-/// Keys of recent configurations that may seal a notice. Nodes learn of a change of the keys within a second
-/// or two of each other, and several changes may follow in quick succession.
+/// Maximum number of recent configurations whose keys are accepted. Nodes learn of a change of the keys within a
+/// second or two of each other, and several changes may follow in quick succession.
 const MAX_KEYS: usize = 6;
 
 /// Content of a notice with the time of day at which it was packed.
@@ -44,7 +44,7 @@
 /// network of such a fleet must keep others from the nodes' ports.
 #[derive(Default)]
 pub(crate) struct NoticeKeys {
-    /// Key of each recent configuration with the secret it is made of, the newest first.
+    /// Key of each recent configuration with the secret it is derived from, the newest first.
     keys: VecDeque<([u8; 32], PeerKey)>,
 }
 
@@ -88,7 +88,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if no key fits, or if the notice was packed too long before or after `unix_ms`.
+    /// Returns [`Error::ForgedMessage`] if no key matches, [`Error::MalformedMessage`] if the notice can't be
+    /// unpacked, and [`Error::StaleMessage`] if it was packed too long before or after `unix_ms`.
     pub(crate) fn open<T: DeserializeOwned>(&self, sealed: &[u8], unix_ms: u64) -> Result<T> {
         let opened = self
             .keys
@@ -96,7 +97,7 @@
             .find_map(|(_, key)| key.open_bytes(sealed).ok());
         let packed = opened.ok_or(Error::ForgedMessage)?;
         let notice: DatedNotice<T> = unpack(packed)?;
-        // Notices contain ages instead of times: one that is recorded and sent later would describe other moments.
+        // Notices contain ages instead of times: if one is recorded and replayed later, they refer to wrong moments.
         let distance = notice.sent_ms.abs_diff(unix_ms);
         if distance > MAX_CLOCK_DIFFERENCE_MS {
             return Err(Error::StaleMessage(distance));
--- a/crates/plumgate/src/gateway/placement/affinity.rs
+++ b/crates/plumgate/src/gateway/placement/affinity.rs
@@ -24,7 +24,7 @@
 /// multiple of its prefill time. Copying takes a few milliseconds, but also bandwidth of the engines' links
 /// and memory of one more engine; and a server that is believed to cache a part may have evicted it. Cheap
 /// copies (1 and 2 instead of 4 and 12) made parts move and be prefilled again so often that all callers
-/// lost by it; expensive ones (8 and 25) left preferred servers busy while others idled. Long prompts
+/// were worse off; expensive ones (8 and 25) left preferred servers busy while others idled. Long prompts
 /// answered in time in a simulated fleet of 20 engines under a burst of 2.7 times: 0.66 where all parts are
 /// prefilled again, 0.72 with copies (`tests/gateway_load.rs`).
 const COPY_WEIGHT: f64 = 4.0;
@@ -44,7 +44,7 @@
 
 impl AffinityRank {
     /// Returns the extra cost of a shared token that the server has to prefill, as a multiple of its prefill
-    /// time. `is_cached` says whether a server of the group caches the prompt already.
+    /// time. `is_cached` is whether a server of the group already caches the prompt.
     pub(crate) fn prefill_weight(self, is_cached: bool) -> f64 {
         match self {
             Self::First => 0.0,
@@ -89,21 +89,21 @@
         all: &[ServerId],
         switches: PolicySwitches,
     ) -> Self {
-        let mut ranks = Self {
+        let mut servers = Self {
             first: None,
             second: None,
         };
         let Some(affinity) = prompt.and_then(PromptShape::affinity) else {
-            return ranks;
+            return servers;
         };
         let weight = |id: &ServerId| xxh3_64_with_seed(id.as_bytes(), affinity);
-        ranks.first = group.iter().max_by_key(|id| weight(id)).cloned();
+        servers.first = group.iter().max_by_key(|id| weight(id)).cloned();
         if !switches.has(PolicyPart::SecondPreferred) {
-            return ranks;
+            return servers;
         }
-        let others = all.iter().filter(|id| Some(*id) != ranks.first.as_ref());
-        ranks.second = others.max_by_key(|id| weight(id)).cloned();
-        ranks
+        let others = all.iter().filter(|id| Some(*id) != servers.first.as_ref());
+        servers.second = others.max_by_key(|id| weight(id)).cloned();
+        servers
     }
 
     /// Returns the rank of a server for the prompt.
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -17,9 +17,7 @@
     pub(super) fn candidates(&self, request: &PlacementRequest<'_>, now: Instant) -> Vec<ServerId> {
         let available: Vec<&ServerLoad> = self
             .of_pool(request)
-            .filter(|load| {
-                load.accepts_work() && load.deferred_until(request.urgency, now).is_none()
-            })
+            .filter(|load| load.accepts_work() && load.deferral(request.urgency, now).is_none())
             .collect();
         let has_available = !available.is_empty();
         let mut usable: Vec<&ServerLoad> = available;
@@ -27,8 +25,7 @@
             usable = self
                 .of_pool(request)
                 .filter(|load| {
-                    load.accepts_last_resort(now)
-                        && load.deferred_until(request.urgency, now).is_none()
+                    load.accepts_last_resort(now) && load.deferral(request.urgency, now).is_none()
                 })
                 .collect();
         }
@@ -54,8 +51,8 @@
         load.is_healthy(self.options.switches, now) && !self.is_cut_off(&load.entry)
     }
 
-    /// Sends a server no requests of this urgency or a less urgent one from this node until the given time,
-    /// because it named a rate limit.
+    /// Defers this node's requests of this urgency or a less urgent one to a server until the given time, because
+    /// the server named a rate limit.
     pub fn defer_requests(&mut self, server: &ServerId, urgency: u8, until: Instant) {
         if let Some(load) = self.servers.get_mut(server) {
             load.defer_requests(urgency, until);
@@ -73,7 +70,7 @@
             .of_pool(request)
             .filter(|load| load.accepts_work() && !request.avoid.contains(&load.entry.id));
         untried
-            .filter_map(|load| load.deferred_until(request.urgency, now))
+            .filter_map(|load| load.deferral(request.urgency, now))
             .min_by_key(|deferral| deferral.until)
     }
 
--- a/crates/plumgate/src/gateway/placement/choice.rs
+++ b/crates/plumgate/src/gateway/placement/choice.rs
@@ -84,7 +84,7 @@
     pub urgency: u8,
     /// Sensitivity of its stream to pauses.
     pub class: StreamClass,
-    /// Whether the request may crash its server, so that the server with the least work is best.
+    /// Whether the request may crash its server, so that the server with the least work is chosen.
     pub is_isolated: bool,
     /// Servers that were tried already.
     pub avoid: &'a [ServerId],
--- a/crates/plumgate/src/gateway/placement/data_centres.rs
+++ b/crates/plumgate/src/gateway/placement/data_centres.rs
@@ -74,21 +74,23 @@
 
     /// Returns the data centres that seem cut off.
     pub fn cut_off(&self) -> Vec<DataCentreId> {
-        let cut = self
+        let cut_off = self
             .data_centres
             .iter()
             .filter(|(_, state)| state.is_cut_off);
-        cut.map(|(data_centre, _)| data_centre.clone()).collect()
+        cut_off
+            .map(|(data_centre, _)| data_centre.clone())
+            .collect()
     }
 
     /// Returns the data centres that are due for a probe, and marks them as probed.
     pub fn due_probes(&mut self, now: Instant) -> Vec<DataCentreId> {
         let mut due = Vec::new();
         for (data_centre, state) in &mut self.data_centres {
-            let waits = state
+            let is_recent = state
                 .probed_at
                 .is_some_and(|at| now.saturating_duration_since(at) < PROBE_INTERVAL);
-            if state.is_cut_off && !waits {
+            if state.is_cut_off && !is_recent {
                 state.probed_at = Some(now);
                 due.push(data_centre.clone());
             }
--- a/crates/plumgate/src/gateway/placement/demand.rs
+++ b/crates/plumgate/src/gateway/placement/demand.rs
@@ -1,4 +1,4 @@
-//! Meter of the prompt tokens that the requests of one node bring to each pool, without shared parts.
+//! Meter of the demand that the requests of one node cause at each pool, in prompt tokens without shared parts.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/plumgate/src/gateway/placement/groups.rs
+++ b/crates/plumgate/src/gateway/placement/groups.rs
@@ -25,6 +25,7 @@
 const BUSY_SLOTS: f64 = 0.3;
 /// Share of slots in use below which the group shrinks.
 const IDLE_SLOTS: f64 = 0.12;
+
 /// Share of each pool's servers that is reserved for interactive streams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupShares {
@@ -49,7 +50,7 @@
         !is_early
     }
 
-    /// Raises the share of a pool whose interactive servers fill up, and lowers it where they idle.
+    /// Raises the share of a pool whose interactive servers fill up, and lowers it where they are idle.
     pub(crate) fn adapt(&mut self, pool: &PoolId, slot_use: f64) {
         let share = self.shares.entry(pool.clone()).or_insert(INITIAL_SHARE);
         if slot_use > BUSY_SLOTS {
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -27,7 +27,8 @@
 /// in time at 64 nodes of a simulated fleet: 0.82 with the best of all servers, 0.97 with the best of three
 /// (`tests/gateway_load.rs`).
 const SAMPLE_SIZE: usize = 3;
-/// Extra cost, in seconds, of an interactive server for a batch stream: it goes there only rather than fail.
+/// Extra cost, in seconds, of an interactive server for a batch stream: the stream is placed there only if it
+/// would otherwise fail.
 const BATCH_OVERFLOW_SECONDS: f64 = 8.0;
 /// Extra cost, in seconds, of a batch server for an interactive stream: in a burst of such streams, idle
 /// servers help.
@@ -152,11 +153,11 @@
     fn interactive_slot_use(&self, pool: &PoolId) -> f64 {
         let groups = self.groups(pool);
         let loads = groups.interactive.iter().map(|id| &self.servers[id]);
-        let (taken, slots) = loads.fold((0, 0), |(taken, slots), load| {
+        let (used, slots) = loads.fold((0, 0), |(used, slots), load| {
             let in_flight = load.own.in_flight + load.peers.in_flight;
-            (taken + in_flight, slots + load.entry.slots)
+            (used + in_flight, slots + load.entry.slots)
         });
-        f64::from(taken) / f64::from(slots.max(1))
+        f64::from(used) / f64::from(slots.max(1))
     }
 
     /// Records the demand of a request for which a server was chosen, whether the request is then sent or
@@ -386,14 +387,14 @@
     /// Records that the answer began, which means that the server has prefilled the prompt.
     pub fn record_first_byte(&mut self, ticket: &mut WorkTicket, now: Instant) {
         let tokens = std::mem::take(&mut ticket.prefill_tokens);
-        let learns = self.has(PolicyPart::PrefillSpeed);
+        let estimates_speed = self.has(PolicyPart::PrefillSpeed);
         let Some(load) = ticket_load(&mut self.servers, ticket) else {
             return;
         };
         load.record_answer(now);
         load.own.pending_prefill[ticket.urgency] =
             load.own.pending_prefill[ticket.urgency].saturating_sub(tokens);
-        if learns && tokens > 0 {
+        if estimates_speed && tokens > 0 {
             let took = now.saturating_duration_since(ticket.started);
             self.speeds
                 .record(&load.entry.pool, ticket.total_prefill_tokens, took, now);
@@ -447,7 +448,8 @@
         probes
     }
 
-    /// Records that a probe connection to a server was established, or was refused by its machine.
+    /// Records that a probe connection to a server was established, or was refused by its machine. Either shows
+    /// that the data centre is reachable.
     pub fn record_reached(&mut self, server: &ServerEntry) {
         self.data_centres.record_answer(&server.data_centre);
     }
--- a/crates/plumgate/src/gateway/placement/prefill_speed.rs
+++ b/crates/plumgate/src/gateway/placement/prefill_speed.rs
@@ -9,7 +9,7 @@
 /// quarters of its speed on a large prompt when it does nothing else.
 const PRIOR_SPEED: f64 = 42_000.0;
 /// Bounds of the estimate, as shares of the expected speed: reports of the other nodes' work are late, and
-/// single prompts say little.
+/// single prompts are weak evidence.
 const SPEED_BOUNDS: (f64, f64) = (0.25, 1.5);
 /// Weight of the expected speed in the estimate, in seconds of prefill.
 const PRIOR_SECONDS: f64 = 2.0;
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -50,8 +50,7 @@
 /// Pause after a server could not be reached, during which this node sends it nothing. Each of the next
 /// requests would lose the time of a failing connection.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(400);
-/// Upper bound of a rest: a longer one is cut to it, so that its end is a moment that the clock can
-/// represent.
+/// Maximum rest: a longer one is shortened to it, so that the clock can represent its end.
 const MAX_REST: Duration = Duration::from_secs(365 * 86_400);
 
 /// State of one server as known to one node.
@@ -95,7 +94,7 @@
     pub(crate) prefill_weight: f64,
     /// Extra cost of a token that it copies from another server, as a multiple of its prefill time.
     pub(crate) copy_weight: f64,
-    /// Shared tokens of the prompt that no server caches and that can't be copied for this reason.
+    /// Shared tokens of the prompt that no server caches, so that they can't be copied.
     pub(crate) cached_nowhere: u64,
 }
 
@@ -149,7 +148,7 @@
         self.incarnation
     }
 
-    /// Applies what the server reported of itself.
+    /// Applies the availability that the server reported.
     pub(crate) fn set_availability(&mut self, availability: ServerAvailability, now: Instant) {
         self.serves_until = availability.serves_for.map(|serves| now + serves);
         let rest = availability.rest_left.map(|left| left.min(MAX_REST));
@@ -174,13 +173,13 @@
 
     /// Returns whether nothing that this node observed of it speaks against new work.
     pub(crate) fn is_healthy(&self, switches: PolicySwitches, now: Instant) -> bool {
-        let is_resting = |part, until: Option<Instant>| {
+        let is_paused = |part, until: Option<Instant>| {
             switches.has(part) && until.is_some_and(|until| now < until)
         };
         let is_open = switches.has(PolicyPart::Circuit) && !self.breaker.allows(now);
         !is_open
-            && !is_resting(PolicyPart::UnreachablePause, self.unreachable_until)
-            && !is_resting(PolicyPart::FullPause, self.full_until)
+            && !is_paused(PolicyPart::UnreachablePause, self.unreachable_until)
+            && !is_paused(PolicyPart::FullPause, self.full_until)
     }
 
     /// Defers requests of this urgency or a less urgent one until the given time.
@@ -190,8 +189,8 @@
         self.deferred_until.push((urgency, until));
     }
 
-    /// Returns until when requests of this urgency are deferred, and why, or `None` where they are not.
-    pub(crate) fn deferred_until(&self, urgency: u8, now: Instant) -> Option<SendDeferral> {
+    /// Returns until when requests of this urgency are deferred, and why, or `None` if they are not deferred.
+    pub(crate) fn deferral(&self, urgency: u8, now: Instant) -> Option<SendDeferral> {
         let deferrals = self.deferred_until.iter();
         let deferrals = deferrals.filter(|(deferred, until)| *deferred <= urgency && now < *until);
         let limited = deferrals.map(|(_, until)| SendDeferral {
--- a/crates/plumgate/src/gateway/prompt.rs
+++ b/crates/plumgate/src/gateway/prompt.rs
@@ -5,6 +5,7 @@
 /// Size in tokens from which on a prompt part is tracked. Smaller parts are prefilled again in a few
 /// milliseconds: they are not remembered and give a request no affinity to a server.
 pub(crate) const MIN_TRACKED_TOKENS: u32 = 512;
+
 /// Part of a prompt, which other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
@@ -14,7 +15,7 @@
     pub tokens: u32,
 }
 
-/// Prompt by its parts.
+/// Composition of a prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptShape {
     /// Parts in order; the last one belongs to the request or its session.
--- a/crates/plumgate/src/gateway/servers.rs
+++ b/crates/plumgate/src/gateway/servers.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 struct TableEntry {
     entry: ServerEntry,
-    /// Time until which the server stays in use although its entry is gone from the store.
+    /// Time until which the server stays in use although its entry was removed from the store.
     expires_at: Option<Instant>,
 }
 
@@ -111,9 +111,10 @@
     Changed(ServerEntry),
     /// A server restarted under its id, and has lost all state of its earlier incarnation.
     Restarted(ServerEntry),
-    /// A server's entry is gone; the server gets no new requests.
+    /// A server's entry was removed; the server gets no new requests.
     Gone(ServerId),
-    /// A server's entry is gone, but the store was unavailable shortly before; the server stays in use for now.
+    /// A server's entry was removed, but the store was unavailable shortly before; the server stays in use for
+    /// now.
     Unconfirmed(ServerId),
 }
 
@@ -126,9 +127,9 @@
     /// Applies an entry. Returns the change, or `None` if there is none.
     ///
     /// A write of an earlier incarnation may be late: the store applies it after the first write of the next
-    /// incarnation. If the table accepted it, it would bring back requests and prompt parts that are lost, and
-    /// cut off the requests that run at the new incarnation. The start time distinguishes them, as it only
-    /// increases from one incarnation to the next.
+    /// incarnation. If the table accepted it, requests and cached prompt parts that are lost would count again,
+    /// and the requests that run at the new incarnation would be cut off. The start time distinguishes them, as it
+    /// only increases from one incarnation to the next.
     pub fn put(&mut self, entry: ServerEntry) -> Option<ServerChange> {
         let known = self.servers.get_mut(&entry.id);
         if let Some(known) = known
@@ -215,7 +216,7 @@
         entry.start_time.is_none() && known.is_some_and(|known| known.entry.start_time.is_some())
     }
 
-    /// Removes a server whose entry is gone from the store.
+    /// Removes a server whose entry was removed from the store.
     ///
     /// Entries expire while the store is unavailable, although their servers run; the servers register again soon
     /// after the outage. With `grace_period`, such a server stays in use for that time: refusing all requests for
@@ -227,8 +228,8 @@
         now: Instant,
     ) -> Option<ServerChange> {
         let Some(grace_period) = grace_period else {
-            let gone = self.servers.remove(id)?;
-            self.record_departed(&gone.entry, now);
+            let removed = self.servers.remove(id)?;
+            self.record_departed(&removed.entry, now);
             return Some(ServerChange::Gone(id.clone()));
         };
         let known = self.servers.get_mut(id)?;
@@ -265,15 +266,16 @@
         changes
     }
 
-    /// Removes the unconfirmed servers whose time is over.
+    /// Removes the unconfirmed servers whose grace period has expired.
     pub fn tick(&mut self, now: Instant) -> Vec<ServerChange> {
-        let over: Vec<ServerId> = self
+        let expired: Vec<ServerId> = self
             .servers
             .iter()
             .filter(|(_, known)| known.expires_at.is_some_and(|at| now >= at))
             .map(|(id, _)| id.clone())
             .collect();
-        over.iter()
+        expired
+            .iter()
             .filter_map(|id| self.remove(id, None, now))
             .collect()
     }
@@ -291,7 +293,7 @@
         self.servers.values().map(|known| &known.entry)
     }
 
-    /// Returns the servers that are in use although their entries are gone.
+    /// Returns the servers that are in use although their entries were removed.
     pub fn unconfirmed(&self) -> impl Iterator<Item = &ServerId> {
         let unconfirmed = self
             .servers
--- a/crates/plumgate/src/gateway/switches.rs
+++ b/crates/plumgate/src/gateway/switches.rs
@@ -26,17 +26,17 @@
     Sampling,
     /// Requests are refused if the queue ahead of them is too long.
     Refusing,
-    /// Refused callers get different times for their next try.
+    /// Refused callers get different retry delays.
     ReturnSpread,
     /// A high share of failures makes a server less preferred.
     FailureShare,
     /// A circuit breaker excludes servers that refuse connections, for longer each time.
     Circuit,
-    /// A server that refused a request as full gets none for a moment.
+    /// A server that refused a request as full gets no requests for a moment.
     FullPause,
     /// A server that could not be reached gets no requests for a moment.
     UnreachablePause,
-    /// Two servers that don't respond count as a loss of their data centre.
+    /// A data centre counts as cut off once two of its servers don't respond.
     DataCentreLoss,
     /// One node reads the store and passes its state on to the others.
     StateSync,
@@ -46,7 +46,7 @@
     PrefillSpeed,
     /// Servers copy shared parts from each other instead of prefilling them again.
     PartCopies,
-    /// The number of servers is scaled; without it the present servers stay.
+    /// The number of servers is scaled; without it the current servers stay.
     Scaling,
     /// The number of servers follows the load; without it the operator's number is kept, with reclaimable servers.
     ScaleByLoad,
@@ -85,7 +85,7 @@
     /// Returns the name used in settings.
     pub fn as_str(self) -> &'static str {
         let row = PARTS.iter().find(|(part, _)| *part == self);
-        row.map_or("", |(_, word)| word)
+        row.map_or("", |(_, name)| name)
     }
 }
 
@@ -99,7 +99,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let row = PARTS.iter().find(|(_, word)| *word == text);
+        let row = PARTS.iter().find(|(_, name)| *name == text);
         let part = row.map(|(part, _)| *part);
         part.ok_or_else(|| Error::UnknownPolicyPart(text.to_owned()))
     }
--- a/crates/plumgate/src/gateway/sync/mod.rs
+++ b/crates/plumgate/src/gateway/sync/mod.rs
@@ -1,4 +1,4 @@
-//! Synchronization of the store's state between nodes: incremental changes and whole snapshots.
+//! Synchronization of the store's state between nodes: incremental changes and full snapshots.
 //!
 //! Few nodes read the store; all others get its state from them.
 
--- a/crates/plumgate/src/gateway/sync/snapshots.rs
+++ b/crates/plumgate/src/gateway/sync/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the whole state, for nodes that incremental changes can't bring up to date.
+//! Snapshots of the full state, for nodes that incremental changes can't bring up to date.
 //!
 //! These are nodes that start, that learn of a newer configuration, or whose collector has another log than
 //! the one that they followed. Without snapshots they would read the store, and its calls would grow with the
@@ -39,7 +39,7 @@
     pub(crate) position: LogPosition,
     /// Entries of the servers that are in use.
     pub(crate) entries: Vec<ServerEntry>,
-    /// Ids of those servers whose entries expired in an outage of the store, and which may be gone.
+    /// Ids of those servers whose entries expired in an outage of the store, and which may have stopped.
     pub(crate) unconfirmed: Vec<ServerId>,
 }
 
--- a/crates/plumgate/src/gateway/sync/state.rs
+++ b/crates/plumgate/src/gateway/sync/state.rs
@@ -1,10 +1,10 @@
 //! State of the store as one node knows it, and its synchronization with other nodes.
 //!
-//! One node of the fleet watches the store closely. The collectors of the other data centres send it
+//! One node of the fleet, the watcher, watches the store. The collectors of the other data centres send it
 //! requests, and all other nodes send requests to their collector: which configuration is in force, as of when,
-//! and which servers came and went since. A node that gets no recent response reads the store itself, so that
-//! neither a network partition nor a failed watcher leaves it with old state for long. Calls to the store thus
-//! grow with the number of changes, not with the number of nodes.
+//! and which servers were added or removed since. A node that gets no recent response reads the store itself, so
+//! that neither a network partition nor a failed watcher leaves it with old state for long. Calls to the store
+//! thus grow with the number of changes, not with the number of nodes.
 //!
 //! A response carries the nonce of its request. The requester counts the age of the response from the moment
 //! of the request, so that no delay on the way, in a queue or in a suspended machine makes the state look newer
@@ -30,7 +30,7 @@
 /// two rounds to arrive.
 const COLLECTOR_AGE_SHARE: f64 = 0.36;
 /// Age up to which all other nodes rely on received state and make no calls to the store, as a share of the
-/// longest age of keys. It is longer, so that when the watcher is lost, their collector calls the store first
+/// longest age of keys. It is longer, so that when the watcher fails, their collector calls the store first
 /// and they need not.
 const FOLLOWER_AGE_SHARE: f64 = 0.54;
 /// Age of a collector's state from which on it can't serve others, as a share of the longest age of keys. It
@@ -82,9 +82,9 @@
     known_at: Option<Duration>,
     /// When the state was last known to be the newest by a response of the node that this one follows.
     reported_at: Option<Duration>,
-    /// Whether state is missing that only a whole read or a snapshot brings.
+    /// Whether state is missing that only a full read of the store or a snapshot can supply.
     must_read: bool,
-    /// When the last call to the store that failed was made.
+    /// When the last failed call to the store was made.
     failed_at: Option<Duration>,
 }
 
@@ -104,7 +104,7 @@
     max_age: Duration,
     rng: fastrand::Rng,
     pending: VecDeque<PendingRequest>,
-    /// When the last request of another node came.
+    /// When the last request of another node was received.
     last_request_at: Option<Duration>,
     config_version: ConfigVersion,
     config: TopicState,
@@ -158,7 +158,7 @@
         self.state(topic).failed_at = Some(requested_at);
     }
 
-    /// Returns whether a call to the store failed that is newer than all that is known of a topic.
+    /// Returns whether the last failed call to the store for a topic is newer than the known state.
     ///
     /// State received from others during an outage is as old as the outage, and does not end it.
     pub fn is_failing(&self, topic: SourceTopic) -> bool {
@@ -198,7 +198,7 @@
         self.servers_version
     }
 
-    /// Returns whether a topic has to be read whole, as no node has the changes.
+    /// Returns whether a topic has to be read in full, as no node has the changes.
     pub fn must_read(&self, topic: SourceTopic) -> bool {
         match topic {
             SourceTopic::Config => self.config.must_read,
@@ -262,7 +262,7 @@
         request
     }
 
-    /// Responds to a request that came at `received_at`.
+    /// Responds to a request that was received at `received_at`.
     pub fn respond(&mut self, request: &SyncRequest, received_at: Duration) -> SyncResponse {
         self.last_request_at = Some(received_at);
         let age = |state: &TopicState| {
@@ -341,8 +341,8 @@
 
     /// Applies a response.
     ///
-    /// The response replaces own reads, and is passed on, only if it comes from the node that this
-    /// one follows (`is_followed`): if two nodes relied on each other, neither would read the store. A
+    /// The response makes reads by this node unnecessary, and is passed on, only if it comes from the node that
+    /// this one follows (`is_followed`): if two nodes relied on each other, neither would read the store. A
     /// response of any other node still confirms that the configuration of this node is in force.
     pub fn apply(&mut self, response: SyncResponse, is_followed: bool) -> SyncOutcome {
         let mut outcome = SyncOutcome::default();
@@ -378,7 +378,7 @@
         let position = sent.request.servers.map(|position| position.version);
         if position != self.servers_version {
             // The request was made before an earlier response was applied: its changes would apply twice, and
-            // undo later ones. The next response fits.
+            // undo later ones. The next response starts from the current version.
             return;
         }
         match delta {
--- a/crates/plumgate/src/gateway/work.rs
+++ b/crates/plumgate/src/gateway/work.rs
@@ -7,6 +7,7 @@
 
 /// Number of urgency levels that are tracked separately; the last one includes all less urgent levels.
 pub const URGENCY_LEVELS: usize = 10;
+
 /// Requests in flight at one server, as one node knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerWork {
@@ -36,11 +37,12 @@
     }
 }
 
-/// Request in flight; it is handed back when the request ends.
+/// Record of a request in flight, to be returned when the request ends.
 #[derive(Clone, Debug)]
 pub struct WorkTicket {
     pub(crate) server: ServerId,
-    /// Start time of the server, which names its incarnation; a later one under the same id has no such request.
+    /// Start time of the server, which identifies its incarnation: a later one with the same id doesn't have the
+    /// request.
     pub(crate) start_time: Option<StartTime>,
     pub(crate) urgency: usize,
     pub(crate) prefill_tokens: u64,
@@ -77,6 +79,6 @@
     Unreachable,
     /// The server refused the request because it is full.
     Full,
-    /// The outcome says nothing about the server.
+    /// The outcome is no evidence for or against the server.
     Inconclusive,
 }
