--- a/crates/plumgate/src/gateway/admission/freshness.rs
+++ b/crates/plumgate/src/gateway/admission/freshness.rs
@@ -6,7 +6,7 @@
 /// answer reflects a moment somewhat before the read was sent.
 const KEY_SHARE: f64 = 0.88;
 /// Share of the allowed age after which an unknown key or route is not rejected as such, since it may be new. A
-/// node that receives the store's changes knows all of them within two waits of a watch, which are shorter.
+/// node that receives the store's changes knows all of them within two wait times of a watch, which are shorter.
 const DENIAL_SHARE: f64 = 0.6;
 /// Share of the allowed age after which the node reports itself as not ready for new callers.
 const READY_SHARE: f64 = 0.66;
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -46,7 +46,7 @@
         loads.filter(|load| load.entry.pool == *request.pool)
     }
 
-    /// Returns whether nothing that this node observed speaks against a server.
+    /// Returns whether this node's own observations of a server allow new requests.
     fn seems_usable(&self, load: &ServerLoad, now: Instant) -> bool {
         load.is_healthy(self.options.switches, now) && !self.is_cut_off(&load.entry)
     }
@@ -84,7 +84,7 @@
         of_pool().any(ServerLoad::is_leaving) && !of_pool().any(ServerLoad::accepts_work)
     }
 
-    /// Applies what a server reported of itself. A report of another incarnation is ignored.
+    /// Applies the availability that a server reported. A report of another incarnation is ignored.
     pub fn set_availability(
         &mut self,
         server: &ServerEntry,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Applies what all servers reported of themselves. `boot` and `now` are the same moment on the two
+    /// Applies the availability that all servers reported. `boot` and `now` are the same moment on the two
     /// clocks.
     pub fn set_availabilities(&mut self, notices: &NoticeTable, boot: BootTime, now: Instant) {
         for load in self.servers.values_mut() {
--- a/crates/plumgate/src/gateway/placement/data_centres.rs
+++ b/crates/plumgate/src/gateway/placement/data_centres.rs
@@ -26,8 +26,8 @@
 ///
 /// Behind a network partition each new connection hangs until its timeout, and without this table that
 /// timeout would be paid once for every server of the data centre. Once two servers leave connections
-/// unanswered and none answers, requests go elsewhere at once, and probe connections find out when the
-/// partition is over.
+/// unanswered and none answers, requests are sent to other data centres at once, and probe connections
+/// detect the end of the partition.
 #[derive(Clone, Debug, Default)]
 pub struct DataCentreTable {
     data_centres: BTreeMap<DataCentreId, DataCentreState>,
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -43,7 +43,7 @@
 const PART_LIFETIME: Duration = Duration::from_secs(30);
 
 /// Time after its last answer for which a server counts as answering: one that hangs accepts no more work,
-/// and would seem to be the one with the least.
+/// and would appear to be the least loaded one.
 const RECENT_ANSWER: Duration = Duration::from_secs(1);
 /// Pause after a server reported that it is full, during which this node sends it nothing.
 const FULL_PAUSE: Duration = Duration::from_millis(150);
@@ -160,7 +160,7 @@
         self.serves_until.is_some()
     }
 
-    /// Returns whether it accepts new work by its own reports.
+    /// Returns whether it accepts new work according to its own reports.
     pub(crate) fn accepts_work(&self) -> bool {
         self.entry.state == ServerState::Ready && !self.is_leaving()
     }
@@ -171,7 +171,7 @@
         serves && self.entry.state == ServerState::Ready
     }
 
-    /// Returns whether nothing that this node observed of it speaks against new work.
+    /// Returns whether this node's own observations of it allow new work.
     pub(crate) fn is_healthy(&self, switches: PolicySwitches, now: Instant) -> bool {
         let is_paused = |part, until: Option<Instant>| {
             switches.has(part) && until.is_some_and(|until| now < until)
--- a/crates/plumgate/src/gateway/switches.rs
+++ b/crates/plumgate/src/gateway/switches.rs
@@ -48,7 +48,7 @@
     PartCopies,
     /// The number of servers is scaled; without it the current servers stay.
     Scaling,
-    /// The number of servers follows the load; without it the operator's number is kept, with reclaimable servers.
+    /// The number of servers follows the load; without it the operator's number is used, with reclaimable servers.
     ScaleByLoad,
 }
 
--- a/crates/plumgate/src/gateway/sync/snapshots.rs
+++ b/crates/plumgate/src/gateway/sync/snapshots.rs
@@ -2,7 +2,7 @@
 //!
 //! These are nodes that start, that learn of a newer configuration, or whose collector has another log than
 //! the one that they followed. Without snapshots they would read the store, and its calls would grow with the
-//! number of nodes. Any node that holds the state can send it, with the age of what it knows.
+//! number of nodes. Any node that holds the state can send it, with its age.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/plumgate/src/gateway/sync/state.rs
+++ b/crates/plumgate/src/gateway/sync/state.rs
@@ -26,8 +26,8 @@
 /// the trust in keys.
 const MAX_PENDING_REQUESTS: usize = 16;
 /// Age up to which a collector relies on received state and makes no calls to the store, as a share of the
-/// longest age of keys. State of a watcher is up to two of its waits old, which is a share of 0.24, and takes
-/// two rounds to arrive.
+/// longest age of keys. State of a watcher is up to two wait times of its watch old, which is a share of
+/// 0.24, and takes two rounds to arrive.
 const COLLECTOR_AGE_SHARE: f64 = 0.36;
 /// Age up to which all other nodes rely on received state and make no calls to the store, as a share of the
 /// longest age of keys. It is longer, so that when the watcher fails, their collector calls the store first
@@ -88,7 +88,7 @@
     failed_at: Option<Duration>,
 }
 
-/// Request to which a response may still come.
+/// Request whose response is still accepted.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     request: SyncRequest,
@@ -422,7 +422,7 @@
 }
 
 impl PendingRequest {
-    /// Returns the moment that a response with this age describes.
+    /// Returns when the state in a response with this age was last known to be the newest.
     fn known_at(&self, age_ms: u32) -> Option<Duration> {
         let age = Duration::from_millis(age_ms.into());
         self.requested_at.checked_sub(age)
--- a/crates/plumgate/src/gateway/work.rs
+++ b/crates/plumgate/src/gateway/work.rs
@@ -13,7 +13,7 @@
 pub struct ServerWork {
     /// Number of requests that were sent and have not ended.
     pub in_flight: u32,
-    /// Prompt tokens of requests that have not begun to answer, by urgency.
+    /// Prompt tokens of requests whose answers have not begun, by urgency.
     pub pending_prefill: [u64; URGENCY_LEVELS],
 }
 
