--- a/crates/plumgate/src/dispatch/dispatcher.rs
+++ b/crates/plumgate/src/dispatch/dispatcher.rs
@@ -18,9 +18,9 @@
 use crate::retry::RetryBudget;
 use crate::route::{HIGHEST_RANK, RouteChoice, RouteOptions, RouteTable};
 
-/// Shortest retry delay that a refused caller is given.
+/// Minimum retry delay returned to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Longest retry delay that a refused caller is given.
+/// Maximum retry delay returned to a refused caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// Share of its latency target that a request may be predicted to wait for a slot before a running
 /// request of a lower tier is preempted.
@@ -70,7 +70,7 @@
         /// Whether the server reported that it is leaving.
         leaving: bool,
     },
-    /// The attempt was abandoned for a reason that says nothing about the server's health.
+    /// The attempt was abandoned for a reason unrelated to the server's health.
     Abandoned,
 }
 
@@ -221,8 +221,8 @@
 
     /// Adds a request to its queue, or refuses it.
     ///
-    /// The queue length limit applies to each tier separately, so that a flood of requests of one tier
-    /// never takes up the queue of another.
+    /// The queue length limit applies to each tier separately, so that a burst of requests of one tier
+    /// never fills the queue of another.
     fn enqueue(&mut self, ticket: RequestTicket, now: Instant) -> Vec<DispatchAction> {
         let max_length = self
             .config
@@ -263,7 +263,7 @@
             || self.routes.peers_run_below_rank(pool, rank, now)
     }
 
-    /// Predicts how long a request waits behind those that are served first.
+    /// Predicts how long a request waits behind those that are served before it.
     ///
     /// Returns `None` if none is ahead of it or no service time is known yet.
     fn predicted_wait(&self, ticket: &RequestTicket) -> Option<Duration> {
@@ -318,7 +318,7 @@
                 .inventory
                 .workspaces
                 .get(&head.workspace)
-                .map_or(0, |w| w.concurrency);
+                .map_or(0, |workspace| workspace.concurrency);
             if !self.limits.has_room(&head.workspace, limit, now) {
                 continue;
             }
@@ -402,17 +402,17 @@
 
     /// Returns a request to its queue after an attempt that may be repeated.
     ///
-    /// `paid` says whether the retry counts against the retry budget. Returns `None`, and queues nothing,
+    /// With `uses_budget`, the retry counts against the retry budget. Returns `None`, and queues nothing,
     /// if the budget is exhausted, the node is stopping or the request has expired; the caller then gets
     /// the result of the attempts so far.
     pub fn resubmit(
         &mut self,
         mut ticket: RequestTicket,
         avoid: Option<ServerId>,
-        paid: bool,
+        uses_budget: bool,
         now: Instant,
     ) -> Option<Vec<DispatchAction>> {
-        if paid && !self.budget.spend() {
+        if uses_budget && !self.budget.spend() {
             return None;
         }
         ticket.avoid.extend(avoid);
--- a/crates/plumgate/src/dispatch/dispatcher/preempt.rs
+++ b/crates/plumgate/src/dispatch/dispatcher/preempt.rs
@@ -39,6 +39,7 @@
         self.preempt_for(ticket, now)
     }
 
+    /// Preempts a request of a lower tier on this node, or else requests that other nodes preempt one.
     pub(super) fn preempt_for(
         &mut self,
         ticket: &RequestTicket,
@@ -56,7 +57,7 @@
         let preempted = self
             .running
             .values()
-            .filter(|r| r.is_preempted && r.ticket.pool == ticket.pool)
+            .filter(|running| running.is_preempted && running.ticket.pool == ticket.pool)
             .count();
         if preempted >= waiting {
             return Vec::new();
@@ -107,6 +108,7 @@
         })
     }
 
+    /// Returns the requests of a pool that may be preempted for a request of the given rank.
     pub(super) fn victims<'a>(
         &'a self,
         pool: &'a PoolId,
--- a/crates/plumgate/src/dispatch/queue.rs
+++ b/crates/plumgate/src/dispatch/queue.rs
@@ -166,7 +166,7 @@
 
     /// Updates the credits of the floors after a dispatch.
     ///
-    /// Each rank that waits earns its floor as credit, up to 1; the rank that was served pays 1.
+    /// Each waiting rank is credited with its floor, up to 1; the served rank spends a credit of 1.
     fn update_credits(&mut self, head: &QueueHead, floors: &BTreeMap<TierRank, f64>) {
         for (rank, floor) in floors {
             let is_waiting = self.ranks.contains_key(rank);
--- a/crates/plumgate/src/dispatch/service_time.rs
+++ b/crates/plumgate/src/dispatch/service_time.rs
@@ -23,7 +23,7 @@
 
     /// Predicts the wait of a request behind `ahead` others while `running` slots are occupied.
     ///
-    /// Returns `None` before the first observation, so that no request is refused on a guess.
+    /// Returns `None` before the first observation: without data, no request is refused for its predicted wait.
     pub(crate) fn predicted_wait(&self, ahead: usize, running: usize) -> Option<Duration> {
         let mean = self.mean?;
         let slots = running.max(1) as f64;
