--- a/crates/plumgate/src/gateway/quarantine/answers.rs
+++ b/crates/plumgate/src/gateway/quarantine/answers.rs
@@ -4,11 +4,11 @@
 
 use super::identity::RequestIdentity;
 
-/// Number of slots for requests, 48 bytes each. A popular request is recorded again and again. Of two
-/// requests that share a slot either may be forgotten, as a forgotten one just counts as unknown.
+/// Number of slots for requests, 48 bytes each. Of two requests that share a slot only the last answered one
+/// is remembered. The other counts as unknown; a popular request is soon answered and recorded again.
 const SLOT_COUNT: usize = 1_024;
-/// Time for which an answer counts in a request's favour. It is short, as a request that crashes servers only
-/// since their last update may have been answered before the update.
+/// Time for which an answer shows that a request is harmless. It is short, as a request that crashes servers
+/// only since their last update may have been answered before the update.
 const ANSWER_LIFETIME: Duration = Duration::from_secs(10);
 
 /// Request and the time of its last answer.
@@ -16,9 +16,9 @@
 
 /// Recently answered requests.
 ///
-/// A popular request runs on most servers, so it is cut by crashes that other requests cause, and looks like
-/// them as all runs on a crashed server look the same. Where three servers of a small pool crash within a
-/// second, no answer arrives in between; but answers arrived before.
+/// A popular request runs on most servers, so crashes that other requests cause interrupt it too, and the
+/// evidence is the same for all runs on a crashed server. If three servers of a small pool crash within a
+/// second, no answer to a popular request arrives in between to refute this evidence, but earlier answers do.
 #[derive(Debug, Default)]
 pub(crate) struct RecentAnswers {
     slots: Vec<AnswerSlot>,
--- a/crates/plumgate/src/gateway/quarantine/evidence.rs
+++ b/crates/plumgate/src/gateway/quarantine/evidence.rs
@@ -10,7 +10,7 @@
 /// few are refuted.
 const MAX_CRASHES: usize = 8;
 
-/// Least time between the end of one run and the begin of the next for the two to be consecutive. A node's
+/// Minimum time between the end of one run and the start of the next for the two to be consecutive. A node's
 /// own retry follows within a few milliseconds, also that of an innocent request that ran beside a poison
 /// request, and the servers of a rack may crash that far apart. A run that crashes its server lasts longer
 /// than this gap, so that the next run but one counts.
@@ -19,11 +19,11 @@
 /// Sign from which a server's crash is inferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CrashSign {
-    /// The answer broke off or did not come, and the server's machine refused the next connection.
+    /// The answer broke off or did not arrive, and the server's machine refused the next connection.
     Refused,
-    /// The answer broke off or did not come, and the server's entry lapsed without its having drained.
+    /// The answer broke off or did not arrive, and the server's entry lapsed before the server had drained.
     Lapsed,
-    /// The server's entry was written by a later start.
+    /// The server's entry was written by a later start of the server.
     Restarted,
 }
 
@@ -50,7 +50,7 @@
     /// When the run ended.
     pub(crate) ended: Instant,
     /// Whether the server turned out to be alive, or the request to be harmless. Refuted evidence is
-    /// retained, as otherwise reports still on their way from other nodes would restore it.
+    /// retained, as otherwise reports in transit from other nodes would restore it.
     pub(crate) is_refuted: bool,
 }
 
@@ -78,7 +78,7 @@
 pub struct CrashCount {
     /// Crashed servers.
     pub servers: usize,
-    /// Consecutive crashes: each run began a while after the run before had ended.
+    /// Consecutive crashes: each run began some time after the previous run had ended.
     pub consecutive: usize,
 }
 
@@ -107,9 +107,9 @@
         true
     }
 
-    /// Makes room for one more crash, and returns false if the crashes at hand suffice for any verdict.
-    /// Refuted crashes are evicted first, then the newest one: many simultaneous runs may fill the history,
-    /// and the next crash shows whether they were a coincidence.
+    /// Evicts one crash to make room for another. Returns false, and evicts none, if the recorded crashes
+    /// suffice for any verdict. Refuted crashes are evicted first, then the newest one: many simultaneous runs
+    /// may fill the history, and the next crash shows whether they were a coincidence.
     fn evict_one(&mut self) -> bool {
         if self.count().consecutive > 1 {
             return false;
@@ -141,7 +141,7 @@
         is_new
     }
 
-    /// Returns when the last run ended whose server crashed.
+    /// Returns the end of the last run with an unrefuted crash.
     pub(crate) fn last_crash(&self) -> Option<Instant> {
         self.unrefuted().map(|crash| crash.ended).max()
     }
--- a/crates/plumgate/src/gateway/quarantine/identity.rs
+++ b/crates/plumgate/src/gateway/quarantine/identity.rs
@@ -10,14 +10,14 @@
 /// Separates the parts of a head in the digest, so that different heads don't concatenate to the same bytes.
 const SEPARATOR: &[u8] = b"\n";
 
-/// Identifies a request by its content. The id of the attempt is of no use for this, as it differs at each
+/// Identity of a request by its content. The id of the attempt can't serve as identity, as it differs at each
 /// retry.
 ///
 /// The workspace has a digest of its own: a caller that constructs a collision of the content digest only
 /// confuses two requests of its own workspace and can't impersonate another workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestIdentity {
-    /// Digest of the workspace's id; of the empty string where the route asks for no key.
+    /// Digest of the workspace's id; of the empty string if the route requires no key.
     workspace: u64,
     /// Digest of method, host, path and body.
     content: u128,
--- a/crates/plumgate/src/gateway/quarantine/in_doubt.rs
+++ b/crates/plumgate/src/gateway/quarantine/in_doubt.rs
@@ -1,4 +1,4 @@
-//! In-doubt runs: those that ended without a whole answer, until it is known whether their servers crashed.
+//! In-doubt runs: those that ended without a complete answer, until it is known whether their servers crashed.
 //!
 //! A broken or silent connection does not prove a crash: a faulty release or a proxy may break the
 //! connections of servers that are alive, and callers disconnect all the time. If such a connection counted
@@ -14,7 +14,7 @@
 
 /// Maximum number of runs that are remembered.
 const MAX_RUNS: usize = 256;
-/// Maximum number of servers that are remembered as gone, and of those that are remembered as being probed.
+/// Maximum number of crashed servers that are remembered, and of servers that are being probed.
 const MAX_SERVERS: usize = 256;
 /// Time for which runs and servers are remembered. Entries of servers that stop responding lapse within three
 /// seconds.
@@ -31,11 +31,11 @@
     pub(crate) ended: Instant,
 }
 
-/// Server that is gone.
+/// Server whose crash was inferred.
 #[derive(Clone, Copy, Debug)]
-struct GoneServer {
+struct CrashedServer {
     server: ServerKey,
-    /// Sign by which the server is known to be gone.
+    /// Sign from which the crash is inferred.
     sign: CrashSign,
     at: Instant,
 }
@@ -47,20 +47,24 @@
     at: Instant,
 }
 
-/// In-doubt runs and servers that are gone, to be matched with each other.
+/// In-doubt runs and crashed servers, to be matched with each other.
 #[derive(Debug, Default)]
 pub(crate) struct InDoubtQueue {
     runs: VecDeque<InDoubtRun>,
-    gone: VecDeque<GoneServer>,
+    crashed: VecDeque<CrashedServer>,
     probed: VecDeque<ProbedServer>,
 }
 
 impl InDoubtQueue {
-    /// Adds a run. Returns the sign by which its server is already known to be gone, if it is.
+    /// Adds a run, unless its server is already known to have crashed; then returns the sign of that crash.
     pub(crate) fn add_run(&mut self, run: InDoubtRun, now: Instant) -> Option<CrashSign> {
         self.expire(now);
-        if let Some(gone) = self.gone.iter().find(|gone| gone.server == run.server) {
-            return Some(gone.sign);
+        if let Some(crashed) = self
+            .crashed
+            .iter()
+            .find(|crashed| crashed.server == run.server)
+        {
+            return Some(crashed.sign);
         }
         if self.runs.len() >= MAX_RUNS {
             self.evict_run(run.identity);
@@ -70,7 +74,7 @@
     }
 
     /// Evicts the oldest run, or the oldest of the workspace if that holds more than a quarter of the queue:
-    /// a workspace that leaves many requests unanswered must not displace the runs of others.
+    /// a workspace with many in-doubt runs must not displace those of others.
     fn evict_run(&mut self, newest: RequestIdentity) {
         let of_workspace = self
             .runs
@@ -98,7 +102,7 @@
         true
     }
 
-    /// Returns whether a server is being probed at which the request ran.
+    /// Returns whether a server on which the request ran is being probed.
     pub(crate) fn is_probing(&self, identity: RequestIdentity, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < PROBE_DURATION;
         let mut runs = self.runs.iter().filter(|run| run.identity == identity);
@@ -113,8 +117,8 @@
         self.probed.retain(|probed| probed.server != server);
     }
 
-    /// Handles a server that is gone; returns the runs that this explains.
-    pub(crate) fn on_server_gone(
+    /// Records a crashed server, and removes and returns the runs that the crash explains.
+    pub(crate) fn on_server_crashed(
         &mut self,
         server: ServerKey,
         sign: CrashSign,
@@ -122,23 +126,23 @@
     ) -> Vec<InDoubtRun> {
         self.expire(now);
         self.on_probe_unanswered(server);
-        if !self.gone.iter().any(|gone| gone.server == server) {
+        if !self.crashed.iter().any(|crashed| crashed.server == server) {
             let at = now;
-            push_bounded(&mut self.gone, GoneServer { server, sign, at });
+            push_bounded(&mut self.crashed, CrashedServer { server, sign, at });
         }
         self.remove_runs(|run| run.server == server)
     }
 
-    /// Handles a server whose entry is listed again.
-    pub(crate) fn on_server_back(&mut self, server: ServerKey) {
-        self.gone.retain(|gone| gone.server != server);
+    /// Removes a server whose entry is listed again from the crashed ones.
+    pub(crate) fn on_server_listed(&mut self, server: ServerKey) {
+        self.crashed.retain(|crashed| crashed.server != server);
     }
 
-    /// Handles a response of a server to something sent at `began`: runs that ended before were not cut by a
-    /// crash. Returns these runs.
+    /// Handles a response of a server to something sent at `began`: runs that ended before were not interrupted
+    /// by a crash. Removes and returns these runs.
     pub(crate) fn on_server_alive(&mut self, server: ServerKey, began: Instant) -> Vec<InDoubtRun> {
-        if !self.gone.is_empty() {
-            self.on_server_back(server);
+        if !self.crashed.is_empty() {
+            self.on_server_listed(server);
         }
         if !self.probed.is_empty() {
             self.on_probe_unanswered(server);
@@ -160,8 +164,12 @@
         while self.runs.front().is_some_and(|run| is_old(run.ended)) {
             self.runs.pop_front();
         }
-        while self.gone.front().is_some_and(|gone| is_old(gone.at)) {
-            self.gone.pop_front();
+        while self
+            .crashed
+            .front()
+            .is_some_and(|crashed| is_old(crashed.at))
+        {
+            self.crashed.pop_front();
         }
         while self.probed.front().is_some_and(|probed| is_old(probed.at)) {
             self.probed.pop_front();
--- a/crates/plumgate/src/gateway/quarantine/in_flight.rs
+++ b/crates/plumgate/src/gateway/quarantine/in_flight.rs
@@ -8,8 +8,8 @@
 use super::verdict::RunTicket;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// Least duration of a run that may have crashed its server. A shorter run was sent to a server that had
-/// already gone silent.
+/// Minimum duration of a run that may have crashed its server. A shorter run was sent to a server that had
+/// already stopped responding.
 const MIN_RUN: Duration = Duration::from_secs(1);
 
 /// In-flight run.
@@ -17,7 +17,7 @@
 struct InFlightRun {
     identity: RequestIdentity,
     began: Instant,
-    /// Earliest time of a crash that explains a run without any response; none if unknown.
+    /// Earliest time at which the server may have crashed if no response arrives; none if unknown.
     earliest_crash: Option<Instant>,
 }
 
--- a/crates/plumgate/src/gateway/quarantine/mod.rs
+++ b/crates/plumgate/src/gateway/quarantine/mod.rs
@@ -1,7 +1,7 @@
 //! Quarantine of poison requests (queries of death): requests that crash the backend servers that run them.
 //!
-//! A run that breaks off or gets no answer is in doubt. A crash of its server is confirmed by a refused
-//! connection to the server's machine, by the lapse of the server's store entry, or by a restart. Nodes
+//! A run that breaks off or gets no answer is in doubt. A crash of its server is inferred from a refused
+//! connection to the server's machine, from the lapse of the server's store entry, or from a restart. Nodes
 //! exchange this evidence in sealed notices beside their load reports. Each node decides on its own, and
 //! nodes with the same evidence reach the same verdict. An answer to the request, or a later response of a
 //! server, refutes evidence.
--- a/crates/plumgate/src/gateway/quarantine/notice.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice.rs
@@ -9,7 +9,7 @@
 use crate::gateway::exchange::messages::ServerKey;
 
 /// Maximum size in bytes of the reports in one notice. Two notices, sealed by two keys, fit into a datagram beside
-/// load reports, prompt locations and store sync; a longer datagram would be lost with all of these.
+/// load reports, prompt locations and store sync; a longer datagram would be dropped with all of these.
 const MAX_NOTICE_BYTES: usize = 1_000;
 /// Upper bounds, in bytes, of a report without its crashes and of one crash.
 const REPORT_BYTES: usize = 32;
@@ -18,6 +18,7 @@
 pub(crate) const SEND_ROUNDS: u32 = 3;
 /// Maximum number of crashes read from one report; the rest is ignored.
 const MAX_REPORT_CRASHES: usize = 8;
+
 /// Crash as it is sent to other nodes. The order of the fields is the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ReportedCrash {
@@ -77,9 +78,9 @@
 /// Returns the leading reports that fit into one notice.
 pub(crate) fn fit_notice(reports: impl Iterator<Item = SuspectReport>) -> Vec<SuspectReport> {
     let mut size = 0;
-    let fit_notice = reports.take_while(|report| {
+    let fitting = reports.take_while(|report| {
         size += report.size();
         size <= MAX_NOTICE_BYTES
     });
-    fit_notice.collect()
+    fitting.collect()
 }
--- a/crates/plumgate/src/gateway/quarantine/notice_exchange.rs
+++ b/crates/plumgate/src/gateway/quarantine/notice_exchange.rs
@@ -10,8 +10,8 @@
 use crate::errors::Result;
 use crate::gateway::exchange::{LoadExchange, ReceivedNotice};
 
-/// Interval at which everything that is not `SuspectState::Free` is sent again, for nodes that started or
-/// were cut off in the meantime.
+/// Interval at which the evidence on all requests that are not `SuspectState::Free` is sent again, for nodes
+/// that started or were unreachable in the meantime.
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 impl QuarantineTable {
@@ -83,7 +83,7 @@
         self.keys.seal(reports, unix_ms)
     }
 
-    /// Merges a received notice; `is_relaying` if this node sends it on to others.
+    /// Merges a received notice. With `is_relaying`, this node forwards new evidence to others.
     fn on_notice(
         &mut self,
         notice: &ReceivedNotice,
--- a/crates/plumgate/src/gateway/quarantine/response_times.rs
+++ b/crates/plumgate/src/gateway/quarantine/response_times.rs
@@ -9,7 +9,7 @@
 /// reports, and a margin. A server that is still listed has not been silent for longer.
 const MAX_SILENCE: Duration = Duration::from_secs(4);
 
-/// Last response time of each server; dropped once it is no more recent than the entry implies.
+/// Time of the last response of each server; dropped once the server's entry implies a time as recent.
 #[derive(Debug, Default)]
 pub(crate) struct ResponseTimes {
     answered: HashMap<ServerKey, Instant>,
--- a/crates/plumgate/src/gateway/quarantine/rule.rs
+++ b/crates/plumgate/src/gateway/quarantine/rule.rs
@@ -1,18 +1,19 @@
 //! Rule that decides when a request is quarantined.
 //!
-//! A crash cuts every run on the server: eleven streams at one crash in a fleet of 18 engines. A single crash
-//! is therefore weak evidence, as it counts against all requests that were cut with it; an innocent request
-//! is unlikely to be part of the next crash too. The rule counts crashed servers, and also the consecutive
-//! crashes: those of runs that each began after the crash before. A rack that loses power, or a service whose
-//! replicas all crash, cuts many runs of one popular request at once, but not one after another.
+//! A crash interrupts every run on the server: eleven streams in one crash, in a fleet of 18 backend servers.
+//! A single crash is therefore weak evidence, as it counts against all requests that it interrupted; an
+//! innocent request is unlikely to be part of the next crash too. The rule counts crashed servers, and also
+//! consecutive crashes: those of runs that each began after the previous crash. A rack that loses power, or a
+//! service whose replicas all crash, interrupts many runs of one popular request at once, but not one after
+//! another.
 
 use std::time::Duration;
 
 use super::evidence::CrashCount;
 
-/// Crashed servers from which on a request is suspected; the operators accept this many.
+/// Minimum number of crashed servers for which a request is suspected. Operators accept the crash of this many.
 const MIN_CRASHED_SERVERS: usize = 3;
-/// Consecutive crashes from which on a coincidence is unlikely.
+/// Minimum number of consecutive crashes that are unlikely to be a coincidence.
 const MIN_CONSECUTIVE: usize = 2;
 
 /// Time for which a request is blocked after the last crash, and any crash is remembered. Longer than clients
@@ -22,7 +23,7 @@
 /// Length of a node's turn with a request that is sent one by one. Within it a crash is detected (200 ms in
 /// the median, a second behind a queue) and reported to all nodes (300 ms over three hops).
 pub(crate) const TURN_DURATION: Duration = Duration::from_secs(1);
-/// Nodes of the fleet for each node that has its turn at the same time. One node at a time is enough in a
+/// Number of nodes in the fleet per node that has its turn at the same time. One node at a time is enough in a
 /// small fleet; in a large one the callers of a popular request would wait for minutes until it reaches the
 /// node whose turn it is.
 const NODES_PER_TURN: usize = 100;
@@ -30,8 +31,8 @@
 /// Returns whether a node may send a request that is sent one by one, by the node's position among `nodes`
 /// and the time since the last crash.
 ///
-/// Turns rotate, so that a node that is gone doesn't make the others wait for ever. The nodes never all have
-/// their turn at once, as a burst after a pause would crash as many servers as there are nodes.
+/// Turns rotate, so that an unavailable node doesn't block the others. The nodes never all have their turn at
+/// once, as a burst after a pause would crash as many servers as there are nodes.
 pub(crate) fn has_turn(position: usize, nodes: usize, since_crash: Duration) -> bool {
     let nodes = nodes.max(1);
     let group_size = nodes.div_ceil(NODES_PER_TURN);
@@ -41,7 +42,7 @@
     position / group_size == turn % groups
 }
 
-/// Handling of a request because of the crashes under it, in the order of severity.
+/// Restriction on a request because of the crashes that are attributed to it, the least severe first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SuspectState {
     /// Sent like any other request.
--- a/crates/plumgate/src/gateway/quarantine/stored_verdicts.rs
+++ b/crates/plumgate/src/gateway/quarantine/stored_verdicts.rs
@@ -1,4 +1,4 @@
-//! Storage of verdicts outside the nodes: all nodes may stop at once while clients go on sending a poison
+//! Storage of verdicts in the fleet's store: all nodes may stop at once while clients continue to send a poison
 //! request.
 
 use std::time::{Duration, Instant};
@@ -12,12 +12,12 @@
 use crate::errors::Result;
 use crate::gateway::notice_keys::{DatedNotice, pack, unpack};
 
-/// Bound of the changes that wait to be written.
+/// Maximum number of changes that wait to be written.
 const MAX_PENDING_CHANGES: usize = 64;
 
 impl QuarantineTable {
-    /// Queues a change for the store. A change beyond the bound is dropped: nodes that start later miss it,
-    /// this node doesn't.
+    /// Queues a change for the store. A change beyond the maximum is dropped: nodes that start later miss it,
+    /// but this node applies it.
     pub(crate) fn push_change(&mut self, change: VerdictChange) {
         if self.changes.len() < MAX_PENDING_CHANGES {
             self.changes.push(change);
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Applies a verdict from the store. Returns whether it still holds; an expired one is to be removed.
+    /// Applies a verdict from the store. Returns whether it is still valid; an expired one is to be removed.
     ///
     /// Fails if the verdict can't be decoded.
     pub fn apply_stored(
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -21,16 +21,16 @@
 use crate::gateway::servers::ServerEntry;
 use crate::gateway::work::WorkOutcome;
 
-/// Maximum number of requests that are remembered, some 400 bytes each: as many as a hundred crashes cut.
+/// Maximum number of recorded requests, some 400 bytes each: as many as a hundred crashes interrupt.
 const MAX_RECORDS: usize = 1_024;
-/// Once the table is full, a workspace may hold one part in this many of its records.
+/// Once the table is full, a workspace may hold at most one in this many of its records.
 const WORKSPACE_DIVISOR: usize = 4;
 /// Time after a crash within which a response of the same server refutes the crash. A later response may come
 /// from the restarted process, as not all entries carry a start time; no server restarts sooner than this.
 const ALIVE_WINDOW: Duration = Duration::from_millis(1_500);
-/// Time for which an isolated run makes other callers wait if its end is not reported.
+/// Time for which an isolated run blocks other callers of the request if its end is not reported.
 const MAX_ISOLATED_RUN: Duration = Duration::from_secs(10);
-/// Bound of the events that wait to be logged.
+/// Maximum number of events that wait to be logged.
 const MAX_EVENTS: usize = 64;
 
 /// Record of one request.
@@ -42,7 +42,7 @@
     isolated_since: Option<Instant>,
     /// Position of this node in the order of turns; none before the nodes are known.
     pub(crate) position: Option<usize>,
-    /// Rounds in which the record is still to be sent.
+    /// Number of rounds in which the record is still to be sent.
     pub(crate) rounds_left: u32,
 }
 
@@ -62,9 +62,9 @@
     pub(crate) keys: NoticeKeys,
     /// Whether there may be other nodes, which then have turns too.
     has_peers: bool,
-    /// Nodes among which turns rotate.
+    /// Number of nodes among which turns rotate.
     pub(crate) node_count: usize,
-    /// When everything that is not `SuspectState::Free` was last sent again.
+    /// When the evidence on all requests that are not `SuspectState::Free` was last sent again.
     pub(crate) resent_at: Option<Instant>,
     events: Vec<SuspectEvent>,
     /// Changes that are not yet written to the store.
@@ -178,7 +178,7 @@
         Ok(ticket)
     }
 
-    /// Ends a run and records what its end says of the request and the server.
+    /// Ends a run and evaluates its outcome as evidence on the request and the server.
     pub fn finish(&mut self, ticket: RunTicket, outcome: WorkOutcome, now: Instant) -> RunFinding {
         self.in_flight
             .remove(ticket.server, ticket.identity, ticket.began);
@@ -227,8 +227,8 @@
             self.record_crash(run, sign, now);
             return RunFinding::ServerCrashed(sign);
         }
-        // A silent run may go on for long, and a caller that disconnects says nothing of the server. A server
-        // that stopped responding is detected by the lapse of its entry.
+        // The server may still be working on a silent run, and a caller's disconnect is no evidence about the
+        // server. A server that stopped responding is detected by the lapse of its entry.
         if outcome != WorkOutcome::Broken {
             self.clear_isolated_run(run.identity);
             return RunFinding::Nothing;
@@ -268,10 +268,10 @@
         now: Instant,
     ) -> Vec<RequestIdentity> {
         let key = server_key(server);
-        let mut runs = self.in_doubt.on_server_gone(key, sign, now);
+        let mut runs = self.in_doubt.on_server_crashed(key, sign, now);
         if sign == CrashSign::Lapsed {
-            // Their callers may wait for long. If the server is alive after all, the answers refute the
-            // evidence.
+            // Callers may wait for a long time until these runs end. If the server is alive after all, the
+            // answers refute the evidence.
             runs.extend(self.in_flight.runs_at(key, now));
         }
         for run in &runs {
@@ -280,26 +280,26 @@
         runs.iter().map(|run| run.identity).collect()
     }
 
-    /// Handles a probe that got no response; the server's entry will decide.
+    /// Handles a probe that got no response; whether the server's entry lapses then decides.
     pub fn on_probe_unanswered(&mut self, server: &ServerEntry) {
         self.in_doubt.on_probe_unanswered(server_key(server));
     }
 
     /// Returns whether there is evidence against a request. Such a request should use a new connection, as
-    /// the end of its run then says more.
+    /// the outcome of its run is then more conclusive.
     pub fn has_evidence(&self, identity: RequestIdentity) -> bool {
         self.records.contains_key(&identity)
     }
 
-    /// Returns whether a probe that may add a crash to a request is under way, so that a retry should wait
-    /// for it. False for a request without evidence, which may be retried at once.
+    /// Returns whether a probe is in progress that may add a crash to the evidence against a request, so that a
+    /// retry should wait for it. Returns false for a request without evidence, which may be retried at once.
     pub fn is_probing(&self, identity: RequestIdentity, now: Instant) -> bool {
         self.has_evidence(identity) && self.in_doubt.is_probing(identity, now)
     }
 
     /// Handles a server whose entry is listed again.
     pub fn on_server_back(&mut self, server: &ServerEntry) {
-        self.in_doubt.on_server_back(server_key(server));
+        self.in_doubt.on_server_listed(server_key(server));
     }
 
     /// Handles a connection that was opened at `opened` and accepted by the server.
@@ -349,16 +349,16 @@
         }
     }
 
-    /// Releases, for an operator, the requests with a digest as logs show it. Returns how many there were.
+    /// Releases, for an operator, the requests with the given digest, written as in logs. Returns their number.
     pub fn lift(&mut self, digest: &str, now: Instant) -> usize {
         let identities = self.records.keys().copied();
-        let named: Vec<RequestIdentity> = identities
+        let matching: Vec<RequestIdentity> = identities
             .filter(|identity| identity.to_string() == digest)
             .collect();
-        for identity in &named {
+        for identity in &matching {
             self.release(*identity, ReleaseReason::Lifted, now);
         }
-        named.len()
+        matching.len()
     }
 
     /// Merges evidence of a crash and returns whether it was new.
@@ -369,7 +369,8 @@
         source: EvidenceSource,
         now: Instant,
     ) -> bool {
-        // Sent as refuted, so that the nodes that have not answered the request learn that others have.
+        // Evidence against a request that was answered here is sent as refuted, so that nodes that have not
+        // answered the request learn that it is harmless.
         let is_answered = self.answers.contains(identity, now);
         let is_contradiction = is_answered && !evidence.is_refuted;
         evidence.is_refuted |= is_answered;
@@ -403,7 +404,7 @@
         record.map(|record| record.state).unwrap_or_default()
     }
 
-    /// Derives a request's state again and returns the state before.
+    /// Derives a request's state again and returns the previous state.
     fn reevaluate(
         &mut self,
         identity: RequestIdentity,
@@ -416,7 +417,7 @@
         let count = record.history.count();
         let state = SuspectState::from_count(count);
         let before = std::mem::replace(&mut record.state, state);
-        // The order of the turns is drawn anew at each crash.
+        // The order of the turns is determined again after each crash.
         record.position = None;
         if before == state {
             return before;
@@ -492,7 +493,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Returns how many requests are blocked.
+    /// Returns the number of blocked requests.
     pub fn blocked_count(&self) -> usize {
         let records = self.records.values();
         records
@@ -500,12 +501,12 @@
             .count()
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no requests are remembered.
+    /// Returns whether no requests are recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Refusal to send a request.
+/// Refusal to send a request, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockedRequest {
     /// Reason of the refusal.
@@ -55,9 +55,9 @@
     pub(crate) server: ServerKey,
     /// When the request was sent.
     pub(crate) began: Instant,
-    /// Earliest time of a crash of the server that explains a broken connection; none if unknown.
+    /// Earliest time at which the server may have crashed if the connection breaks; none if unknown.
     pub(crate) earliest_crash: Option<Instant>,
-    /// Earliest time of a crash that explains a run without any response; none if unknown.
+    /// Earliest time at which the server may have crashed if no response arrives; none if unknown.
     pub(crate) earliest_silent_crash: Option<Instant>,
 }
 
@@ -68,16 +68,17 @@
     Nothing,
     /// The connection broke; a new connection to the server shows whether the server crashed.
     ProbeServer,
-    /// The server crashed under the request.
+    /// The server crashed while it ran the request.
     ServerCrashed(CrashSign),
 }
 
 impl RunTicket {
-    /// Returns the run as one in doubt, if the earliest time of a crash is known.
+    /// Returns the run as an in-doubt run; none if the earliest time of a crash is unknown.
     ///
     /// On a reused connection the run counts from the server's last answer on, as the server may have crashed
-    /// at any time since; otherwise runs that one crash cut would look consecutive. The same holds for a run
-    /// without any response on a new connection, as the machine of a hung server still accepts connections.
+    /// at any time since; otherwise runs that were interrupted by the same crash would look consecutive. The
+    /// same holds for a run without any response on a new connection, as the machine of a hung server still
+    /// accepts connections.
     pub(crate) fn in_doubt_run(&self, outcome: WorkOutcome, now: Instant) -> Option<InDoubtRun> {
         let is_silent = matches!(outcome, WorkOutcome::Silent | WorkOutcome::Inconclusive);
         let earliest_crash = if is_silent {
@@ -98,7 +99,7 @@
         self.identity
     }
 
-    /// Records that the server has the request, as its answer begins.
+    /// Records that the server received the request, as its answer has started.
     pub fn on_response_started(&mut self) {
         self.earliest_crash = Some(self.began);
         self.earliest_silent_crash = Some(self.began);
@@ -122,7 +123,7 @@
 pub enum ReleaseReason {
     /// The request was answered, so it does not crash servers.
     Answered,
-    /// Servers that seemed to have crashed are alive.
+    /// Servers that were assumed to have crashed are alive.
     Refuted,
     /// The crashes are too old.
     Expired,
--- a/crates/plumgate/src/gateway/rate_limit/issuer.rs
+++ b/crates/plumgate/src/gateway/rate_limit/issuer.rs
@@ -18,11 +18,11 @@
 const WINDOW: Duration = Duration::from_secs(4);
 /// Requests that are allowed within a window beyond the rate of the limit.
 const WINDOW_EXTRA: f64 = 5.0;
-/// Share of the named rate that is issued. Permits issued up to one permit lifetime before a window can be
+/// Share of the limit that is issued as permits. Permits issued up to one permit lifetime before a window can be
 /// used in it.
 const ISSUED_SHARE: f64 = 0.9;
-/// Minimum number of permits per second, also for a server that names a lower rate: only answers to requests
-/// show that its limit has ended.
+/// Minimum number of permits per second, even if the server's limit is lower: only answers to requests show
+/// that the limit has ended.
 const PROBE_RATE: f64 = 0.25;
 /// Maximum number of permits that may accumulate, since permit requests arrive unevenly.
 const MAX_DEPTH: f64 = 4.0;
@@ -40,7 +40,7 @@
 /// Bounds of the pause that a denial imposes on a node before it requests again.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 const MAX_PAUSE: Duration = Duration::from_secs(2);
-/// Pause given by a node that must not issue permits.
+/// Pause in the response of a node that must not issue permits.
 const NOT_ELECTED_PAUSE: Duration = Duration::from_millis(200);
 /// Time for which the bucket of a server is retained after the last request for its permits.
 const IDLE_RETENTION: Duration = Duration::from_secs(60);
@@ -73,10 +73,10 @@
         self.limits.clear();
     }
 
-    /// Discards the buckets and decisions that are too old.
-    pub(crate) fn forget_old(&mut self, now: BootTime) {
+    /// Removes idle buckets and expired decisions.
+    pub(crate) fn remove_expired(&mut self, now: BootTime) {
         self.limits
-            .retain(|_, issued| now.saturating_sub(issued.last_requested_at) < IDLE_RETENTION);
+            .retain(|_, limit| now.saturating_sub(limit.last_requested_at) < IDLE_RETENTION);
         self.decisions
             .retain(|_, (_, at)| now.saturating_sub(*at) < PERMIT_LIFETIME);
     }
@@ -105,11 +105,11 @@
         since: BootTime,
         now: BootTime,
     ) -> PermitDecision {
-        let issued = self
+        let limit = self
             .limits
             .entry(key)
             .or_insert_with(|| IssuedLimit::new(since));
-        issued.decide(rate, urgency, now)
+        limit.decide(rate, urgency, now)
     }
 }
 
@@ -127,8 +127,9 @@
 
     fn decide(&mut self, rate: RequestRate, urgency: u8, now: BootTime) -> PermitDecision {
         self.last_requested_at = now;
-        let issued = issued_rate(rate);
-        self.bucket.refill(issued, bucket_depth(rate), now);
+        let permits_per_second = issued_rate(rate);
+        self.bucket
+            .refill(permits_per_second, bucket_depth(rate), now);
         let urgency = usize::from(urgency).min(URGENCY_LEVELS - 1);
         if self.bucket.take(self.required_permits(urgency, now)) {
             self.since_unreserved = if self.is_unreserved() {
@@ -140,7 +141,7 @@
         }
         self.denied_at[urgency] = Some(now);
         self.count_denial(now);
-        let pause = self.pause(issued);
+        let pause = self.pause(permits_per_second);
         let pause_ms = u32::try_from(pause.as_millis()).unwrap_or(u32::MAX);
         PermitDecision::Denied { pause_ms }
     }
@@ -169,20 +170,20 @@
     }
 
     /// Returns how long a denied node should wait; the time grows with the number of denied requests.
-    fn pause(&self, issued: f64) -> Duration {
-        let backlog = self.denials / (DENIALS_PER_PERMIT * issued);
-        let next = self.bucket.wait(issued);
+    fn pause(&self, permits_per_second: f64) -> Duration {
+        let backlog = self.denials / (DENIALS_PER_PERMIT * permits_per_second);
+        let next = self.bucket.wait(permits_per_second);
         next.max(Duration::from_secs_f64(backlog))
             .clamp(MIN_PAUSE, MAX_PAUSE)
     }
 }
 
-/// Returns the permits issued per second for a server with this rate.
+/// Returns the number of permits per second that are issued for a server with this limit.
 fn issued_rate(rate: RequestRate) -> f64 {
     (rate.per_second() * ISSUED_SHARE).max(PROBE_RATE)
 }
 
-/// Returns how many permits may accumulate without exceeding the bound of any window.
+/// Returns how many permits may accumulate so that no window can exceed its bound.
 fn bucket_depth(rate: RequestRate) -> f64 {
     let allowed = rate.per_second() * WINDOW.as_secs_f64() + WINDOW_EXTRA;
     let issued = issued_rate(rate) * (WINDOW + PERMIT_LIFETIME).as_secs_f64();
--- a/crates/plumgate/src/gateway/rate_limit/limit_table.rs
+++ b/crates/plumgate/src/gateway/rate_limit/limit_table.rs
@@ -59,7 +59,7 @@
         entries.filter_map(|(key, entry)| Some((*key, entry.limit.rate()?)))
     }
 
-    /// Merges an observation; `forwards` says whether this node reports it to others.
+    /// Merges an observation. With `forwards`, this node reports a change to others.
     fn apply(
         &mut self,
         key: ServerKey,
@@ -104,7 +104,7 @@
         change
     }
 
-    /// Merges a report from another node; `forwards` says whether this node passes it on.
+    /// Merges a report from another node. With `forwards`, this node forwards a change to others.
     pub(crate) fn apply_report(
         &mut self,
         report: &LimitReport,
@@ -119,8 +119,8 @@
         change
     }
 
-    /// Discards entries that are too old.
-    pub(crate) fn forget_old(&mut self, now: BootTime) {
+    /// Removes expired entries.
+    pub(crate) fn remove_expired(&mut self, now: BootTime) {
         self.entries.retain(|_, entry| {
             let retention = match entry.limit.rate() {
                 Some(_) => LIMIT_RETENTION,
@@ -130,8 +130,8 @@
         });
     }
 
-    /// Returns the reports that are due in this round, the newest changes first. Every node repeats what the
-    /// answers to its own requests say; a collector repeats all that it knows.
+    /// Returns the reports that are due in this round, the newest changes first. Every node repeats the limits
+    /// from answers to its own requests; a collector repeats all known limits.
     pub(crate) fn due_reports(
         &mut self,
         max: usize,
--- a/crates/plumgate/src/gateway/rate_limit/messages.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messages.rs
@@ -91,7 +91,7 @@
 }
 
 impl LimitReport {
-    /// Describes a server's limit by its ages at `now`.
+    /// Creates the report of a server's limit, with its times as ages at `now`.
     pub(crate) fn new(server: ServerKey, limit: &ObservedLimit, now: BootTime) -> Self {
         let age = |at: BootTime, more: u128| {
             let age = now.saturating_sub(at).as_millis() + more;
@@ -112,8 +112,9 @@
         now.saturating_sub(Duration::from_millis(self.named_ms.into()))
     }
 
-    /// Returns the observation by the clock of the receiver, for a message received at `now`. The message may
-    /// have been in transit for some time, so the server wrote the answer somewhere between the two bounds.
+    /// Returns the observation by the receiver's clock, for a message received at `now`. As the message may
+    /// have been in transit for up to [`MAX_TRANSIT`], the interval in which the server wrote the answer is
+    /// that much longer.
     pub(crate) fn observation_received_at(&self, now: BootTime) -> LimitObservation {
         self.observation_sent_after(now.saturating_sub(MAX_TRANSIT), now)
     }
--- a/crates/plumgate/src/gateway/rate_limit/messaging.rs
+++ b/crates/plumgate/src/gateway/rate_limit/messaging.rs
@@ -20,17 +20,17 @@
 const MAX_REPORTS: usize = 30;
 /// Maximum number of messages to each node per round: enough for reports of a thousand servers per second.
 const MAX_MESSAGES: usize = 4;
-/// Time without activity after which a node distrusts the messages it receives, as they may have been delayed
-/// as long.
+/// Time without activity after which a node distrusts received messages, as they may have been queued for as
+/// long.
 const STALL_THRESHOLD: Duration = Duration::from_millis(700);
-/// Time for which reports that loosen a limit are ignored after such a period, until messages sent after it
-/// have arrived.
+/// Time after such a period for which reports that loosen a limit are ignored: long enough for messages that
+/// were sent after it to arrive.
 const DISTRUST_TIME: Duration = Duration::from_secs(1);
 
 /// Result of handling received messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MessageOutcome {
-    /// Whether a request of this node got its response.
+    /// Whether a response to a permit request of this node was received.
     pub is_permit_response: bool,
     /// Number of messages that were forged, too old or malformed.
     pub refused: u64,
@@ -40,7 +40,7 @@
     pub(crate) wants_leave_reports: bool,
 }
 
-/// The current time on both clocks that messages need.
+/// Current time by the two clocks that the exchange of messages needs.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageTime {
     /// Time since the VM started, including suspension.
@@ -51,40 +51,31 @@
 
 impl ServerLimits {
     /// Runs one round and returns the messages to other nodes; none while no limit is known.
-    pub fn run_round(
-        &mut self,
-        exchange: &LoadExchange,
-        moment: MessageTime,
-    ) -> Vec<ExchangePacket> {
-        let now = moment.boot;
+    pub fn run_round(&mut self, exchange: &LoadExchange, time: MessageTime) -> Vec<ExchangePacket> {
+        let now = time.boot;
         self.record_activity(now);
-        self.requester.forget_old(now);
-        self.issuer.forget_old(now);
-        self.table.forget_old(now);
+        self.requester.remove_expired(now);
+        self.issuer.remove_expired(now);
+        self.table.remove_expired(now);
         if self.table.is_empty() {
             self.view = None;
             return Vec::new();
         }
         self.view = Some(exchange.peer_view());
         self.update_election(now);
-        self.round_packets(exchange, moment)
+        self.round_packets(exchange, time)
     }
 
     /// Returns the messages for the permit requests queued since the last call.
     pub fn take_requests(
         &mut self,
         exchange: &LoadExchange,
-        moment: MessageTime,
+        time: MessageTime,
     ) -> Vec<ExchangePacket> {
         let requests: Vec<PermitRequest> = self.outgoing.drain(..).collect();
         let packets = requests.into_iter().filter_map(|request| {
             let to = self.next_hop(&request)?;
-            self.message_packet(
-                exchange,
-                to,
-                StatementMessage::PermitRequest(request),
-                moment,
-            )
+            self.message_packet(exchange, to, StatementMessage::PermitRequest(request), time)
         });
         packets.collect()
     }
@@ -94,37 +85,37 @@
         &mut self,
         exchange: &LoadExchange,
         messages: Vec<ReceivedStatement>,
-        moment: MessageTime,
+        time: MessageTime,
     ) -> (Vec<ExchangePacket>, MessageOutcome) {
         let mut outcome = MessageOutcome::default();
         let mut packets = Vec::new();
         for received in messages {
-            self.record_activity(moment.boot);
-            let Ok(message) = self.open(&received, moment) else {
+            self.record_activity(time.boot);
+            let Ok(message) = self.open(&received, time) else {
                 outcome.refused += 1;
                 continue;
             };
             match message {
                 StatementMessage::LimitUpdate(update) => {
-                    self.receive_update(exchange, &received, &update, moment.boot)
+                    self.receive_update(exchange, &received, &update, time.boot)
                 }
                 StatementMessage::PermitRequest(request) => {
-                    packets.extend(self.receive_request(exchange, request, moment))
+                    packets.extend(self.receive_request(exchange, request, time))
                 }
                 StatementMessage::LeaveReports(leave_reports) => {
                     outcome.leave_reports.extend(leave_reports)
                 }
                 StatementMessage::LeaveReportsRequest => outcome.wants_leave_reports = true,
                 StatementMessage::PermitResponse(response) => {
-                    outcome.is_permit_response |= self.receive_response(&response, moment.boot);
+                    outcome.is_permit_response |= self.receive_response(&response, time.boot);
                 }
             }
         }
         (packets, outcome)
     }
 
-    /// Records activity. A node that was suspended finds messages that waited as long, and can't distinguish
-    /// them from new ones.
+    /// Records activity, and starts to distrust reports after a period without any: a node that was suspended
+    /// receives the messages that were queued meanwhile, and can't distinguish them from new ones.
     fn record_activity(&mut self, now: BootTime) {
         if now.saturating_sub(self.active_at) > STALL_THRESHOLD {
             self.distrust_until = now + DISTRUST_TIME;
@@ -132,12 +123,8 @@
         self.active_at = now;
     }
 
-    fn round_packets(
-        &mut self,
-        exchange: &LoadExchange,
-        moment: MessageTime,
-    ) -> Vec<ExchangePacket> {
-        let now = moment.boot;
+    fn round_packets(&mut self, exchange: &LoadExchange, time: MessageTime) -> Vec<ExchangePacket> {
+        let now = time.boot;
         let Some(view) = &self.view else {
             return Vec::new();
         };
@@ -172,7 +159,7 @@
             .due_reports(MAX_REPORTS * MAX_MESSAGES, is_collector, now);
         let packets = outgoing
             .into_iter()
-            .flat_map(|(to, update)| self.update_packets(exchange, to, update, &reports, moment));
+            .flat_map(|(to, update)| self.update_packets(exchange, to, update, &reports, time));
         packets.collect()
     }
 
@@ -183,7 +170,7 @@
         to: SocketAddr,
         update: LimitUpdate,
         reports: &[LimitReport],
-        moment: MessageTime,
+        time: MessageTime,
     ) -> Vec<ExchangePacket> {
         let mut parts: Vec<LimitUpdate> = reports
             .chunks(MAX_REPORTS)
@@ -202,25 +189,26 @@
         }
         let messages = parts.into_iter().map(StatementMessage::LimitUpdate);
         let packets =
-            messages.filter_map(|message| self.message_packet(exchange, to, message, moment));
+            messages.filter_map(|message| self.message_packet(exchange, to, message, time));
         packets.collect()
     }
 
+    /// Seals a message to another node; returns none if there is no key to seal it with.
     pub(crate) fn message_packet(
         &self,
         exchange: &LoadExchange,
         to: SocketAddr,
         message: StatementMessage,
-        moment: MessageTime,
+        time: MessageTime,
     ) -> Option<ExchangePacket> {
-        let sealed = self.keys.seal(message, moment.unix_ms);
+        let sealed = self.keys.seal(message, time.unix_ms);
         exchange.statement_packet(to, sealed)
     }
 
-    fn open(&self, received: &ReceivedStatement, moment: MessageTime) -> Result<StatementMessage> {
+    fn open(&self, received: &ReceivedStatement, time: MessageTime) -> Result<StatementMessage> {
         let mut opened = Err(Error::MalformedMessage);
         for sealed in &received.sealed {
-            opened = self.keys.open(sealed, moment.unix_ms);
+            opened = self.keys.open(sealed, time.unix_ms);
             if opened.is_ok() {
                 break;
             }
@@ -294,9 +282,9 @@
         &mut self,
         exchange: &LoadExchange,
         request: PermitRequest,
-        moment: MessageTime,
+        time: MessageTime,
     ) -> Option<ExchangePacket> {
-        let now = moment.boot;
+        let now = time.boot;
         self.receive_report(
             &request.report,
             request.report.observation_received_at(now),
@@ -307,7 +295,7 @@
         let view = self.view.as_ref()?;
         if view.collector.is_some() {
             // The sender follows another collector than this node.
-            return self.reply(exchange, &request, not_elected(), moment);
+            return self.reply(exchange, &request, not_elected(), time);
         }
         if *view.own.data_centre != *request.data_centre {
             let to = self.next_hop(&request)?;
@@ -315,11 +303,11 @@
                 exchange,
                 to,
                 StatementMessage::PermitRequest(request),
-                moment,
+                time,
             );
         }
         let decision = self.decide_once(&request, now);
-        self.reply(exchange, &request, decision, moment)
+        self.reply(exchange, &request, decision, time)
     }
 
     /// Decides on a request that may be received more than once.
@@ -337,24 +325,24 @@
         exchange: &LoadExchange,
         request: &PermitRequest,
         decision: PermitDecision,
-        moment: MessageTime,
+        time: MessageTime,
     ) -> Option<ExchangePacket> {
         let key = request.report.server;
         let limit = self.table.limit(key);
         let response = PermitResponse {
             id: request.id,
             decision,
-            report: limit.map(|limit| LimitReport::new(key, limit, moment.boot)),
+            report: limit.map(|limit| LimitReport::new(key, limit, time.boot)),
         };
         self.message_packet(
             exchange,
             request.origin,
             StatementMessage::PermitResponse(response),
-            moment,
+            time,
         )
     }
 
-    /// Applies the response to a request of this node. Returns whether it belongs to one.
+    /// Applies a response. Returns whether it belongs to a pending request of this node.
     fn receive_response(&mut self, response: &PermitResponse, now: BootTime) -> bool {
         let Some((request, requested_at)) = self.requester.unanswered(response.id) else {
             return false;
--- a/crates/plumgate/src/gateway/rate_limit/observation.rs
+++ b/crates/plumgate/src/gateway/rate_limit/observation.rs
@@ -58,11 +58,11 @@
     }
 }
 
-/// Known state of one server's limit.
+/// Limit of one server as known from the observations so far.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservedLimit {
     known: LimitObservation,
-    /// When the server first named a limit, as far as any reporting node knows.
+    /// When the server first named a limit, by the earliest report of any node.
     first_named: BootTime,
     /// When an answer that names a limit was last received.
     last_named: BootTime,
@@ -105,9 +105,9 @@
 
     /// Merges an observation.
     ///
-    /// Answers can overtake each other. An answer is certainly newer only if its request was sent after the
-    /// known answer was received. Of two answers that may have been written in either order, the stricter
-    /// limit applies.
+    /// Answers can arrive out of order. An answer is certainly newer only if its request was sent after the
+    /// known answer was received. Of two answers that may have been written in either order, the one with the
+    /// stricter limit applies.
     pub(crate) fn apply(&mut self, observation: LimitObservation) -> Option<LimitChange> {
         let is_newer = observation.sent >= self.known.seen;
         let is_older = observation.seen <= self.known.sent;
--- a/crates/plumgate/src/gateway/rate_limit/permit_requester.rs
+++ b/crates/plumgate/src/gateway/rate_limit/permit_requester.rs
@@ -1,4 +1,4 @@
-//! Permits that one node holds, and its pending permit requests.
+//! Unused permits and pending permit requests of one node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use super::votes::PERMIT_LIFETIME;
 use crate::gateway::exchange::messages::ServerKey;
 
-/// Time for which a request waits for the response of the issuer.
+/// Time for which the response of the issuer is awaited.
 pub const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Interval after which an unanswered request is sent again.
 pub const PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(35);
@@ -27,7 +27,7 @@
 }
 
 impl SendPermit {
-    /// Creates the permit for a request that was made at `requested_at`.
+    /// Creates the permit for a request that was registered at `requested_at`.
     pub(crate) fn new(server: ServerKey, requested_at: BootTime) -> Self {
         Self {
             server,
@@ -47,7 +47,7 @@
     request: PermitRequest,
     requested_at: BootTime,
     decision: Option<PermitDecision>,
-    /// Whether nothing waits for the response any more.
+    /// Whether the response is no longer awaited.
     is_abandoned: bool,
 }
 
@@ -126,7 +126,7 @@
         true
     }
 
-    /// Returns a request that has no response yet, and when it was made.
+    /// Returns a request that has no response yet, and when it was registered.
     pub(crate) fn unanswered(&self, id: PermitRequestId) -> Option<(&PermitRequest, BootTime)> {
         let pending = self
             .requests
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Removes an answered request that nothing waits for; its permit goes to a later request.
+    /// Removes an answered request whose response is no longer awaited, and makes its permit available to
+    /// later requests.
     fn release_unused(&mut self, id: PermitRequestId) {
         if let Some((PermitDecision::Granted, permit)) = self.take_decision(id) {
             self.return_permit(permit);
@@ -181,7 +182,7 @@
         Some((decision, permit))
     }
 
-    /// Marks a request as no longer waited for.
+    /// Records that the response to a request is no longer awaited.
     pub(crate) fn abandon(&mut self, id: PermitRequestId, now: BootTime) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Discards requests whose permits would have expired, expired permits and deferrals that are over.
-    pub(crate) fn forget_old(&mut self, now: BootTime) {
+    /// Removes requests whose permits would have expired, expired permits and expired deferrals.
+    pub(crate) fn remove_expired(&mut self, now: BootTime) {
         self.requests
             .retain(|_, request| now.saturating_sub(request.requested_at) < PERMIT_LIFETIME);
         self.spare.retain(|permit| now < permit.until);
--- a/crates/plumgate/src/gateway/rate_limit/server_limits.rs
+++ b/crates/plumgate/src/gateway/rate_limit/server_limits.rs
@@ -1,4 +1,4 @@
-//! The limits known to one node, and the check whether it may send a request to a server now.
+//! The server limits known to one node, and its checks whether a request may be sent to a limited server.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::gateway::servers::ServerEntry;
 use crate::ids::{DataCentreId, NodeId};
 
-/// Pause when the issuer and this node disagree on whether a server is limited.
+/// Pause before the next permit request when the issuer and this node disagree on whether a server is limited.
 const DISAGREEMENT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Whether a request may be sent to a server.
@@ -29,7 +29,7 @@
     Granted(SendPermit),
     /// The server is limited, and a permit has been requested from its issuer.
     Requested(PermitRequestId),
-    /// The server gets no request from this node for this time.
+    /// This node must not send the server a request for this time.
     Deferred(Duration),
 }
 
@@ -40,7 +40,7 @@
     pub server: u32,
     /// The change.
     pub change: LimitChange,
-    /// Time since the answer that named the change.
+    /// Time since the answer that shows the change was received.
     pub age: Duration,
 }
 
@@ -52,7 +52,7 @@
     pub(super) issuer: PermitIssuer,
     pub(super) votes: IssuerVotes,
     pub(super) keys: NoticeKeys,
-    /// The other nodes; none if there are none, or while no limit is known.
+    /// The other nodes; `None` if there are none, or while no limit is known.
     pub(super) view: Option<PeerView>,
     /// Permit requests that are not sent yet.
     pub(super) outgoing: VecDeque<PermitRequest>,
@@ -62,15 +62,15 @@
     pub(super) rng: fastrand::Rng,
     /// Whether there may be other nodes.
     pub(super) has_peers: bool,
-    /// When this node was last active here.
+    /// When this node last ran a round or handled a message.
     pub(super) active_at: BootTime,
     /// Until when reports that loosen a limit are ignored.
     pub(super) distrust_until: BootTime,
 }
 
 impl ServerLimits {
-    /// Creates the state of a node that knows no limit; `has_peers` says whether it exchanges messages with
-    /// others.
+    /// Creates the state of a node that knows no limit. With `has_peers`, it exchanges messages with other
+    /// nodes.
     pub fn new(has_peers: bool, seed: u64) -> Self {
         Self {
             table: LimitTable::default(),
@@ -104,7 +104,7 @@
         self.table.apply_answer(key, observation)
     }
 
-    /// Takes the changes learnt from other nodes since the last call.
+    /// Drains the changes that other nodes have reported since the last call.
     pub fn take_events(&mut self) -> Vec<LimitEvent> {
         std::mem::take(&mut self.events)
     }
@@ -166,7 +166,7 @@
         self.outgoing.extend(request);
     }
 
-    /// Takes the response to a request, once it was received.
+    /// Takes the response to a request; none if it has not been received yet.
     pub fn take_response(&mut self, id: PermitRequestId, now: BootTime) -> Option<PermitStatus> {
         let urgency = self.requester.urgency(id)?;
         let (decision, permit) = self.requester.take_decision(id)?;
@@ -184,7 +184,7 @@
             .deferred_for(server.incarnation_key(), urgency, now)
     }
 
-    /// Marks a request as no longer waited for.
+    /// Records that the response to a request is no longer awaited.
     pub fn abandon(&mut self, id: PermitRequestId, now: BootTime) {
         self.requester.abandon(id, now);
     }
@@ -200,7 +200,7 @@
         self.requester.return_permit(permit);
     }
 
-    /// Converts a decision into what it means for the request.
+    /// Applies the decision on a permit request, and returns the resulting status.
     fn apply_decision(
         &mut self,
         decision: PermitDecision,
@@ -250,7 +250,7 @@
         })
     }
 
-    /// Updates whether this node is elected, and discards accumulated permits if it is not.
+    /// Updates whether this node is elected, and discards its accumulated permits if it is not.
     pub(super) fn update_election(&mut self, now: BootTime) {
         if let Some(view) = &self.view {
             self.votes.update_election(view, now);
@@ -273,7 +273,7 @@
             return PermitDecision::Unlimited;
         };
         let named = limit.first_named();
-        // No other node can have issued permits yet for a limit that was only just named.
+        // No other node can have issued permits yet for a limit that was first named this recently.
         let is_new = now.saturating_sub(named) < SETTLE_TIME;
         let since = match self.votes.settled_since(now) {
             Some(settled) => settled.max(named),
--- a/crates/plumgate/src/gateway/rate_limit/votes.rs
+++ b/crates/plumgate/src/gateway/rate_limit/votes.rs
@@ -6,7 +6,8 @@
 //! more than half of its data centre's nodes, or of at least half of the nodes there that were recently alive
 //! together with more than half of the fleet. A node votes by returning the newest round id of the collector
 //! that it follows. A collector votes for one collector of each other data centre, with the weight of its
-//! followers. A vote counts from the time at which the round id was made, however long the messages took.
+//! followers. The lifetime of a vote starts when its round id was generated, so a delayed message does not
+//! extend it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,13 +17,13 @@
 use crate::gateway::exchange::PeerView;
 use crate::ids::{DataCentreId, NodeId};
 
-/// Time for which a vote is valid.
+/// Time for which a vote is valid, from the generation of its round id.
 pub(crate) const VOTE_LIFETIME: Duration = Duration::from_millis(800);
 /// Time for which a permit is valid, from the time of its request.
 pub(crate) const PERMIT_LIFETIME: Duration = Duration::from_millis(400);
 /// Time for which a newly elected issuer waits: after it the votes and permits of its predecessor have expired.
 pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(1_400);
-/// Maximum number of remembered round ids: those made within the lifetime of a vote, and some more.
+/// Maximum number of remembered round ids: those generated within the lifetime of a vote, and a margin.
 const MAX_ROUND_IDS: usize = 16;
 
 /// Identity of a voter.
@@ -37,7 +38,7 @@
 /// A vote of one voter.
 #[derive(Clone, Copy, Debug)]
 struct CastVote {
-    /// When the round id that the vote refers to was made.
+    /// When the round id that the vote refers to was generated.
     at: BootTime,
     /// Number of nodes that the voter represents.
     weight: usize,
@@ -92,7 +93,7 @@
         self.elected_since.is_some()
     }
 
-    /// Returns the time from which no previously elected node can act any more; none while one still may.
+    /// Returns the time from which no previous issuer can act any more; none while one still may.
     pub(crate) fn settled_since(&self, now: BootTime) -> Option<BootTime> {
         let settled = self.elected_since? + SETTLE_TIME;
         (settled <= now).then_some(settled)
@@ -117,6 +118,7 @@
             return true;
         }
         if view.foreign.is_empty() {
+            // No other data centre can break a tie, so the preferred node wins it.
             return view.is_preferred && own * 2 == view.data_centre_size;
         }
         let fleet = own + self.weight(|voter| matches!(voter, VoterName::DataCentre(_)));
--- a/crates/plumgate/src/gateway/statements/leave_reports.rs
+++ b/crates/plumgate/src/gateway/statements/leave_reports.rs
@@ -16,16 +16,16 @@
 /// Maximum number of messages to each node per round.
 const MAX_MESSAGES: usize = 4;
 
-/// Report that a server leaves, with the time given as an age.
+/// Report that a server is leaving, with the time given as an age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaveReport {
     pub(crate) incarnation: IncarnationId,
-    /// Milliseconds since the sender first knew that the server leaves, rounded up.
+    /// Milliseconds since the sender learnt that the server is leaving, rounded up.
     age_ms: u32,
 }
 
 impl LeaveReport {
-    /// Creates the report of a server that has been known to leave since `since`.
+    /// Creates the report of a server that has been known to be leaving since `since`.
     pub(crate) fn new(incarnation: IncarnationId, since: BootTime, now: BootTime) -> Self {
         let age = now.saturating_sub(since).as_millis() + 1;
         Self {
@@ -34,51 +34,47 @@
         }
     }
 
-    /// Returns how long the sender has known it.
+    /// Returns for how long the sender has known that the server is leaving.
     pub(crate) fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms.into())
     }
 }
 
-/// A leaving server that was learnt from another node.
+/// New report from another node that a server is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaveEvent {
     /// Id of the server's incarnation.
     pub incarnation: IncarnationId,
-    /// Time since the reporting node learnt it.
+    /// Time since the reporting node learnt that the server is leaving.
     pub age: Duration,
 }
 
 impl ServerStatements {
     /// Runs one round and returns the messages to other nodes.
-    pub fn run_round(
-        &mut self,
-        exchange: &LoadExchange,
-        moment: MessageTime,
-    ) -> Vec<ExchangePacket> {
-        let mut packets = self.limits.run_round(exchange, moment);
-        packets.extend(self.request_reports(exchange, moment));
+    pub fn run_round(&mut self, exchange: &LoadExchange, time: MessageTime) -> Vec<ExchangePacket> {
+        let mut packets = self.limits.run_round(exchange, time);
+        packets.extend(self.request_reports(exchange, time));
         let is_collector = exchange.is_collector();
         let max = MAX_REPORTS * MAX_MESSAGES;
-        let reports = self.notices.due_reports(max, is_collector, moment.boot);
+        let reports = self.notices.due_reports(max, is_collector, time.boot);
         if reports.is_empty() {
             return packets;
         }
         for to in recipients(&exchange.peer_view()) {
             for part in reports.chunks(MAX_REPORTS) {
                 let message = StatementMessage::LeaveReports(part.to_vec());
-                packets.extend(self.limits.message_packet(exchange, to, message, moment));
+                packets.extend(self.limits.message_packet(exchange, to, message, time));
             }
         }
         packets
     }
 
-    /// Returns the requests that a node sends after its start to the first nodes it knows: the rows of the
-    /// store don't hold what servers stated to other nodes.
+    /// Returns the requests for reports that a node sends after its start to the first nodes that it knows.
+    /// The store does not hold what servers announced to other nodes.
     fn request_reports(
         &mut self,
         exchange: &LoadExchange,
-        moment: MessageTime,
+        time: MessageTime,
     ) -> Vec<ExchangePacket> {
         if self.requests_left == 0 {
             return Vec::new();
@@ -86,7 +82,7 @@
         let message = || StatementMessage::LeaveReportsRequest;
         let to = recipients(&exchange.peer_view()).into_iter();
         let packets: Vec<ExchangePacket> = to
-            .filter_map(|to| self.limits.message_packet(exchange, to, message(), moment))
+            .filter_map(|to| self.limits.message_packet(exchange, to, message(), time))
             .collect();
         if !packets.is_empty() {
             self.requests_left -= 1;
@@ -99,17 +95,17 @@
     pub fn receive(
         &mut self,
         exchange: &mut LoadExchange,
-        moment: MessageTime,
+        time: MessageTime,
     ) -> (Vec<ExchangePacket>, MessageOutcome, Vec<LeaveEvent>) {
         let messages = exchange.take_statements();
-        let (packets, mut outcome) = self.limits.receive(exchange, messages, moment);
+        let (packets, mut outcome) = self.limits.receive(exchange, messages, time);
         if outcome.wants_leave_reports {
-            self.notices.restart_reports(moment.boot);
+            self.notices.restart_reports(time.boot);
         }
         let is_collector = exchange.is_collector();
         let reports = std::mem::take(&mut outcome.leave_reports);
         let events = reports.iter().filter_map(|report| {
-            let is_new = self.notices.apply_report(report, is_collector, moment.boot);
+            let is_new = self.notices.apply_report(report, is_collector, time.boot);
             is_new.then(|| LeaveEvent {
                 incarnation: report.incarnation,
                 age: report.age(),
--- a/crates/plumgate/src/gateway/statements/mod.rs
+++ b/crates/plumgate/src/gateway/statements/mod.rs
@@ -1,6 +1,6 @@
-//! Statements of backend servers about themselves in their answers: rate limits, that they leave, and for how
-//! long they want no requests. They apply to every request to the server, whatever the store or other nodes
-//! report.
+//! Statements that backend servers make about themselves in their answers: a rate limit, a notice that the
+//! server is leaving, and a notice that it rests, which means that it wants no requests for some time. They
+//! apply to every request to the server, whatever the store or other nodes report.
 
 mod leave_reports;
 mod notice_table;
--- a/crates/plumgate/src/gateway/statements/notice_table.rs
+++ b/crates/plumgate/src/gateway/statements/notice_table.rs
@@ -1,4 +1,5 @@
-//! Table of the servers that announced that they leave or asked this node for a rest, by incarnation.
+//! Table of the servers that announced that they are leaving, or asked this node to send no requests for some
+//! time (a rest), by incarnation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,10 +8,10 @@
 use crate::gateway::rate_limit::BootTime;
 use crate::gateway::servers::{IncarnationId, ServerEntry};
 
-/// Time for which the leaving of a server is retained after it was last confirmed.
+/// Time for which a leave notice is retained after it was last confirmed.
 const LEAVE_RETENTION: Duration = Duration::from_secs(600);
-/// Margin by which a request must precede the end of service that a leaving server promised: it first waits
-/// for a connection, and is then in transit.
+/// Margin before the end of a leaving server's drain time in which no request is sent to it: a request first
+/// waits for a connection, and is then in transit.
 const SERVE_MARGIN: Duration = Duration::from_millis(500);
 /// Number of consecutive rounds in which a new leaving server is reported.
 const REPORT_ROUNDS: u32 = 3;
@@ -21,28 +22,28 @@
 /// Maximum number of servers in the table, some 100 bytes each.
 const MAX_NOTICES: usize = 8_192;
 
-/// Change that an answer makes to what is known about its server.
+/// New notice in an answer of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeChange {
-    /// The server leaves.
+    /// The server is leaving.
     Leaves,
-    /// The server wants no requests for longer than was known.
+    /// The server rests, for longer than was known.
     Rests(RestNotice),
 }
 
 /// A rest that a server asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestNotice {
-    /// When it ends, as time since the VM started.
+    /// When the rest ends, as time since the VM started.
     pub until: BootTime,
-    /// Whether it extends an earlier rest.
+    /// Whether the notice extends an earlier rest.
     pub is_extended: bool,
 }
 
-/// Current meaning of the notices of a server for requests.
+/// Availability of a server for requests according to its notices.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerAvailability {
-    /// Remaining time for which the server serves requests, if it leaves.
+    /// Remaining time for which the server still serves requests, if it is leaving.
     pub serves_for: Option<Duration>,
     /// Remaining time for which the server wants no requests, if it rests.
     pub rest_left: Option<Duration>,
@@ -51,20 +52,21 @@
 /// Notices of one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerNotice {
-    /// When this node first learnt that the server leaves.
+    /// Earliest time at which the server is known to have been leaving.
     leaving_since: Option<BootTime>,
-    /// When that was last confirmed.
+    /// When that was last confirmed, by an announcement or because the server was still known.
     leaving_confirmed_at: BootTime,
     rest_until: Option<BootTime>,
     announcement: LeaveAnnouncement,
 }
 
-/// State of this node's reports to others that a server leaves.
+/// State of this node's reports to others that a server is leaving.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeaveAnnouncement {
-    /// Whether this node reports it: the server announced it to this node itself, or the node is the collector.
+    /// Whether this node sends reports: the server announced to this node that it is leaving, or this node is
+    /// the collector.
     is_active: bool,
-    /// Number of rounds in which it was reported.
+    /// Number of rounds in which a report was sent.
     sent_count: u32,
     next_at: BootTime,
 }
@@ -78,8 +80,9 @@
         };
     }
 
-    /// Records that the report is sent. It is sent in consecutive rounds at first, so that at least one
-    /// message arrives, and at growing intervals afterwards, for nodes that started in the meantime.
+    /// Records that a report was sent, and schedules the next one. Reports are sent in consecutive rounds at
+    /// first, so that at least one message arrives, and then at growing intervals, for nodes that started in
+    /// the meantime.
     fn record_sent(&mut self, now: BootTime) {
         self.sent_count += 1;
         let doublings = self
@@ -101,8 +104,8 @@
     }
 
     fn is_relevant(&self, now: BootTime) -> bool {
-        let is_remembered = now.saturating_sub(self.leaving_confirmed_at) < LEAVE_RETENTION;
-        self.rest_left(now).is_some() || self.leaving_since.is_some() && is_remembered
+        let is_retained = now.saturating_sub(self.leaving_confirmed_at) < LEAVE_RETENTION;
+        self.rest_left(now).is_some() || self.leaving_since.is_some() && is_retained
     }
 }
 
@@ -134,7 +137,7 @@
         self.drain_time = drain_time;
     }
 
-    /// Returns what the notices of an incarnation mean for requests now.
+    /// Returns the current availability of an incarnation.
     pub fn availability(&self, incarnation: IncarnationId, now: BootTime) -> ServerAvailability {
         let notice = self.notices.get(&incarnation).copied().unwrap_or_default();
         let serves = self.drain_time.saturating_sub(SERVE_MARGIN);
@@ -151,7 +154,7 @@
         self.notices.is_empty()
     }
 
-    /// Records that a server announced that it leaves. Returns whether that is new.
+    /// Records the announcement of a server that it is leaving. Returns whether that is new.
     pub fn record_leaving(&mut self, incarnation: IncarnationId, now: BootTime) -> bool {
         let Some(notice) = self.notice_mut(incarnation, now) else {
             return false;
@@ -165,8 +168,8 @@
         is_new
     }
 
-    /// Merges another node's report that a server leaves. Returns whether that is new. `forwards` says whether
-    /// this node passes it on.
+    /// Merges another node's report that a server is leaving. Returns whether that is new. With `forwards`,
+    /// this node forwards a new report to others.
     pub(crate) fn apply_report(
         &mut self,
         report: &LeaveReport,
@@ -198,8 +201,8 @@
         }
     }
 
-    /// Returns the reports that are due in this round, the newest first. A collector reports all that it
-    /// knows.
+    /// Returns the reports that are due in this round, the least often sent first. A collector reports all
+    /// known leaving servers.
     pub(crate) fn due_reports(
         &mut self,
         max: usize,
@@ -264,17 +267,17 @@
         Some(self.notices.entry(incarnation).or_default())
     }
 
-    /// Returns since when a server is known to leave.
+    /// Returns since when a server is known to be leaving.
     pub fn leaving_since(&self, server: &ServerEntry) -> Option<BootTime> {
         self.notices.get(&server.incarnation_id())?.leaving_since
     }
 
-    /// Returns how long a server still wants no requests.
+    /// Returns the remaining time of a server's rest.
     pub fn rest_left(&self, server: &ServerEntry, now: BootTime) -> Option<Duration> {
         self.notices.get(&server.incarnation_id())?.rest_left(now)
     }
 
-    /// Returns the number of servers that are known to leave.
+    /// Returns the number of servers that are known to be leaving.
     pub fn leaving_count(&self) -> usize {
         let notices = self.notices.values();
         notices
@@ -282,7 +285,7 @@
             .count()
     }
 
-    /// Returns the number of servers that rest now.
+    /// Returns the number of servers that are resting now.
     pub fn resting_count(&self, now: BootTime) -> usize {
         let notices = self.notices.values();
         notices
@@ -295,7 +298,7 @@
         std::mem::take(&mut self.dropped)
     }
 
-    /// Discards notices that no longer apply; the leaving of servers that are still known is retained.
+    /// Removes notices that no longer apply. Leave notices of servers that are still known are retained.
     pub fn forget_old(&mut self, now: BootTime, is_known: impl Fn(IncarnationId) -> bool) {
         self.notices.retain(|incarnation, notice| {
             if !notice.is_relevant(now) && notice.leaving_since.is_some() && is_known(*incarnation)
--- a/crates/plumgate/src/gateway/statements/server_statements.rs
+++ b/crates/plumgate/src/gateway/statements/server_statements.rs
@@ -23,7 +23,7 @@
     pub seen_unix_ms: u64,
 }
 
-/// Circumstances of a request that is about to be sent to a server.
+/// Context of a request that is about to be sent to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct SendContext<'a> {
     /// Time since the VM started.
@@ -39,9 +39,9 @@
 pub enum SendRefusal {
     /// The server has a rate limit, and the request holds no permit.
     Limited,
-    /// The server leaves.
+    /// The server is leaving.
     Leaving,
-    /// The server asked this node for a rest.
+    /// The server is resting: it asked this node to send no requests for some time.
     Resting,
 }
 
@@ -68,10 +68,8 @@
 }
 
 impl ServerStatements {
-    /// Creates the state of a node that knows no statements; `has_peers` says whether it exchanges messages
-    /// with others.
-    ///
-    /// Leaving servers continue to serve for `drain_time`.
+    /// Creates the state of a node that knows no statements. With `has_peers`, it exchanges messages with other
+    /// nodes. Leaving servers continue to serve for `drain_time`.
     pub fn new(has_peers: bool, seed: u64, drain_time: Duration) -> Self {
         Self {
             limits: ServerLimits::new(has_peers, seed),
@@ -85,7 +83,7 @@
         self.limits.set_config(config);
     }
 
-    /// Records the leaving and resting that a server states in an answer. Returns what was not known yet.
+    /// Records the leave and rest notices in an answer of a server. Returns those that are new.
     pub fn record_notices(
         &mut self,
         server: &ServerEntry,
--- a/crates/plumgate/src/gateway/statements/statement.rs
+++ b/crates/plumgate/src/gateway/statements/statement.rs
@@ -4,25 +4,25 @@
 
 use crate::gateway::rate_limit::RateStatement;
 
-/// Whether an answer states that its server leaves.
+/// Statement of an answer on whether its server is leaving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaveStatement {
-    /// The answer does not say so.
+    /// The answer does not announce that the server is leaving.
     #[default]
     Stays,
-    /// The server leaves.
+    /// The server is leaving.
     Leaves,
     /// The value is invalid and is ignored.
     Malformed,
 }
 
-/// For how long an answer asks the receiving node to send no requests.
+/// Time for which an answer asks the receiving node to send no requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RestStatement {
     /// The answer asks for no rest.
     #[default]
     None,
-    /// For this time from now on.
+    /// For this time from the receipt of the answer on.
     For(Duration),
     /// Until this time, in milliseconds since the Unix epoch.
     Until(u64),
@@ -31,8 +31,8 @@
 }
 
 impl RestStatement {
-    /// Returns the duration from `unix_ms` on, in milliseconds since the Unix epoch; none if no rest is asked
-    /// for.
+    /// Returns the duration of the rest from `unix_ms` on, in milliseconds since the Unix epoch; none if no
+    /// rest is asked for.
     pub fn duration(self, unix_ms: u64) -> Option<Duration> {
         match self {
             Self::For(rest) => Some(rest),
@@ -47,7 +47,7 @@
 pub struct ServerStatement {
     /// The requests that the server accepts from all nodes together.
     pub rate_limit: RateStatement,
-    /// Whether the server leaves.
+    /// Whether the server is leaving.
     pub leaving: LeaveStatement,
     /// For how long the server wants no requests from this node.
     pub rest: RestStatement,
