--- a/crates/plumgate/src/dispatch/dispatcher/preempt.rs
+++ b/crates/plumgate/src/dispatch/dispatcher/preempt.rs
@@ -32,7 +32,7 @@
         let wait = self
             .service_times
             .get(&ticket.pool)
-            .and_then(|service_times| service_times.predicted_wait(ahead, running));
+            .and_then(|service_time| service_time.predicted_wait(ahead, running));
         if wait.is_some_and(|wait| wait <= max_wait) {
             return Vec::new();
         }
--- a/crates/plumgate/src/gateway/quarantine/rule.rs
+++ b/crates/plumgate/src/gateway/quarantine/rule.rs
@@ -61,8 +61,8 @@
         if count.servers >= MIN_CRASHED_SERVERS && count.consecutive >= MIN_CONSECUTIVE {
             return Self::Blocked;
         }
-        // One of the two conditions alone may be a coincidence, which is too rare to send the request like any
-        // other and too frequent to block it.
+        // Either condition alone is sometimes a coincidence: too often to block the request, too rarely to send
+        // it like any other.
         if count.servers >= MIN_CRASHED_SERVERS || count.consecutive >= MIN_CONSECUTIVE {
             return Self::OneByOne;
         }
--- a/crates/plumgate/src/gateway/statements/mod.rs
+++ b/crates/plumgate/src/gateway/statements/mod.rs
@@ -1,6 +1,7 @@
 //! Statements that backend servers make about themselves in their answers: a rate limit, a notice that the
-//! server is leaving, and a notice that it rests, which means that it wants no requests for some time. They
-//! apply to every request to the server, whatever the store or other nodes report.
+//! server is leaving and soon stops serving, and a notice that it rests, which means that it wants no requests
+//! from this node for some time. They apply to every request to the server, whatever the store or other nodes
+//! report.
 
 mod leave_reports;
 mod notice_table;
