--- a/crates/plumgate/src/chart.rs
+++ b/crates/plumgate/src/chart.rs
@@ -67,13 +67,13 @@
     let start = start?;
     root.check_name(&start, "state", &known);
     let reachable = reachable_from(&start.value, |state| targets(&states, state));
-    let ending = states_with_end(&states);
+    let reaching_end = states_reaching_end(&states);
     for (name, reader) in readers {
         if !reachable.contains(&name) {
-            reader.report("can't be reached from the start");
+            reader.report("can't be reached from the start state");
         }
-        if !ending.contains(&name) {
-            reader.report("has no way to an end");
+        if !reaching_end.contains(&name) {
+            reader.report("can't reach an end state");
         }
         reader.finish();
     }
@@ -92,7 +92,7 @@
     }
     let outcome = reader
         .string("outcome")
-        .and_then(|word| read_outcome(reader, &word));
+        .and_then(|name| read_outcome(reader, &name));
     ChartState {
         transitions,
         is_end: reader.boolean("end", false),
@@ -100,16 +100,16 @@
     }
 }
 
-fn read_outcome(reader: &TableReader<'_, '_>, word: &Located<String>) -> Option<RunOutcome> {
+fn read_outcome(reader: &TableReader<'_, '_>, name: &Located<String>) -> Option<RunOutcome> {
     let outcomes = [
         RunOutcome::NotRun,
         RunOutcome::Answered,
         RunOutcome::Unknown,
     ];
-    reader.check_name(word, "outcome", &outcomes.map(RunOutcome::as_str));
+    reader.check_name(name, "outcome", &outcomes.map(RunOutcome::as_str));
     outcomes
         .into_iter()
-        .find(|outcome| outcome.as_str() == word.value)
+        .find(|outcome| outcome.as_str() == name.value)
 }
 
 fn targets(states: &BTreeMap<String, ChartState>, state: &str) -> Vec<String> {
@@ -119,15 +119,15 @@
     })
 }
 
-fn states_with_end(states: &BTreeMap<String, ChartState>) -> BTreeSet<String> {
-    let can_end = |name: &String| {
+fn states_reaching_end(states: &BTreeMap<String, ChartState>) -> BTreeSet<String> {
+    let can_reach_end = |name: &String| {
         reachable_from(name, |state| targets(states, state))
             .iter()
             .any(|state| states.get(state).is_some_and(|state| state.is_end))
     };
     states
         .keys()
-        .filter(|name| can_end(name))
+        .filter(|name| can_reach_end(name))
         .cloned()
         .collect()
 }
--- a/crates/plumgate/src/claim.rs
+++ b/crates/plumgate/src/claim.rs
@@ -9,7 +9,7 @@
 use crate::ids::WorkspaceId;
 use crate::outcome::RunOutcome;
 
-/// Unanswered writes and reads after which a claim is abandoned.
+/// Number of unanswered writes and reads after which a claim is abandoned.
 const MAX_TRIES: u32 = 4;
 
 /// Version of a row in the platform's table.
--- a/crates/plumgate/src/config/bundle.rs
+++ b/crates/plumgate/src/config/bundle.rs
@@ -54,8 +54,9 @@
     pub fn read(&self, version: ConfigVersion) -> Result<FleetConfig> {
         let (rules, mut findings) = read_rules(RULES_FILE, &self.rules);
         let tiers: Vec<&str> = rules.tiers.keys().map(AsRef::as_ref).collect();
-        let (inventory, more) = read_inventory(INVENTORY_FILE, &self.inventory, &tiers);
-        findings.extend(more);
+        let (inventory, inventory_findings) =
+            read_inventory(INVENTORY_FILE, &self.inventory, &tiers);
+        findings.extend(inventory_findings);
         let drained = self.read_drained(&inventory, &mut findings);
         if findings.is_empty() {
             Ok(FleetConfig {
--- a/crates/plumgate/src/config/rules.rs
+++ b/crates/plumgate/src/config/rules.rs
@@ -79,7 +79,7 @@
     pub patience: Duration,
     /// Whether a request of the class may run more than once.
     pub idempotent: bool,
-    /// The average tokens of a response, used until responses were observed.
+    /// The average tokens of a response, used until responses have been observed.
     pub expected_tokens: u32,
 }
 
--- a/crates/plumgate/src/config_follower.rs
+++ b/crates/plumgate/src/config_follower.rs
@@ -11,8 +11,8 @@
 
 /// Time between two reads of the head row by a node that is chosen to read it.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two reads by a node that is not chosen; it reads too in case all chosen nodes are cut
-/// off.
+/// Time between two reads by a node that is not chosen; it reads too in case all chosen nodes are
+/// disconnected.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_secs(15);
 /// Time after which a version that did not arrive is requested again.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
@@ -24,7 +24,7 @@
     pub version: ConfigVersion,
     /// Digest of the bundle, which is its name in the object store.
     pub digest: String,
-    /// Id of the change, by which its author recognizes it.
+    /// Id of the change, by which its author identifies it.
     pub change: String,
     /// Who made the change.
     pub author: String,
@@ -50,7 +50,7 @@
     ReadHead,
     /// Read a bundle from the object store.
     ReadBundle(ConfigHead),
-    /// Request the whole version from this peer.
+    /// Request the complete version from this peer.
     RequestFromPeer(String),
     /// Put a version into force.
     Adopt {
@@ -68,7 +68,7 @@
     },
 }
 
-/// Keeps a node's configuration up to date with the head row.
+/// Follower of the head row, which keeps a node's configuration up to date.
 #[derive(Debug, Default)]
 pub struct ConfigFollower {
     active: Option<ActiveConfig>,
@@ -92,13 +92,14 @@
         self.active.as_ref()
     }
 
-    /// Returns a read of the head row when one is due; `chosen`: this node reads for its data centre.
-    pub fn tick(&mut self, chosen: bool, now: Instant) -> Option<FollowAction> {
+    /// Returns the action to read the head row, if one is due. `is_chosen`: whether this node reads for its
+    /// data centre.
+    pub fn tick(&mut self, is_chosen: bool, now: Instant) -> Option<FollowAction> {
         if self.next_poll.is_some_and(|due| now < due) {
             return None;
         }
         // A node without a configuration serves no requests, so it polls as often as a chosen node.
-        let polls_often = chosen || self.active.is_none();
+        let polls_often = is_chosen || self.active.is_none();
         self.next_poll = Some(
             now + if polls_often {
                 POLL_INTERVAL
@@ -147,7 +148,7 @@
         true
     }
 
-    /// Handles a whole version from the object store or from a peer; `expected` is its digest, if known.
+    /// Handles a complete version from the object store or from a peer; `expected` is its digest, if known.
     pub fn apply_bundle(
         &mut self,
         version: ConfigVersion,
@@ -183,7 +184,7 @@
         Some(FollowAction::Adopt { config, patch })
     }
 
-    /// Handles a patch from a peer; if it doesn't apply to the version in force, the whole version is
+    /// Handles a patch from a peer; if it doesn't apply to the version in force, the complete version is
     /// requested.
     pub fn apply_patch(
         &mut self,
--- a/crates/plumgate/src/duty/agreed_clock.rs
+++ b/crates/plumgate/src/duty/agreed_clock.rs
@@ -17,7 +17,8 @@
 /// Maximum correction of a node's own time towards its system time, in milliseconds per second. It is enough to
 /// follow a clock with a drift of 50 in a million, and a jump of seconds that is soon reverted has little effect.
 const SLEW_PER_SECOND: f64 = 0.5;
-/// Time for which a sample of another node is used. It spans many rounds, so that lost messages do no harm.
+/// Time for which a sample of another node is used. It spans many rounds, so that lost messages have no
+/// effect.
 const SAMPLE_LIFETIME: Duration = Duration::from_secs(5);
 
 /// Time of day as one node reports it to others.
@@ -40,7 +41,7 @@
     received_at: Duration,
 }
 
-/// Estimates the agreed time of day on one node. Moments are times since the VM started, suspension included.
+/// Estimate of the agreed time of day on one node. Moments are times since the VM started, suspension included.
 #[derive(Clone, Debug, Default)]
 pub struct AgreedClock {
     /// Offset of the node's own system time against its boot time, with jumps smoothed out.
--- a/crates/plumgate/src/duty/coordinator.rs
+++ b/crates/plumgate/src/duty/coordinator.rs
@@ -1,4 +1,4 @@
-//! Coordination of the duties on one node: the lease, the usage reports, and what may be sent now.
+//! Coordination of the duties on one node: the lease, the usage reports, and which reports may be sent now.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     pub unix: UnixMillis,
 }
 
-/// Combines the lease and the usage reports of one node.
+/// Lease and usage reports of one node.
 #[derive(Debug)]
 pub struct DutyCoordinator {
     holder: DutyHolder,
@@ -55,7 +55,7 @@
         &self.reporter
     }
 
-    /// Returns the state of the reports for draining what is to be logged.
+    /// Returns the state of the reports for taking the outcomes that are to be logged.
     pub fn reporter_mut(&mut self) -> &mut UsageReporter {
         &mut self.reporter
     }
--- a/crates/plumgate/src/duty/holder.rs
+++ b/crates/plumgate/src/duty/holder.rs
@@ -22,7 +22,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Maximum number of unanswered writes that are remembered: as many as occur in a second of lost answers.
+/// Maximum number of unanswered writes that are remembered: as many as occur in a second of lost responses.
 const MAX_PENDING_WRITES: usize = 8;
 
 /// Durations of the lease.
@@ -103,7 +103,7 @@
     era: StoreEra,
 }
 
-/// Acquires, renews and loses the lease for one node.
+/// State of the lease on one node: acquisition, renewal and loss.
 #[derive(Debug)]
 pub struct DutyHolder {
     own: DutyIdentity,
@@ -183,8 +183,8 @@
 
     /// Returns the next call to the store, if one is due. `contents` is the state to store for the next holder.
     /// `inherit` computes the state that a new holder starts with from the contents of the row. Its second
-    /// argument says whether the history is broken: the store was restored from an older state, and something
-    /// may have been sent that is not recorded in the row.
+    /// argument is `true` if the history is broken: the store was restored from an older state, and reports
+    /// may have been sent that are not recorded in the row.
     pub fn tick(
         &mut self,
         contents: &DutyContents,
@@ -199,7 +199,7 @@
         }
         if let Some(tenure) = &self.tenure {
             let is_due = now >= tenure.renewed_at + self.times.renew_after;
-            // A report has to be recorded before it is sent. That it was sent is written with the next renewal.
+            // A report has to be recorded before it is sent; the next renewal records that it was sent.
             let recorded = &tenure.row.contents.notes;
             let is_recorded = contents.notes.iter().all(|note| recorded.contains(note));
             if !is_due && is_recorded {
@@ -213,14 +213,14 @@
         }
         let seen = self.seen.as_ref()?;
         let is_free = now >= seen.since + self.times.lease;
-        let is_own_chain = self.carried.is_some();
+        let is_continued = self.carried.is_some();
         // In the first era of the store a missing row means that there has never been one.
         let is_first = seen.row.is_none() && seen.version.era == 0;
-        if !(is_free || is_own_chain || is_first) {
+        if !(is_free || is_continued || is_first) {
             return self.start_call(DutyCall::Read, now);
         }
         let expected_version = seen.version.number;
-        let inherited = if is_own_chain {
+        let inherited = if is_continued {
             contents.clone()
         } else {
             let row_era = seen.row.as_ref().map(|row| row.era);
@@ -318,8 +318,8 @@
         if era <= self.era {
             return;
         }
-        // As long as no other node can have acquired the lease, before the store failed or after its return, this
-        // node knows everything that was sent. Other nodes first have to see the row unchanged for the duration
+        // As long as no other node can have acquired the lease, before the store failed or after it was restored,
+        // this node knows everything that was sent. Other nodes first have to see the row unchanged for the duration
         // of a lease in the new era.
         let until = self
             .tenure
@@ -373,7 +373,7 @@
                 since: now,
             });
         }
-        // A lease that this node carries over is acquired at once; the row of another holder is polled.
+        // A lease that this node carries over is acquired immediately; the row of another holder is polled.
         if self.carried.is_none() {
             self.next_call_at = now + POLL_INTERVAL;
         }
--- a/crates/plumgate/src/duty/mod.rs
+++ b/crates/plumgate/src/duty/mod.rs
@@ -1,9 +1,9 @@
 //! Duties: calls to the duty API, an external service, that only one node at a time may make. They are usage
 //! reports and orders of backend servers.
 //!
-//! The duty API keeps no state for the nodes and may not check who calls. The state that has to survive a change
-//! of holder is in the lease row in the store: the holder, its fencing number, and the reports that may have
-//! been sent.
+//! The duty API stores no state for the nodes and does not necessarily check which node calls. The state that has
+//! to survive a change of holder is in the lease row in the store: the holder, its fencing number, and the reports that
+//! may have been sent.
 
 mod agreed_clock;
 mod coordinator;
--- a/crates/plumgate/src/duty/order_tracker.rs
+++ b/crates/plumgate/src/duty/order_tracker.rs
@@ -1,4 +1,4 @@
-//! Tracks the orders of backend servers and decides which one is due next.
+//! Tracker of the orders of backend servers, which decides which order is due next.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,14 +16,14 @@
 /// much and are released as soon as the effect of the first order is visible.
 const LASTING_DECREASE_INTERVAL: Duration = Duration::from_secs(2);
 /// Maximum number of servers that one order removes. Nodes send each other 400 server updates a second; if
-/// thousands of servers left at once, nodes would learn of it too late and send requests to servers that are
-/// leaving.
+/// thousands of servers left at once, the updates would arrive too late, and nodes would send requests to servers
+/// that are leaving.
 const MAX_DECREASE: u32 = 60;
 /// Time for which a new holder removes no servers.
 const TAKEOVER_PAUSE: Duration = Duration::from_secs(4);
 /// Minimum share of the ordered number by which an order lowers it.
 const MIN_DECREASE_SHARE: f64 = 0.12;
-/// Time beyond the boot time that servers are waited for before they are ordered again.
+/// Time beyond the boot time after which servers that did not start are ordered again.
 const BOOT_MARGIN: Duration = Duration::from_secs(2);
 
 /// Last order for one subject.
@@ -33,7 +33,7 @@
     at: Instant,
 }
 
-/// Tracks what was ordered and decides which orders are due.
+/// Tracker of the last orders, which decides which orders are due.
 #[derive(Clone, Debug, Default)]
 pub struct OrderTracker {
     /// Time of the first call of `next`.
--- a/crates/plumgate/src/duty/row.rs
+++ b/crates/plumgate/src/duty/row.rs
@@ -74,11 +74,11 @@
 
     /// Returns the fencing number of the row stored at `version`.
     ///
-    /// The store assigns a version once in an era, so two writes that acquire the lease never have the same
+    /// The store assigns a version at most once per era, so two writes that acquire the lease never have the same
     /// number, and the later one has the higher number.
     pub fn number_at(&self, version: StoreVersion) -> FencingNumber {
-        let fresh = (version.era << VERSION_BITS) | version.number;
-        self.number.unwrap_or(fresh)
+        let new_number = (version.era << VERSION_BITS) | version.number;
+        self.number.unwrap_or(new_number)
     }
 }
 
@@ -94,9 +94,9 @@
 /// Call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyCall {
-    /// Reads the row.
+    /// Read the row.
     Read,
-    /// Writes the row if its condition holds.
+    /// Write the row if its condition holds.
     Write(DutyWrite),
 }
 
--- a/crates/plumgate/src/duty/scale.rs
+++ b/crates/plumgate/src/duty/scale.rs
@@ -1,7 +1,7 @@
 //! Scaling policy: the number of backend servers of each kind that a pool should have in each data centre.
 //!
-//! It is made for prompts that arrive in bursts of seconds, servers that take seconds to start, and reclaimable
-//! servers that cost a fraction of the price but may all be lost at once in a data centre.
+//! It is designed for prompts that arrive in bursts of seconds, servers that take seconds to start, and reclaimable
+//! servers that cost a fraction of the price but may all be reclaimed at once in a data centre.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -122,8 +122,8 @@
 
 /// Policy that decides how many servers a pool should have.
 pub trait ScalePolicy {
-    /// Returns the wanted numbers of servers. `is_unavailable` says whether a kind of servers is not available
-    /// in a data centre.
+    /// Returns the wanted numbers of servers. `is_unavailable` returns whether a kind of servers is not
+    /// available in a data centre.
     fn wanted(
         &mut self,
         scaling: &PoolScaling,
@@ -157,6 +157,7 @@
 /// Time for which a pool is observed before servers are ordered for it: more than two status report intervals of a
 /// server.
 const OBSERVATION_TIME: Duration = Duration::from_millis(2_500);
+
 /// Policy that follows the load: reclaimable servers if they are cheaper, and lasting ones for the need that the
 /// present reclaimable ones do not cover.
 #[derive(Clone, Debug)]
--- a/crates/plumgate/src/duty/usage.rs
+++ b/crates/plumgate/src/duty/usage.rs
@@ -26,7 +26,7 @@
 const COUNT_LAG: UnixMillis = 300;
 /// Number of transmissions after which all counts are sent again, changed or not, to make up for lost messages.
 const FULL_SEND_ROUNDS: u32 = 4;
-/// Time for which the counts of a silent node are waited for: it may be disconnected or restarting.
+/// Time for which the sums wait for the counts of a silent node: it may be disconnected or restarting.
 const MEMBER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Digest of a workspace name, used in messages between nodes.
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Sends all counts again at once, for a new receiver. The regular full transmission would come too late for
-    /// the windows that a new holder reports first.
+    /// Makes all counts due for immediate retransmission, for a new receiver. The regular full transmission would
+    /// come too late for the windows that a new holder reports first.
     pub fn resend_all(&mut self) {
         self.queue.sent.clear();
         self.queue.next_at = Duration::ZERO;
@@ -305,36 +305,36 @@
         data_centres: &[DataCentreId],
     ) -> (UsageCounts, bool) {
         let end = self.times.end(window);
-        let is_whole = data_centres.iter().all(|data_centre| {
+        let is_complete = data_centres.iter().all(|data_centre| {
             let known = self.data_centres.get(data_centre);
             known.is_some_and(|known| known.as_of >= end)
         });
         let mut counts = UsageCounts::new();
         for workspace in workspaces {
             let key = workspace_key(workspace);
-            let of_data_centres = self.data_centres.values().filter_map(|data_centre| {
+            let data_centre_counts = self.data_centres.values().filter_map(|data_centre| {
                 let counts = data_centre.windows.get(&window)?;
                 counts.get(&key).copied()
             });
-            let sum: u64 = of_data_centres.sum();
+            let sum: u64 = data_centre_counts.sum();
             if sum > 0 {
                 counts.insert(workspace.to_owned(), sum);
             }
         }
-        (counts, is_whole)
+        (counts, is_complete)
     }
 
     /// Returns the number of counts in the table, for metrics.
     pub fn len(&self) -> usize {
-        let of_members = self
+        let member_windows = self
             .members
             .values()
             .flat_map(|m| m.by_incarnation.values());
-        let of_data_centres = self
+        let data_centre_windows = self
             .data_centres
             .values()
             .map(|data_centre| &data_centre.windows);
-        let windows = of_members.chain(of_data_centres);
+        let windows = member_windows.chain(data_centre_windows);
         windows.flat_map(BTreeMap::values).map(BTreeMap::len).sum()
     }
 
@@ -383,8 +383,8 @@
             let Some((data_centre, window, key, count)) = self.pending.pop() else {
                 break;
             };
-            let starts = parts.last().is_none_or(|(last, ..)| *last != data_centre);
-            if starts {
+            let is_new_part = parts.last().is_none_or(|(last, ..)| *last != data_centre);
+            if is_new_part {
                 parts.push((data_centre, Vec::new(), None));
             }
             let Some((_, rows, _)) = parts.last_mut() else {
@@ -402,7 +402,7 @@
             for (data_centre, as_of) in std::mem::take(&mut self.as_of) {
                 let part = parts.iter_mut().find(|(name, ..)| *name == data_centre);
                 match part {
-                    Some((.., whole)) => *whole = Some(as_of),
+                    Some((.., part_as_of)) => *part_as_of = Some(as_of),
                     None => parts.push((data_centre, Vec::new(), Some(as_of))),
                 }
             }
@@ -415,12 +415,12 @@
     data_centre: Option<DataCentreId>,
     windows: &WindowCounts,
 ) -> Vec<(Option<DataCentreId>, WindowId, WorkspaceKey, u64)> {
-    let each = windows.iter().flat_map(|(window, counts)| {
+    let entries = windows.iter().flat_map(|(window, counts)| {
         let data_centre = data_centre.clone();
-        let each = counts.iter();
-        each.map(move |(key, count)| (data_centre.clone(), *window, *key, *count))
+        let counts = counts.iter();
+        counts.map(move |(key, count)| (data_centre.clone(), *window, *key, *count))
     });
-    each.collect()
+    entries.collect()
 }
 
 fn merge_rows(windows: &mut WindowCounts, rows: &[WindowUpdate]) {
--- a/crates/plumgate/src/duty/usage_reporter.rs
+++ b/crates/plumgate/src/duty/usage_reporter.rs
@@ -18,7 +18,7 @@
 const WAIT_SHARE: f64 = 0.65;
 /// Maximum difference between the agreed times of two nodes.
 const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_millis(500);
-/// Number of closed windows whose outcome is kept for operators.
+/// Number of closed windows whose outcome is stored for operators.
 const MAX_OUTCOMES: usize = 16;
 
 /// Durations of the reports.
@@ -45,7 +45,7 @@
 /// State of the report for a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowState {
-    /// The counts are fixed; they have to be recorded in the store before they are sent.
+    /// The counts are final; they have to be recorded in the store before they are sent.
     Frozen,
     /// The duty API has accepted the report.
     Sent,
@@ -77,7 +77,7 @@
     state: WindowState,
 }
 
-/// Tracks which reports are due and which may have been sent.
+/// Tracker of the reports that are due or may have been sent.
 #[derive(Clone, Debug)]
 pub struct UsageReporter {
     times: ReportTimes,
@@ -125,9 +125,9 @@
         unix: UnixMillis,
     ) -> DutyContents {
         let mut inherited = contents.clone();
-        let unsent = times.window_at(unix.saturating_sub(millis(MAX_CLOCK_DIFFERENCE)));
+        let first_unsent = times.window_at(unix.saturating_sub(millis(MAX_CLOCK_DIFFERENCE)));
         if is_broken {
-            inherited.passed = inherited.passed.max(unsent.saturating_sub(1));
+            inherited.passed = inherited.passed.max(first_unsent.saturating_sub(1));
         }
         inherited
     }
@@ -146,7 +146,7 @@
         self.open = open.collect();
     }
 
-    /// Fixes the counts of the windows that are due. `counts` returns the counts of a window, and whether they are
+    /// Freezes the counts of the windows that are due. `counts` returns the counts of a window, and whether they are
     /// complete up to its end.
     pub fn freeze(
         &mut self,
@@ -162,8 +162,8 @@
             if since_end >= self.times.late || since_end < COUNT_DELAY {
                 continue;
             }
-            let (counts, is_whole) = counts(window);
-            if is_whole || since_end >= self.times.late.mul_f64(WAIT_SHARE) {
+            let (counts, is_complete) = counts(window);
+            if is_complete || since_end >= self.times.late.mul_f64(WAIT_SHARE) {
                 let state = WindowState::Frozen;
                 self.open.insert(window, OpenReport { counts, state });
             }
@@ -198,12 +198,12 @@
         self.times.window_at(since).saturating_sub(1)
     }
 
-    /// Closes windows in order as long as their reports are sent or come too late.
+    /// Closes windows in order as long as their reports were sent or would no longer be accepted.
     fn close_windows(&mut self, unix: UnixMillis) {
         let oldest = self.oldest(unix);
         if self.passed < oldest {
-            // After days without a running node, the windows of that time are skipped rather than closed one by
-            // one.
+            // After days without a running node, the windows of that time are skipped rather than closed
+            // individually.
             self.open = self.open.split_off(&oldest);
             self.passed = oldest.saturating_sub(1);
         }
@@ -241,7 +241,7 @@
         &self.outcomes
     }
 
-    /// Iterates over the windows whose counts are fixed and that are not closed yet.
+    /// Iterates over the windows whose counts are final and that are not closed yet.
     pub fn open_windows(&self) -> impl Iterator<Item = (WindowId, WindowState)> {
         self.open
             .iter()
--- a/crates/plumgate/src/findings.rs
+++ b/crates/plumgate/src/findings.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Least Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested for an unknown one.
+/// Minimum Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.75;
 
 /// Fault in an operator's input.
--- a/crates/plumgate/src/ids.rs
+++ b/crates/plumgate/src/ids.rs
@@ -18,7 +18,7 @@
 pub type NodeId = Arc<str>;
 /// Id of one caller's request, unique over all nodes.
 pub type RequestId = Arc<str>;
-/// Version of the configuration; it only ever goes up.
+/// Version of the configuration, which only increases.
 pub type ConfigVersion = u64;
 /// Epoch of a lease; orders carry it so that engines can refuse orders of an earlier holder.
 pub type FencingNumber = u64;
--- a/crates/plumgate/src/lease.rs
+++ b/crates/plumgate/src/lease.rs
@@ -19,7 +19,7 @@
 /// Time before the end of a lease at which the holder stops acting, since the clocks of two VMs differ
 /// in rate.
 pub const LEASE_MARGIN: Duration = Duration::from_secs(2);
-/// Longest time from sending an order to its end at the engine.
+/// Maximum time from sending an order until the engine has completed it.
 pub const MAX_ORDER_DURATION: Duration = Duration::from_secs(3);
 /// Time from one renewal to the next.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Returns the next action, if one is due. `wanted` says whether this node should hold the lease.
+    /// Returns the next action, if one is due. `wanted`: whether this node should hold the lease.
     pub fn tick(&mut self, wanted: bool, now: Instant) -> Option<LeaseAction> {
         self.expire(now);
         if !wanted {
@@ -144,7 +144,8 @@
         self.seen = None;
     }
 
-    /// Gives the lease up by this node's clock, [`LEASE_MARGIN`] before another node may claim it.
+    /// Ends the lease when it has expired by this node's clock, [`LEASE_MARGIN`] before another node may
+    /// claim it.
     fn expire(&mut self, now: Instant) {
         if self.valid_until.is_some_and(|until| now >= until) {
             if self.run.expects("margin_reached") {
@@ -236,7 +237,7 @@
         self.valid_until = Some(requested_at + LEASE_DURATION - LEASE_MARGIN);
         if is_new {
             // An engine that ignores fencing numbers may still receive the last order of the previous
-            // holder. No such order is in progress any more once the longest order time has passed.
+            // holder. No such order is still in progress once the maximum order time has passed.
             self.settled_at = Some(now + LEASE_MARGIN + MAX_ORDER_DURATION);
         }
         self.held = Some((row, version));
--- a/crates/plumgate/src/limits.rs
+++ b/crates/plumgate/src/limits.rs
@@ -1,8 +1,8 @@
 //! Workspace limits, split over the nodes by demand.
 //!
 //! Each node enforces its share of a limit without a request to another node. Shares follow the demand
-//! that nodes report to each other; a node that is cut off from its peers takes an equal share among all
-//! nodes that it knew. While shares change, nodes may together exceed the limit, by at most the limit
+//! that nodes report to each other; a node that is disconnected from its peers takes an equal share among
+//! all nodes that it knew. While shares change, nodes may together exceed the limit, by at most the limit
 //! itself, until the demand of the others is known.
 
 use std::collections::{BTreeMap, HashMap};
@@ -20,23 +20,24 @@
 const BURST_SECONDS: f64 = 3.0;
 /// Smallest burst in requests that a workspace has on any node, however small its share.
 const MIN_BURST: f64 = 3.0;
-/// Fraction of a limit that is split equally, so that a node with new demand can admit requests at once.
+/// Fraction of a limit that is split equally, so that a node with new demand can admit requests
+/// immediately.
 const EQUAL_FRACTION: f64 = 0.1;
 
 /// This node's use of one workspace's limits.
 #[derive(Clone, Debug)]
-struct WorkspaceUse {
+struct WorkspaceUsage {
     in_flight: u32,
     bucket: TokenBucket<Instant>,
     demand: f64,
     demand_at: Instant,
 }
 
-impl WorkspaceUse {
+impl WorkspaceUsage {
     fn new(now: Instant) -> Self {
         Self {
             in_flight: 0,
-            // Nothing was used yet: the first refill reduces this to the allowed burst.
+            // Nothing has been used yet: the first refill reduces this to the allowed burst.
             bucket: TokenBucket::new(f64::INFINITY, now),
             demand: 0.0,
             demand_at: now,
@@ -60,7 +61,7 @@
 /// All workspace limits as one node enforces them.
 #[derive(Clone, Debug, Default)]
 pub struct WorkspaceLimits {
-    uses: BTreeMap<WorkspaceId, WorkspaceUse>,
+    usages: BTreeMap<WorkspaceId, WorkspaceUsage>,
     peers: BTreeMap<NodeId, PeerDemand>,
     nodes: usize,
     lifetime: Duration,
@@ -97,13 +98,13 @@
         );
     }
 
-    /// Returns this node's demand in requests per second, for its peers; only workspaces with more than
-    /// 0.01.
+    /// Returns this node's demand by workspace in requests per second, to be reported to its peers; demand
+    /// of 0.01 or less is omitted.
     pub fn demand(&self, now: Instant) -> Vec<(WorkspaceId, f32)> {
         let demands = self
-            .uses
+            .usages
             .iter()
-            .map(|(id, used)| (id.clone(), used.demand(now) as f32));
+            .map(|(id, usage)| (id.clone(), usage.demand(now) as f32));
         demands.filter(|(_, demand)| *demand > 0.01).collect()
     }
 
@@ -116,31 +117,34 @@
     ) -> Result<(), Duration> {
         self.count_demand(workspace, now);
         let rate = self.share(workspace, limit, now);
-        let used = self.used(workspace, now);
+        let usage = self.usage_mut(workspace, now);
         let depth = (rate * BURST_SECONDS).max(MIN_BURST);
-        used.bucket.refill(rate, depth, now);
-        if used.bucket.take(1.0) {
+        usage.bucket.refill(rate, depth, now);
+        if usage.bucket.take(1.0) {
             return Ok(());
         }
-        Err(used.bucket.wait(rate))
+        Err(usage.bucket.wait(rate))
     }
 
     /// Returns whether the workspace may have one more request in flight on this node.
     pub fn has_room(&self, workspace: &WorkspaceId, limit: u32, now: Instant) -> bool {
-        let in_flight = self.uses.get(workspace).map_or(0, |used| used.in_flight);
+        let in_flight = self
+            .usages
+            .get(workspace)
+            .map_or(0, |usage| usage.in_flight);
         let share = self.share(workspace, limit, now).ceil() as u32;
         in_flight < share.max(1)
     }
 
     /// Counts a request that was sent to a server.
     pub fn start(&mut self, workspace: &WorkspaceId, now: Instant) {
-        self.used(workspace, now).in_flight += 1;
+        self.usage_mut(workspace, now).in_flight += 1;
     }
 
     /// Counts a request that ended at its server.
     pub fn finish(&mut self, workspace: &WorkspaceId, now: Instant) {
-        let used = self.used(workspace, now);
-        used.in_flight = used.in_flight.saturating_sub(1);
+        let usage = self.usage_mut(workspace, now);
+        usage.in_flight = usage.in_flight.saturating_sub(1);
     }
 
     /// Returns this node's share of a limit.
@@ -159,9 +163,9 @@
             .map(|demand| f64::from(*demand))
             .sum();
         let own = self
-            .uses
+            .usages
             .get(workspace)
-            .map_or(0.0, |used| used.demand(now));
+            .map_or(0.0, |usage| usage.demand(now));
         let total = own + others;
         if total <= 0.0 {
             return equal;
@@ -184,14 +188,14 @@
     }
 
     fn count_demand(&mut self, workspace: &WorkspaceId, now: Instant) {
-        let used = self.used(workspace, now);
-        used.demand = used.demand(now) + 1.0 / DEMAND_WINDOW.as_secs_f64();
-        used.demand_at = now;
+        let usage = self.usage_mut(workspace, now);
+        usage.demand = usage.demand(now) + 1.0 / DEMAND_WINDOW.as_secs_f64();
+        usage.demand_at = now;
     }
 
-    fn used(&mut self, workspace: &WorkspaceId, now: Instant) -> &mut WorkspaceUse {
-        self.uses
+    fn usage_mut(&mut self, workspace: &WorkspaceId, now: Instant) -> &mut WorkspaceUsage {
+        self.usages
             .entry(workspace.clone())
-            .or_insert_with(|| WorkspaceUse::new(now))
+            .or_insert_with(|| WorkspaceUsage::new(now))
     }
 }
--- a/crates/plumgate/src/membership.rs
+++ b/crates/plumgate/src/membership.rs
@@ -14,13 +14,13 @@
 
 /// Shortest time between two gossip rounds.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(500);
-/// Peers of the node's own data centre that a round is sent to.
+/// Number of peers in the node's own data centre that a round is sent to.
 const FAN_OUT: usize = 3;
-/// Nodes of a data centre that exchange gossip with other data centres.
+/// Number of nodes of a data centre that exchange gossip with other data centres.
 const BRIDGES: usize = 2;
 /// Largest number of digests in one message.
 const MAX_DIGESTS: usize = 24;
-/// Number of missed beats after which a node counts as gone.
+/// Number of missed beats after which a node counts as expired.
 const MAX_MISSED_BEATS: u32 = 8;
 /// Average number of times that a digest reaches a node until all nodes have it.
 const REDUNDANCY: f64 = 2.5;
@@ -33,8 +33,8 @@
 const LARGE_FLEET_BYTE_RATE: f64 = 5.0 * 1024.0;
 /// Shortest time between two messages to new nodes that contain all known digests.
 const KNOWN_DIGESTS_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which a gone node is remembered, so that relayed old digests don't make it count as alive.
-const GONE_RETENTION: Duration = Duration::from_secs(120);
+/// Time for which an expired node is remembered, so that relayed old digests don't make it count as alive.
+const EXPIRED_RETENTION: Duration = Duration::from_secs(120);
 /// Gap between two ticks above which this process counts as having been suspended.
 const SUSPENSION_GAP: Duration = Duration::from_secs(2);
 /// Number of times that a node relays a digest.
@@ -71,13 +71,13 @@
     digest: NodeDigest,
     received_at: Instant,
     relays: u32,
-    is_gone: bool,
+    is_expired: bool,
 }
 
 /// Change in the set of nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// A digest of a node arrived for the first time, or again after it was gone.
+    /// A digest of a node arrived for the first time, or again after the node had expired.
     Joined(NodeId),
     /// No new digest of a node arrived within [`MemberTable::lifetime`].
     Gone(NodeId),
@@ -146,8 +146,8 @@
         &self.own
     }
 
-    /// Applies the platform's list. It lags: a node on it may be gone, and one that is missing may be
-    /// alive, so it only adds addresses and leaving marks.
+    /// Applies the platform's list. It lags: a node on it may no longer exist, and one that is missing may
+    /// be alive, so it only adds addresses and leaving marks.
     pub fn apply_list(&mut self, nodes: Vec<ListedNode>) {
         self.listed = nodes
             .into_iter()
@@ -173,7 +173,7 @@
             return false;
         }
         let id = NodeId::from(digest.node.as_str());
-        if known.is_none_or(|peer| peer.is_gone) {
+        if known.is_none_or(|peer| peer.is_expired) {
             self.pending_events.push(MemberEvent::Joined(id.clone()));
         }
         if digest.stopping && known.is_none_or(|peer| !peer.digest.stopping) {
@@ -183,7 +183,7 @@
             digest: digest.clone(),
             received_at: now,
             relays: 0,
-            is_gone: false,
+            is_expired: false,
         };
         self.peers.insert(id, state);
         true
@@ -194,17 +194,17 @@
     /// Rounds carry a few digests at a time. A node that has just started, or a whole data centre that
     /// reconnects, would need many rounds to learn of all others.
     pub fn known_digests(&mut self, sender: &str, now: Instant) -> Option<Vec<NodeDigest>> {
-        let is_known = self.peers.get(sender).is_some_and(|peer| !peer.is_gone);
+        let is_known = self.peers.get(sender).is_some_and(|peer| !peer.is_expired);
         if is_known || self.next_known_digests.is_some_and(|due| now < due) {
             return None;
         }
         self.next_known_digests = Some(now + KNOWN_DIGESTS_INTERVAL);
-        let alive = self.peers.values().filter(|peer| !peer.is_gone);
+        let alive = self.peers.values().filter(|peer| !peer.is_expired);
         Some(alive.map(|peer| peer.digest.clone()).collect())
     }
 
-    /// Detects nodes that are gone and whether this process was suspended; returns all changes since the
-    /// last tick.
+    /// Detects expired nodes and whether this process was suspended; returns all changes since the last
+    /// tick.
     pub fn tick(&mut self, now: Instant) -> Vec<MemberEvent> {
         let mut events = std::mem::take(&mut self.pending_events);
         let gap = self
@@ -218,22 +218,22 @@
         let lifetime = self.lifetime();
         for (id, peer) in &mut self.peers {
             let silence = now.saturating_duration_since(peer.received_at);
-            if !peer.is_gone && silence > lifetime {
-                peer.is_gone = true;
+            if !peer.is_expired && silence > lifetime {
+                peer.is_expired = true;
                 events.push(MemberEvent::Gone(id.clone()));
             }
         }
         self.peers.retain(|_, peer| {
-            now.saturating_duration_since(peer.received_at) < lifetime + GONE_RETENTION
+            now.saturating_duration_since(peer.received_at) < lifetime + EXPIRED_RETENTION
         });
         events
     }
 
-    /// Handles a suspension of this process. Afterwards every peer looks silent, and the peers may count
-    /// this node as gone. Each live peer gets a full lifetime again, and this node's view counts as
-    /// stale for two rounds, until digests of peers arrive.
+    /// Handles a suspension of this process. Afterwards every peer seems to be silent, and the peers may
+    /// count this node as expired. Each live peer gets a full lifetime again, and this node's view counts
+    /// as stale for two rounds, until digests of peers arrive.
     fn on_suspension(&mut self, now: Instant) {
-        for peer in self.peers.values_mut().filter(|peer| !peer.is_gone) {
+        for peer in self.peers.values_mut().filter(|peer| !peer.is_expired) {
             peer.received_at = now;
         }
         self.stale_until = Some(now + self.round_length() * 2);
@@ -282,9 +282,9 @@
 
     /// Records how many bytes a round took.
     ///
-    /// The more they were, the later the next round is, so that what a node sends and receives per
-    /// second stays bounded as fleets grow. Each beat of each node has to reach all others, so beats
-    /// come no faster than the bytes of all digests allow.
+    /// The next round is delayed in proportion, so that what a node sends and receives per second stays
+    /// bounded as fleets grow. Each beat of each node has to reach all others, so the interval between
+    /// beats grows with the bytes of all digests.
     pub fn record_sent(&mut self, bytes: u64, round: &GossipRound, now: Instant) {
         let nodes = self.live_count();
         let byte_rate = if nodes <= SMALL_FLEET {
@@ -292,16 +292,16 @@
         } else {
             LARGE_FLEET_BYTE_RATE
         };
-        let carried = (round.addresses.len() * round.digests.len()).max(1);
-        let digest = bytes as f64 / carried as f64;
+        let digests_sent = (round.addresses.len() * round.digests.len()).max(1);
+        let digest_bytes = bytes as f64 / digests_sent as f64;
         let length = Duration::from_secs_f64(bytes as f64 / byte_rate);
-        let beat = Duration::from_secs_f64(nodes as f64 * digest * REDUNDANCY / byte_rate);
+        let beat = Duration::from_secs_f64(nodes as f64 * digest_bytes * REDUNDANCY / byte_rate);
         self.round = length.max(MIN_ROUND_INTERVAL);
         self.beat = beat.max(self.round);
         self.next_round = Some(now + self.round);
     }
 
-    /// Returns how long a digest counts without a newer one of its node.
+    /// Returns the time after which a digest expires if no newer one of its node arrives.
     pub fn lifetime(&self) -> Duration {
         self.beat.max(MIN_ROUND_INTERVAL) * MAX_MISSED_BEATS
     }
@@ -315,29 +315,30 @@
     /// Returns the addresses of the next round: some peers of the own data centre, one of each other
     /// data centre if this node is a bridge, and one address without a live node.
     pub fn gossip_targets(&mut self) -> Vec<String> {
-        let mut near = Vec::new();
-        let mut far: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        let mut targets = Vec::new();
+        let mut remote: BTreeMap<String, Vec<String>> = BTreeMap::new();
         let mut known = BTreeSet::new();
-        for peer in self.peers.values().filter(|peer| !peer.is_gone) {
+        for peer in self.peers.values().filter(|peer| !peer.is_expired) {
             known.insert(peer.digest.address.clone());
             if peer.digest.data_centre == self.own.data_centre {
-                near.push(peer.digest.address.clone());
+                targets.push(peer.digest.address.clone());
             } else {
                 let data_centre = peer.digest.data_centre.clone();
-                far.entry(data_centre)
+                remote
+                    .entry(data_centre)
                     .or_default()
                     .push(peer.digest.address.clone());
             }
         }
-        self.rng.shuffle(&mut near);
-        near.truncate(FAN_OUT);
+        self.rng.shuffle(&mut targets);
+        targets.truncate(FAN_OUT);
         if self.is_bridge() {
-            for addresses in far.values_mut() {
-                near.extend(self.rng.choice(addresses.iter()).cloned());
+            for addresses in remote.values_mut() {
+                targets.extend(self.rng.choice(addresses.iter()).cloned());
             }
         }
-        near.extend(self.unreached_address(&known));
-        near
+        targets.extend(self.unreached_address(&known));
+        targets
     }
 
     /// Returns one known address without a live node, so that partitioned groups find each other again.
@@ -358,7 +359,7 @@
         let mut peers: Vec<&mut PeerState> = self
             .peers
             .values_mut()
-            .filter(|peer| !peer.is_gone && peer.relays < MAX_RELAYS)
+            .filter(|peer| !peer.is_expired && peer.relays < MAX_RELAYS)
             .collect();
         // Random order among equals: in the order of names the same nodes would always come first, and
         // the digests of the last ones would never be relayed.
@@ -404,7 +405,7 @@
         let alive = self
             .peers
             .values()
-            .filter(|peer| !peer.is_gone && !peer.digest.stopping);
+            .filter(|peer| !peer.is_expired && !peer.digest.stopping);
         alive.map(|peer| &peer.digest)
     }
 
@@ -414,8 +415,8 @@
     }
 
     /// Returns the nodes that share servers and limits, by data centre: the live ones, and those that
-    /// the platform lists though they are not alive in gossip. A node that is cut off may continue to
-    /// serve requests.
+    /// the platform lists though they are not alive in gossip. A disconnected node may continue to serve
+    /// requests.
     pub fn sharing(&self) -> SharingNodes {
         let mut groups = SharingNodes::new();
         let own = NodeId::from(self.own.node.as_str());
@@ -441,7 +442,7 @@
     pub fn peer(&self, node: &str) -> Option<&NodeDigest> {
         self.peers
             .get(node)
-            .filter(|peer| !peer.is_gone)
+            .filter(|peer| !peer.is_expired)
             .map(|peer| &peer.digest)
     }
 }
--- a/crates/plumgate/src/outcome.rs
+++ b/crates/plumgate/src/outcome.rs
@@ -16,7 +16,7 @@
 }
 
 impl RunOutcome {
-    /// Returns the word for errors and logs.
+    /// Returns the name used in errors and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
--- a/crates/plumgate/src/retry.rs
+++ b/crates/plumgate/src/retry.rs
@@ -4,11 +4,11 @@
 
 use crate::outcome::RunOutcome;
 
-/// Retries in a new budget, before any request was accepted.
+/// Number of retries in a new budget, before any request was accepted.
 const INITIAL_RETRIES: f64 = 10.0;
 /// Largest number of retries that a budget accumulates.
 const MAX_SAVED_RETRIES: f64 = 100.0;
-/// Consecutive failures on new connections that open a circuit.
+/// Number of consecutive failures on new connections that opens a circuit.
 const CIRCUIT_FAILURES: u32 = 3;
 /// Time for which a circuit stays open the first time; doubled each further time.
 const FIRST_CIRCUIT_PAUSE: Duration = Duration::from_secs(1);
@@ -121,7 +121,7 @@
         let factor = 1u32 << self.pauses.min(10);
         self.open_until = Some(now + (FIRST_CIRCUIT_PAUSE * factor).min(MAX_CIRCUIT_PAUSE));
         self.pauses += 1;
-        // One failure after the pause opens the circuit again.
+        // A single failure after the pause opens the circuit again.
         self.failures = CIRCUIT_FAILURES - 1;
     }
 
--- a/crates/plumgate/src/route/estimate.rs
+++ b/crates/plumgate/src/route/estimate.rs
@@ -1,4 +1,4 @@
-//! Estimate of the load and the speed of one backend server, as kept by one node.
+//! Estimate of the load and the speed of one backend server on one node.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -187,7 +187,7 @@
         is_fresh.then_some(current.report.running + current.report.waiting)
     }
 
-    /// Returns whether the server's last report is recent and says that it is leaving.
+    /// Returns whether the server's last report is recent and marks it as leaving.
     pub(crate) fn reports_leaving(&self, now: Instant) -> bool {
         let is_fresh = |current: &TimestampedReport| {
             now.saturating_duration_since(current.measured_at) < REPORT_LIFETIME
--- a/crates/plumgate/src/route/shares.rs
+++ b/crates/plumgate/src/route/shares.rs
@@ -77,8 +77,8 @@
         slots / nodes + u32::from(*position < remainder)
     }
 
-    /// Returns whether a node that shares the server has sent nothing lately.
-    pub(crate) fn has_silent_node(&self, server: &Server) -> bool {
+    /// Returns whether a node that shares the server is listed by the platform but not alive in gossip.
+    pub(crate) fn has_unresponsive_node(&self, server: &Server) -> bool {
         self.groups
             .get(&server.data_centre)
             .is_some_and(|group| group.has_unresponsive)
--- a/crates/plumgate/src/route/speed.rs
+++ b/crates/plumgate/src/route/speed.rs
@@ -10,7 +10,6 @@
 const DEFAULT_PER_TOKEN: f64 = 0.02;
 /// Seconds to the first token, assumed before any server was observed.
 const DEFAULT_TO_FIRST: f64 = 0.05;
-
 /// Seconds for which a request occupies its slot, assumed before any server was observed.
 const DEFAULT_SERVICE_TIME: f64 = 1.0;
 
@@ -62,7 +61,7 @@
 }
 
 impl SpeedEstimate {
-    /// Adds the times of a complete answer.
+    /// Adds the times of a complete response.
     pub(crate) fn observe(
         &mut self,
         to_first: Duration,
@@ -71,12 +70,12 @@
         now: Instant,
     ) {
         let previous = self.observed.map(|(speed, _)| speed);
-        let generating = to_end.saturating_sub(to_first).as_secs_f64();
+        let generation_time = to_end.saturating_sub(to_first).as_secs_f64();
         let observation = ServerSpeed {
-            // An answer of a single token has no time between tokens.
+            // A response of a single token has no time between tokens.
             per_token: match tokens {
                 0 | 1 => previous.unwrap_or_default().per_token,
-                tokens => generating / f64::from(tokens - 1),
+                tokens => generation_time / f64::from(tokens - 1),
             },
             to_first: to_first.as_secs_f64(),
             service_time: to_end.as_secs_f64(),
--- a/crates/plumgate/src/route/table.rs
+++ b/crates/plumgate/src/route/table.rs
@@ -14,11 +14,11 @@
 use crate::ids::{DataCentreId, NodeId, PoolId, ServerId, TierRank};
 use crate::membership::SharingNodes;
 
-/// Added to the predicted wait on a server in another data centre.
+/// Time added to the predicted wait on a server in another data centre.
 const REMOTE_PENALTY: Duration = Duration::from_millis(20);
-/// Relative slowdown of each answer in a full batch.
+/// Relative slowdown of each response in a full batch.
 const BATCH_SLOWDOWN: f64 = 0.2;
-/// Time for which a server counts as leaving after an answer in which it said so.
+/// Time for which a server counts as leaving after a response in which it reported so.
 const LEAVING_LIFETIME: Duration = Duration::from_secs(10);
 /// Share of the time to the first token that a cached prefix saves.
 const PREFIX_SAVING: f64 = 0.5;
@@ -87,7 +87,7 @@
     Platform,
     /// Drain set by an operator in the configuration.
     Operator,
-    /// Report or answer of the server itself.
+    /// Report or response of the server itself.
     Server,
     /// Report of another node.
     Peer,
@@ -186,7 +186,8 @@
         }
     }
 
-    /// Sets the servers that one source reports as leaving; others stay marked only by other sources.
+    /// Sets the servers that one source reports as leaving. Any other server stays marked only if another
+    /// source reports it.
     ///
     /// Returns the servers whose state changed.
     pub fn set_leaving(
@@ -214,10 +215,10 @@
         changed
     }
 
-    /// Marks a server as leaving because it said so in an answer.
+    /// Marks a server as leaving because it reported so in a response.
     ///
-    /// The mark expires: a server that comes back under its old id can't revoke it to nodes that send it
-    /// no requests. If it is still leaving, it refuses the next request without running it.
+    /// The mark expires: a server that restarts under its old id can't revoke it at nodes that send it no
+    /// requests. If it is still leaving, it refuses the next request without running it.
     pub fn mark_leaving(&mut self, server: &ServerId, now: Instant) {
         if self.estimates.contains_key(server) {
             self.reported_leaving
@@ -297,7 +298,7 @@
     }
 
     /// Returns this node's in-flight requests by server, to report to other nodes; servers without any
-    /// are left out.
+    /// are omitted.
     pub fn own_loads(&self) -> Vec<PeerServerLoad> {
         let busy = self
             .estimates
@@ -343,7 +344,7 @@
         }
     }
 
-    /// Records the times of a complete answer, and the success for the server's circuit breaker.
+    /// Records the times of a complete response, and the success for the server's circuit breaker.
     pub fn observe(
         &mut self,
         server: &ServerId,
--- a/crates/plumgate/src/route/table/choose.rs
+++ b/crates/plumgate/src/route/table/choose.rs
@@ -35,7 +35,7 @@
             .filter(|(index, _)| *index != best);
         let runner_up = others
             .min_by(|a, b| a.1.1.cmp(&b.1.1))
-            .map(|(_, (s, w))| (s.id.clone(), *w));
+            .map(|(_, (server, wait))| (server.id.clone(), *wait));
         Some(RouteChoice {
             server: (*server).clone(),
             wait: *wait,
@@ -53,19 +53,24 @@
     ) -> Vec<&'a Server> {
         let pool = self.pools.get(&ticket.pool).into_iter().flatten();
         let servers = pool.filter_map(|id| config.inventory.servers.get(id));
-        let open = servers.filter(|server| self.has_room(config, server, effective_rank, now));
-        let open: Vec<&Server> = open.collect();
+        let available =
+            servers.filter(|server| self.has_free_slot(config, server, effective_rank, now));
+        let available: Vec<&Server> = available.collect();
         // A server on which an attempt failed is used again only if no other has a free slot.
-        let untried: Vec<&Server> = open
+        let untried: Vec<&Server> = available
             .iter()
             .copied()
             .filter(|server| !ticket.avoid.contains(&server.id))
             .collect();
-        if untried.is_empty() { open } else { untried }
+        if untried.is_empty() {
+            available
+        } else {
+            untried
+        }
     }
 
     /// Returns whether the server may get one more request of a rank.
-    pub(super) fn has_room(
+    pub(super) fn has_free_slot(
         &self,
         config: &FleetConfig,
         server: &Server,
@@ -79,26 +84,27 @@
             return false;
         }
         let own = estimate.own_in_flight();
-        // A half-open circuit lets one request through; the others wait for its outcome.
+        // A half-open circuit admits one request as a probe; the others wait for its outcome.
         if estimate.circuit.is_probing() {
             return own == 0;
         }
         let slots = usable_slots(config, server, rank);
         let equal_share = self.shares.equal_share(server, slots);
         if rank > HIGHEST_RANK {
-            // While a node sends no reports, its use of the server is unknown: only the equal share is
-            // certain to be free.
-            let peers_unknown = self.shares.has_silent_node(server);
+            // The use of the server by a node without reports is unknown: only the equal share is certain
+            // to be free.
+            let peers_unknown = self.shares.has_unresponsive_node(server);
             return if peers_unknown {
                 own < equal_share
             } else {
                 estimate.occupied_for_lower_tiers(now) < slots
             };
         }
-        // Reports of other nodes lag behind. Against requests of its own tier the highest tier keeps its
-        // equal share, so that two nodes that see each other's finished requests don't both leave a free
-        // server idle. Slots that other nodes use for lower tiers are requested back by preemption: a
-        // request sent beside those would wait within the server until a long answer of a lower tier ends.
+        // Reports of other nodes lag behind. Requests of the highest tier on other nodes never reduce this
+        // node's equal share for that tier: otherwise two nodes that still count each other's finished
+        // requests would both leave a free server idle. Slots that other nodes use for lower tiers are
+        // freed by preemption instead: a request sent in addition to those would wait within the server
+        // until a long response of a lower tier ends.
         let free = slots.saturating_sub(estimate.peers_in_flight(now));
         own < free.max(equal_share.saturating_sub(estimate.peers_below(rank, now)))
     }
--- a/crates/plumgate/src/wire.rs
+++ b/crates/plumgate/src/wire.rs
@@ -55,7 +55,7 @@
         /// The version that the sender has.
         known_version: ConfigVersion,
     },
-    /// Whole version of the configuration.
+    /// Complete version of the configuration.
     Config {
         /// The version.
         version: ConfigVersion,
