--- a/crates/plumgate/src/duty/holder.rs
+++ b/crates/plumgate/src/duty/holder.rs
@@ -35,7 +35,7 @@
     /// Time after a renewal at which the holder renews again.
     pub renew_after: Duration,
     /// Time that a new holder waits before its first call, so that the last call of its predecessor has ended.
-    pub settle: Duration,
+    pub takeover_delay: Duration,
 }
 
 impl DutyTimes {
@@ -45,7 +45,7 @@
             lease,
             margin: lease.mul_f64(MARGIN_SHARE),
             renew_after: lease.mul_f64(RENEW_SHARE),
-            settle: longest_call,
+            takeover_delay: longest_call,
         }
     }
 }
@@ -84,7 +84,7 @@
     /// Time at which that write was started.
     renewed_at: Duration,
     /// Time from which the holder may act.
-    settled_at: Duration,
+    active_from: Duration,
 }
 
 /// Lease that this node held when the store was restored from an older state.
@@ -164,7 +164,7 @@
     pub fn credential(&self, now: Duration) -> Option<DutyCredential> {
         let tenure = self.tenure.as_ref()?;
         let until = tenure.renewed_at + self.times.lease - self.times.margin;
-        (now < until && now >= tenure.settled_at).then(|| DutyCredential {
+        (now < until && now >= tenure.active_from).then(|| DutyCredential {
             node: self.own.node.clone(),
             number: tenure.number,
         })
@@ -412,10 +412,10 @@
         let number = row.number_at(version);
         let seen = self.seen.take();
         let is_continued = self.carried.take().is_some();
-        let settle = if is_continued {
+        let takeover_delay = if is_continued {
             Duration::ZERO
         } else {
-            self.times.settle
+            self.times.takeover_delay
         };
         self.events.push(HolderEvent::Taken {
             number,
@@ -428,7 +428,7 @@
             row,
             version,
             renewed_at: requested_at,
-            settled_at: now + settle,
+            active_from: now + takeover_delay,
         });
     }
 }
--- a/crates/plumgate/src/duty/order_tracker.rs
+++ b/crates/plumgate/src/duty/order_tracker.rs
@@ -86,8 +86,8 @@
         let started_at = *self.started_at.get_or_insert(now);
         let Some(last) = self.ordered.get(subject) else {
             // A new holder does not know what was ordered before, so it removes no servers at first.
-            let is_new = now.saturating_duration_since(started_at) < TAKEOVER_PAUSE;
-            let is_due = wanted > present || (wanted < present && !is_new);
+            let is_new_holder = now.saturating_duration_since(started_at) < TAKEOVER_PAUSE;
+            let is_due = wanted > present || (wanted < present && !is_new_holder);
             return (is_due && !self.is_paused(subject, now)).then_some(order);
         };
         let since = now.saturating_duration_since(last.at);
--- a/crates/plumgate/src/duty/scale.rs
+++ b/crates/plumgate/src/duty/scale.rs
@@ -149,10 +149,11 @@
     }
 }
 
-/// Window of the peak need. The next burst may follow soon, and a released server loses its cached prompt parts.
+/// Window of the peak need. The next burst may follow soon, and releasing a server discards its cached prompt
+/// parts.
 const PEAK_WINDOW: Duration = Duration::from_secs(20);
-/// Window over which the need for lasting servers is averaged: a burst that ends before a new server would be
-/// ready orders none of these expensive servers.
+/// Window over which the need for lasting servers is averaged, so that a burst that ends before a new server would
+/// be ready does not order any of these expensive servers.
 const MEAN_WINDOW: Duration = Duration::from_secs(8);
 /// Time for which a pool is observed before servers are ordered for it: more than two status report intervals of a
 /// server.
@@ -175,8 +176,9 @@
 /// Options of the policy that follows the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadScalingOptions {
-    /// Total servers per server of need, if cheaper reclaimable ones make up the total. The excess is for steps
-    /// of the load, for bursts within the boot time, and for prompt parts cached where they are needed.
+    /// Total servers per server of need, if cheaper reclaimable ones make up the total. The excess is for
+    /// sudden increases of the load, for bursts that arrive before ordered servers have started, and for prompt
+    /// parts that are cached where they are needed.
     pub headroom: f64,
     /// Total servers per server of need, from which the present reclaimable ones are subtracted to get the number
     /// of lasting ones.
--- a/crates/plumgate/src/duty/usage_reporter.rs
+++ b/crates/plumgate/src/duty/usage_reporter.rs
@@ -81,7 +81,8 @@
 #[derive(Clone, Debug)]
 pub struct UsageReporter {
     times: ReportTimes,
-    passed: WindowId,
+    /// Last closed window.
+    last_closed: WindowId,
     open: BTreeMap<WindowId, OpenReport>,
     outcomes: Vec<WindowOutcome>,
     new_outcomes: Vec<WindowOutcome>,
@@ -92,7 +93,7 @@
     pub fn new(times: ReportTimes) -> Self {
         Self {
             times,
-            passed: 0,
+            last_closed: 0,
             open: BTreeMap::new(),
             outcomes: Vec::new(),
             new_outcomes: Vec::new(),
@@ -111,7 +112,7 @@
             counts: report.counts.clone(),
         });
         DutyContents {
-            passed: self.passed,
+            passed: self.last_closed,
             notes: notes.collect(),
         }
     }
@@ -134,7 +135,7 @@
 
     /// Replaces the state by that of the row after this node acquired the lease.
     pub fn restore(&mut self, contents: &DutyContents) {
-        self.passed = contents.passed;
+        self.last_closed = contents.passed;
         let notes = contents.notes.iter();
         let open = notes.map(|note| {
             let report = OpenReport {
@@ -154,7 +155,7 @@
         mut counts: impl FnMut(WindowId) -> (UsageCounts, bool),
     ) {
         self.close_windows(unix);
-        for window in self.passed + 1..self.times.window_at(unix) {
+        for window in self.last_closed + 1..self.times.window_at(unix) {
             if self.open.contains_key(&window) {
                 continue;
             }
@@ -201,15 +202,15 @@
     /// Closes windows in order as long as their reports were sent or would no longer be accepted.
     fn close_windows(&mut self, unix: UnixMillis) {
         let oldest = self.oldest(unix);
-        if self.passed < oldest {
+        if self.last_closed < oldest {
             // After days without a running node, the windows of that time are skipped rather than closed
             // individually.
             self.open = self.open.split_off(&oldest);
-            self.passed = oldest.saturating_sub(1);
+            self.last_closed = oldest.saturating_sub(1);
         }
         let current = self.times.window_at(unix);
-        while self.passed + 1 < current {
-            let window = self.passed + 1;
+        while self.last_closed + 1 < current {
+            let window = self.last_closed + 1;
             let report = self.open.get(&window);
             let is_sent = report.is_some_and(|report| report.state == WindowState::Sent);
             let is_late = unix >= self.times.end(window) + millis(self.times.late);
@@ -222,7 +223,7 @@
     }
 
     fn close(&mut self, window: WindowId, result: &'static str) {
-        self.passed = window;
+        self.last_closed = window;
         let outcome = WindowOutcome { window, result };
         self.new_outcomes.push(outcome);
         self.outcomes.push(outcome);
--- a/crates/plumgate/src/route/estimate.rs
+++ b/crates/plumgate/src/route/estimate.rs
@@ -14,7 +14,8 @@
 const REPORT_LIFETIME: Duration = Duration::from_secs(5);
 /// Time constant with which the peak count of the highest tier decays.
 const PEAK_DECAY_TIME: Duration = Duration::from_millis(1500);
-/// Number of entries in [`RankCounts`]; this node counts its own requests of higher ranks in the last.
+/// Number of entries in [`RankCounts`]; this node's requests of a rank beyond it are counted in the last
+/// entry.
 pub(crate) const MAX_RANKS: usize = 10;
 
 /// Number of in-flight requests on one server by rank; entry 0 is unused.
--- a/crates/plumgate/src/route/speed.rs
+++ b/crates/plumgate/src/route/speed.rs
@@ -94,7 +94,7 @@
     /// Returns the speed to expect now: the last observation, decayed towards the typical speed.
     ///
     /// A server that was slow gets no requests and so no new observations. Without the decay it would
-    /// stay idle for good after it has recovered.
+    /// stay idle even after it has recovered.
     pub(crate) fn expected(&self, typical: ServerSpeed, now: Instant) -> ServerSpeed {
         let Some((speed, observed_at)) = self.observed else {
             return typical;
