--- a/crates/plumgate/src/model_placement.rs
+++ b/crates/plumgate/src/model_placement.rs
@@ -115,8 +115,8 @@
             let allowed = self.may_load(config, now) && self.may_order(server, &self.model, now);
             return allowed.then(|| order(&self.model, true, "wanted_by_inventory"));
         }
-        // The old model is unloaded only once the wanted one is loaded: nothing else needs the memory
-        // before, and unloading first would leave the engine without a model.
+        // The old model is unloaded only when the wanted one is loaded: until then nothing else needs the
+        // memory, and unloading first would leave the engine without a model.
         let mut others = report
             .models
             .iter()
--- a/crates/plumgate/src/retry.rs
+++ b/crates/plumgate/src/retry.rs
@@ -95,10 +95,10 @@
     }
 }
 
-/// Circuit breaker that keeps new requests from a server that refuses new connections.
+/// Circuit breaker that blocks new requests to a server that refuses new connections.
 ///
 /// Only failures on new connections count: silence on an open connection proves nothing about the
-/// server, since a device in between may have lost the state of the connection.
+/// server, since a network device in between may have lost the state of the connection.
 #[derive(Clone, Debug, Default)]
 pub struct CircuitBreaker {
     failures: u32,
