--- a/crates/plumgate/src/lease.rs
+++ b/crates/plumgate/src/lease.rs
@@ -16,8 +16,8 @@
 pub const LEASE_CHART: &str = include_str!("../charts/lease.toml");
 /// Duration of a lease, counted from its last write.
 pub const LEASE_DURATION: Duration = Duration::from_secs(10);
-/// Time before the end of a lease at which the holder stops acting, since the clocks of two VMs differ
-/// in rate.
+/// Time before the end of a lease at which the holder stops acting, since the clocks of two VMs run at
+/// different rates.
 pub const LEASE_MARGIN: Duration = Duration::from_secs(2);
 /// Maximum time from sending an order until the engine has completed it.
 pub const MAX_ORDER_DURATION: Duration = Duration::from_secs(3);
--- a/crates/plumgate/src/membership.rs
+++ b/crates/plumgate/src/membership.rs
@@ -115,8 +115,8 @@
 }
 
 impl MemberTable {
-    /// Creates the table of a node that knows the addresses `seeds` of some others; `seed` starts its
-    /// random numbers.
+    /// Creates the table of a node that knows the addresses `seeds` of some others; `seed` initializes its
+    /// random number generator.
     pub fn new(own: NodeDigest, seeds: impl IntoIterator<Item = String>, seed: u64) -> Self {
         let address = own.address.clone();
         Self {
