--- a/crates/plumgate-node/src/gateway/answer.rs
+++ b/crates/plumgate-node/src/gateway/answer.rs
@@ -23,24 +23,24 @@
 /// Non-standard header for connections to proxies.
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Piece of a relayed stream.
-pub(crate) type StreamPiece = Result<Frame<Bytes>, AnswerTruncated>;
+/// Chunk of a relayed stream.
+pub(crate) type StreamChunk = Result<Frame<Bytes>, AnswerTruncated>;
 
 /// Body of an answer to a caller.
 pub(crate) type GatewayBody<S> = Either<AnswerBody, StreamBody<Pin<Box<S>>>>;
 
 /// Returns a body whose bytes are all known.
-pub(crate) fn whole_body<S: Stream<Item = StreamPiece>>(bytes: Bytes) -> GatewayBody<S> {
+pub(crate) fn full_body<S: Stream<Item = StreamChunk>>(bytes: Bytes) -> GatewayBody<S> {
     Either::Left(AnswerBody::whole(bytes))
 }
 
-/// Returns a body that sends the pieces of a stream as they arrive.
-pub(crate) fn stream_body<S: Stream<Item = StreamPiece>>(pieces: S) -> GatewayBody<S> {
-    Either::Right(StreamBody::new(Box::pin(pieces)))
+/// Returns a body that sends the chunks of a stream as they arrive.
+pub(crate) fn stream_body<S: Stream<Item = StreamChunk>>(chunks: S) -> GatewayBody<S> {
+    Either::Right(StreamBody::new(Box::pin(chunks)))
 }
 
 /// Returns the node's own answer for a request that failed.
-pub(crate) fn own_answer<W: WireFormat, S: Stream<Item = StreamPiece>>(
+pub(crate) fn own_answer<W: WireFormat, S: Stream<Item = StreamChunk>>(
     wire: &W,
     id: &str,
     error: &CallerError,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Removes the content length, for a body whose pieces are sent as they arrive.
+/// Removes the content length, for a body whose chunks are sent as they arrive.
 pub(crate) fn remove_content_length(headers: &mut HeaderMap) {
     headers.remove(CONTENT_LENGTH);
 }
--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -120,7 +120,8 @@
     // A server may close an idle connection just as a request is sent; it is then unknown whether the request
     // ran. A request that may run only once therefore gets a new connection.
     let now = shared.clock.now();
-    // So does a request under which a server crashed: a new connection shows that the next server was up.
+    // So does a request that an earlier server was running when it crashed: a new connection proves that the next
+    // server was up.
     if order.request.route.kind == RepeatKind::Idempotent
         && !shared.quarantine().has_evidence(order.request.identity)
         && let Some(link) = shared.links.take(&order.server.id, now).await
@@ -222,7 +223,7 @@
     }
 }
 
-/// Reason for which a body was not read whole.
+/// Reason for which a body could not be read to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadFailure {
     /// The connection broke.
@@ -249,21 +250,21 @@
     }
 }
 
-/// Reads a whole body of at most `most` bytes.
-pub(crate) async fn read_whole(
+/// Reads a body of at most `max_bytes` to its end.
+pub(crate) async fn collect_body(
     link: &mut HttpLink,
     body: &mut Incoming,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Bytes, ReadFailure> {
-    let mut whole = bytes::BytesMut::new();
+    let mut buffer = bytes::BytesMut::new();
     while let Some(frame) = link.frame(body).await {
         let frame = frame.map_err(|_| ReadFailure::ConnectionLost)?;
         if let Ok(data) = frame.into_data() {
-            whole.extend_from_slice(&data);
+            buffer.extend_from_slice(&data);
         }
-        if whole.len() > most {
+        if buffer.len() > max_bytes {
             return Err(ReadFailure::TooLarge);
         }
     }
-    Ok(whole.freeze())
+    Ok(buffer.freeze())
 }
--- a/crates/plumgate-node/src/gateway/caller.rs
+++ b/crates/plumgate-node/src/gateway/caller.rs
@@ -15,7 +15,7 @@
 use plumgate::gateway::CallerLimits;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use super::answer::{GatewayBody, StreamPiece, announce_close, own_answer};
+use super::answer::{GatewayBody, StreamChunk, announce_close, own_answer};
 use super::checks::accept;
 use super::connection::{CallerStream, ConnectionActivity, GuardedBody};
 use super::duties::DUTIES_PATH;
@@ -89,6 +89,7 @@
     }
 }
 
+/// Logs a failure to accept a connection, and pauses.
 pub(crate) async fn pause_accepting<C: Clock, W>(
     shared: &GatewayShared<C, W>,
     error: &std::io::Error,
@@ -134,7 +135,7 @@
     shared: Arc<GatewayShared<C, W>>,
     stream: Async<TcpStream>,
 ) {
-    // Without Nagle's algorithm, as small pieces of a stream must not be delayed.
+    // Without Nagle's algorithm, as small chunks of a stream must not be delayed.
     let _ = stream.get_ref().set_nodelay(true);
     let _guard = ConnectionGuard::new(shared.clone());
     let activity = Arc::new(ConnectionActivity::new(shared.clock.now()));
@@ -228,7 +229,7 @@
 async fn serve<C: Clock, W: WireFormat>(
     shared: &Arc<GatewayShared<C, W>>,
     request: Request<Incoming>,
-) -> Response<GatewayBody<impl Stream<Item = StreamPiece> + Send + use<C, W>>> {
+) -> Response<GatewayBody<impl Stream<Item = StreamChunk> + Send + use<C, W>>> {
     let arrived = shared.clock.now();
     let (head, body) = request.into_parts();
     let metadata = shared.wire.read_request(&head);
--- a/crates/plumgate-node/src/gateway/checks.rs
+++ b/crates/plumgate-node/src/gateway/checks.rs
@@ -22,13 +22,13 @@
 use crate::clock::{Clock, until};
 
 /// Retry delay given to a caller while this node's configuration or keys are stale or missing, but messages of
-/// other nodes still arrive. The data of those nodes is then as old: the store answers no node.
-const STALE_PAUSE: Duration = Duration::from_millis(500);
+/// other nodes still arrive. Their data is equally stale then, as the store answers no node.
+const STALE_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Retry delay while this node is cut off from the other nodes too. Those most likely serve, and the caller's next
 /// connection leads to one of them.
-const CUT_OFF_PAUSE: Duration = Duration::from_millis(20);
-/// Time limit of a request that does not state one.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
+const CUT_OFF_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time limit of a request whose headers state none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Checks a request, finds its route and workspace, and reads its body.
 ///
@@ -57,10 +57,10 @@
     };
     let route = find_route(shared, &config, &head)?;
     let workspace = find_workspace(shared, &config, &route, &metadata)?;
-    let patience = metadata.patience.unwrap_or(DEFAULT_PATIENCE);
-    let due = arrived + patience.min(route.timeout);
+    let timeout = metadata.patience.unwrap_or(DEFAULT_TIMEOUT);
+    let due = arrived + timeout.min(route.timeout);
     let mut hasher = IdentityHasher::new(RequestHead {
-        workspace: workspace.map(|keys| &keys.workspace),
+        workspace: workspace.map(|owner| &owner.workspace),
         method: head.method.as_str(),
         host: host(&head),
         path: head.uri.path_and_query().map_or("", PathAndQuery::as_str),
@@ -77,7 +77,7 @@
         class,
         refusal_target,
         pool,
-        workspace: workspace.map(|keys| keys.workspace.clone()),
+        workspace: workspace.map(|owner| owner.workspace.clone()),
         urgency,
         identity: hasher.finish(),
         head,
@@ -143,7 +143,7 @@
     }
     let key = metadata.key.as_deref().unwrap_or_default();
     match config.workspace(key) {
-        Some(keys) => Ok(Some(keys)),
+        Some(owner) => Ok(Some(owner)),
         // The key may be new. A caller gives up after a 401, though another node may know the key.
         None if !shared.allows_denials() => Err(stale(
             shared,
@@ -163,12 +163,12 @@
     kind: &'static str,
     message: &str,
 ) -> CallerError {
-    let pause = if shared.is_cut_off() {
-        CUT_OFF_PAUSE
+    let retry_after = if shared.is_cut_off() {
+        CUT_OFF_RETRY_DELAY
     } else {
-        STALE_PAUSE
+        STALE_RETRY_DELAY
     };
-    CallerError::not_run(StatusCode::SERVICE_UNAVAILABLE, kind, message, pause)
+    CallerError::not_run(StatusCode::SERVICE_UNAVAILABLE, kind, message, retry_after)
 }
 
 async fn read_body<C: Clock, W>(
--- a/crates/plumgate-node/src/gateway/connection.rs
+++ b/crates/plumgate-node/src/gateway/connection.rs
@@ -23,11 +23,11 @@
 /// Current activity of a connection.
 #[derive(Clone, Copy, Debug)]
 enum ActivityState {
-    /// Waits for a request since then.
+    /// Waiting for a request since this time.
     Idle(Instant),
-    /// Receives the head of a request since then.
+    /// Receiving the head of a request since this time.
     Head(Instant),
-    /// Answers a request.
+    /// Answering a request.
     Answering,
 }
 
--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -29,7 +29,7 @@
 
 /// Time between two checks of periodic work.
 pub(super) const TICK: Duration = Duration::from_millis(100);
-/// Time for which a stopping node waits for its row to be removed.
+/// Maximum time for which a stopping node waits until its row is removed.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Signal from outside to the control thread.
@@ -37,7 +37,7 @@
 pub(crate) enum GatewaySignal {
     /// The process was asked to stop.
     Stop,
-    /// The operators' bounds were read again.
+    /// The operators' bounds were reloaded.
     Reload(GatewayBounds),
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl<C: Clock, W: Send + Sync + 'static> GatewayControl<C, W> {
-    /// Creates the state of a node that knows nothing yet.
+    /// Creates the state of a node that has no configuration and no servers yet.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Self {
         Self {
             view: Rc::new(FleetView::new(shared.clone())),
@@ -105,7 +105,7 @@
         async_io::block_on(executor.run(running));
     }
 
-    /// Removes the node from the register, if that succeeds quickly: a row that stays only reduces the other
+    /// Removes the node from the register, if that succeeds quickly: a row that remains only reduces the other
     /// nodes' share of the retries.
     async fn leave<S: FleetSource>(&self, mut source: S, own: &NodeEntry) {
         let deadline = self.shared.clock.now() + LEAVE_TIMEOUT;
--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -1,5 +1,5 @@
-//! Duties (usage reports, orders of servers) that one node of the fleet performs: the state that each node has for
-//! them.
+//! Duties (usage reports, orders of servers) that one node of the fleet performs, and the state that every node
+//! maintains for them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
     pub(super) options: DutyOptions,
     pub(super) coordinator: RefCell<DutyCoordinator>,
     pub(super) orders: RefCell<OrderTracker>,
-    /// Scaling policy of each pool, which says how many servers the pool should have.
+    /// Scaling policy of each pool, which determines how many servers the pool should have.
     pub(super) policies: RefCell<BTreeMap<PoolId, LoadScaling>>,
     clock: RefCell<AgreedClock>,
     usage_table: RefCell<UsageTable>,
@@ -227,9 +227,9 @@
             )
             .with("era", holder.era())
             .text();
-        for end in coordinator.reporter().outcomes() {
-            let line = LogLine::new("window").with("window", end.window);
-            page += &line.with("result", end.result).text();
+        for outcome in coordinator.reporter().outcomes() {
+            let line = LogLine::new("window").with("window", outcome.window);
+            page += &line.with("result", outcome.result).text();
         }
         for (window, state) in coordinator.reporter().open_windows() {
             let line = LogLine::new("window").with("window", window);
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -73,10 +73,10 @@
     }
 
     fn log_windows(&self) {
-        for end in self.coordinator.borrow_mut().reporter_mut().take_outcomes() {
+        for outcome in self.coordinator.borrow_mut().reporter_mut().take_outcomes() {
             LogLine::new("usage_window")
-                .with("window", end.window)
-                .with("result", end.result)
+                .with("window", outcome.window)
+                .with("result", outcome.result)
                 .info(&self.shared.log);
         }
     }
@@ -241,6 +241,7 @@
         }
     }
 
+    /// Returns a pool's orders that are due, each with whether it decreases the number of servers.
     fn pool_orders(
         &self,
         pool: &PoolId,
@@ -248,7 +249,7 @@
         now: Instant,
     ) -> Vec<(bool, ScaleOrder)> {
         let demand = self.demand.borrow();
-        let rate = demand.iter().find(|(of, _)| of == pool);
+        let rate = demand.iter().find(|(name, _)| name == pool);
         let rate = rate.map_or(0, |(_, rate)| *rate);
         let load = self.shared.loads().pool_load(pool, rate, now);
         let subject = |data_centre: &DataCentreId, kind| ScaleSubject {
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -24,16 +24,16 @@
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum size of a received datagram in bytes.
 const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
-/// Pause before the register is read for the first time: nodes that start together are in it by then.
+/// Pause before the register is read for the first time: nodes that start together have registered by then.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(700);
-/// Mean time between two reads of the register by a collector. All other nodes are known by then, as they
-/// send it messages, and it sends the others the number of nodes.
+/// Mean time between two reads of the register by a collector. In between, the collector learns of new nodes from
+/// their messages, and sends the other nodes the number of nodes.
 const READ_INTERVAL: Duration = Duration::from_secs(30);
 /// Time between two full updates of the servers' availability in placement. New statements of servers are
-/// applied at once; this update applies the clock that counts suspension.
+/// applied at once; this update accounts for time in suspension, which the clock of placement does not count.
 const AVAILABILITY_INTERVAL: Duration = Duration::from_secs(1);
 /// Time over which the nodes spread the writes of their rows after the store was restored from an old backup:
-/// 76 nodes then make some 40 writes a second, a tenth of what a small store can handle.
+/// 76 nodes then write about 40 rows a second, a tenth of what a small store can handle.
 const REREGISTER_SPREAD: Duration = Duration::from_secs(2);
 /// Pause before a failed call to the register is retried.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
@@ -106,25 +106,25 @@
         Self: 'a,
     {
         let own = self.own.clone();
-        let link = Rc::new(self);
-        let receiving = link.clone();
+        let exchange = Rc::new(self);
+        let receiver = exchange.clone();
         executor
-            .spawn(async move { receiving.receive().await })
+            .spawn(async move { receiver.receive().await })
             .detach();
-        let rounds = link.clone();
+        let round_runner = exchange.clone();
         executor
-            .spawn(async move { rounds.run_rounds().await })
+            .spawn(async move { round_runner.run_rounds().await })
             .detach();
-        let requesting = link.clone();
+        let requester = exchange.clone();
         executor
-            .spawn(async move { requesting.request_permits().await })
+            .spawn(async move { requester.request_permits().await })
             .detach();
-        let (verdict_link, verdict_source) = (link.clone(), source.clone());
+        let (verdict_writer, verdict_source) = (exchange.clone(), source.clone());
         executor
-            .spawn(async move { verdict_link.verdicts.run(verdict_source).await })
+            .spawn(async move { verdict_writer.verdicts.run(verdict_source).await })
             .detach();
         executor
-            .spawn(async move { link.maintain_registration(source).await })
+            .spawn(async move { exchange.maintain_registration(source).await })
             .detach();
         own
     }
@@ -246,7 +246,7 @@
                 let mut packets =
                     exchange.tick(loads.own_work(), &mut self.view.sync_state(), moment);
                 let mut statements = self.shared.statements();
-                let knew_limits = !statements.limits.is_empty();
+                let had_limits = !statements.limits.is_empty();
                 packets.extend(statements.run_round(&exchange, self.message_time()));
                 if moment.now >= self.availability_due.get() && !statements.notices.is_empty() {
                     self.availability_due
@@ -255,7 +255,7 @@
                 }
                 let is_known = |id| loads.entries().any(|entry| entry.incarnation_id() == id);
                 statements.notices.forget_old(moment.boot, is_known);
-                if knew_limits {
+                if had_limits {
                     loads.set_limits(&statements.limits);
                 }
                 packets
@@ -294,12 +294,12 @@
         loop {
             let spread = READ_INTERVAL.mul_f64(0.5 + self.shared.random_share());
             let deadline = self.shared.clock.now() + spread;
-            let new_era = until(&self.shared.clock, deadline, self.view.era_after(era)).await;
-            if let Some(risen) = new_era {
+            let changed = until(&self.shared.clock, deadline, self.view.era_after(era)).await;
+            if let Some(new_era) = changed {
                 // The rows of all nodes may be missing: the nodes spread their writes over time.
                 let spread = REREGISTER_SPREAD.mul_f64(self.shared.random_share());
                 self.shared.clock.sleep(spread).await;
-                era = risen;
+                era = new_era;
                 self.register(&mut source).await;
                 if self.exchange.borrow().is_collector() {
                     self.verdicts.queue_blocked();
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Reads the register, and returns whether that succeeded.
+    /// Reads the register. Returns whether that succeeded.
     async fn read_register<S: FleetSource>(&self, source: &mut S) -> bool {
         let nodes = source.read_register().await;
         self.record_call(nodes.is_ok());
--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -15,12 +15,12 @@
 /// the maximum age of keys: 1.3 s of 5 s.
 ///
 /// Its answer renews the trust in keys only as of the moment at which the watch was sent, so the state is
-/// between one and two waits old. A longer wait saves calls, but ends the trust sooner after the store was
-/// lost: with 1.5 s keys were refused from 1.4 s on, with 1.3 s from 1.8 s, with 1 s from 2.4 s.
+/// between one and two waits old. A longer wait saves calls, but ends the trust sooner after the store becomes
+/// unavailable: with 1.5 s keys were refused from 1.4 s on, with 1.3 s from 1.8 s, with 1 s from 2.4 s.
 const CONFIG_WATCH_SHARE: f64 = 0.26;
-/// Time for which one watch of the servers waits for changes. A connection whose peer is no longer reachable
-/// is detected at the end of the wait at the latest, as a middlebox may answer the system's keep-alive
-/// probes; until then the node sends requests to servers that have left. With 8 s it did so for 13 s.
+/// Time for which one watch of the servers waits for changes. A store that is no longer reachable may be detected
+/// only at the end of the wait, as a middlebox may answer the system's keep-alive probes; until then the node
+/// sends requests to servers that have left. With 8 s it did so for 13 s.
 const SERVERS_WATCH_TIME: Duration = Duration::from_millis(3_000);
 /// Time for which a watch waits if its answers serve other nodes, as a share of the maximum age of keys.
 /// State that is passed on is up to two waits old. All nodes together call the store less often this way than
@@ -37,12 +37,12 @@
 /// Longest pause after failed calls: a fraction of the time within which a change must be in force.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(800);
 /// Pause after a failed call on a node whose collector is another node. It is long compared with the
-/// collector's own retries, and short enough for a node that receives nothing, as the store refuses its
-/// collector only, to read the store before callers with keys are refused.
+/// collector's own retries. If the store refuses the collector only, other nodes receive no state from it; the
+/// pause is short enough that they read the store before they have to refuse callers with keys.
 const FOLLOWER_RETRY_PAUSE: Duration = Duration::from_millis(1_600);
 /// Pause after the first full read. Nodes that start together know each other after 0.7 s, and one of them
-/// sends its state to all others from then on. Without the pause, each of 195 nodes followed servers that
-/// started one after another by calls of its own.
+/// sends its state to all others from then on. Without the pause, each of 195 nodes called the store itself to
+/// follow servers that started one after another.
 const START_PAUSE: Duration = Duration::from_millis(1_500);
 
 impl<C: Clock, W: Send + Sync + 'static> GatewayControl<C, W> {
@@ -52,7 +52,7 @@
         let mut rng = fastrand::Rng::with_seed(self.shared.options.seed);
         let mut backoff = BackoffPause::new(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE);
         let mut since = None;
-        let mut is_lost = false;
+        let mut is_unavailable = false;
         let mut cause = CallCause::Start;
         loop {
             (since, cause) = self.wait_until_query_due(topic, since, cause).await;
@@ -65,25 +65,25 @@
                     if since.is_some_and(|since: StoreVersion| since.era < change.version.era) =>
                 {
                     // The store was restored from an old backup. Its changes after a version of another era
-                    // don't include what differs between the two, so all is read again.
+                    // don't include what differs between the two, so the topic is read in full again.
                     self.on_new_era(topic, change.version);
                     since = None;
                     cause = CallCause::Change;
                 }
                 Ok(change) => {
-                    if is_lost {
-                        self.log_regained(topic, change.version);
-                        is_lost = false;
+                    if is_unavailable {
+                        self.log_recovery(topic, change.version);
+                        is_unavailable = false;
                     }
                     backoff.reset();
-                    let is_whole = since.is_none();
+                    let is_full_read = since.is_none();
                     let has_changes = !change.events.is_empty();
-                    let pause = self.pause_after(topic, cause, is_whole, has_changes);
+                    let pause = self.pause_after(topic, cause, is_full_read, has_changes);
                     since = Some(change.version);
-                    if !(is_whole && cause == CallCause::Start) {
+                    if !(is_full_read && cause == CallCause::Start) {
                         cause = CallCause::Watch;
                     }
-                    if self.view.apply(topic, change, is_whole, requested_at) {
+                    if self.view.apply(topic, change, is_full_read, requested_at) {
                         self.lifecycle.borrow_mut().configured(&self.shared);
                     }
                     self.shared.clock.sleep(pause).await;
@@ -92,7 +92,7 @@
                     since = since.filter(|_| error.can_resume_watch());
                     cause = CallCause::Outage;
                     self.view.sync_state().record_failure(topic, requested_at);
-                    self.on_failure(topic, &error, &mut is_lost);
+                    self.on_failure(topic, &error, &mut is_unavailable);
                     if error != SourceError::HistoryLost {
                         let own_pause = backoff.next(&mut rng);
                         self.shared
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Fetches state of a topic that this node lacks from other nodes.
+    /// Fetches from other nodes the state of a topic that this node lacks.
     ///
     /// It does not wait for a call to the store to end: a call without an answer takes seconds, and callers
     /// with new keys would be refused for that time.
@@ -118,7 +118,7 @@
     }
 
     /// Waits while other nodes send the state of a topic. Returns the version after which the store's changes
-    /// are needed, or `None` if all has to be read, and the cause of the call.
+    /// are needed, or `None` if the whole topic has to be read, and the cause of the call.
     async fn wait_until_query_due(
         &self,
         topic: SourceTopic,
@@ -159,13 +159,15 @@
 
     /// Returns how long the store is not called for a topic.
     ///
-    /// While the store is away, each node of a large fleet would retry both topics. One is enough to detect
-    /// that it is back.
+    /// While the store is unavailable, each node of a large fleet would retry both topics. One is enough to detect
+    /// that it answers again.
     fn pause_before_query(&self, topic: SourceTopic) -> Option<Duration> {
-        let relies = topic == SourceTopic::Servers
+        let waits_for_collector = topic == SourceTopic::Servers
             && self.view.sync_state().is_failing(SourceTopic::Config)
             && self.view.relies_on_collector();
-        self.view.fresh_for(topic).or(relies.then_some(TICK))
+        self.view
+            .fresh_for(topic)
+            .or(waits_for_collector.then_some(TICK))
     }
 
     async fn query<S: FleetSource>(
@@ -177,17 +179,17 @@
     ) -> Result<SourceChange, SourceError> {
         let is_servers = topic == SourceTopic::Servers;
         // A node without recent state, and the nodes that follow it, need an answer at once. The answer to a
-        // watch that waits for a change would come after these have given up and called the store themselves.
-        let pause = match cause {
+        // watch that waits for a change would arrive after these nodes have called the store themselves.
+        let max_wait = match cause {
             CallCause::Start | CallCause::Outage => Duration::ZERO,
-            _ => self.watch_pause(topic),
+            _ => self.watch_time(topic),
         };
         if is_servers {
             self.view.sync_state().set_watching(true);
         }
         let answer = match since {
             None => source.read(topic).await,
-            Some(version) => source.watch(topic, version, pause).await,
+            Some(version) => source.watch(topic, version, max_wait).await,
         };
         if is_servers {
             self.view.sync_state().set_watching(false);
@@ -196,7 +198,7 @@
     }
 
     /// Returns how long a watch waits for changes: less if its answers also serve other nodes.
-    fn watch_pause(&self, topic: SourceTopic) -> Duration {
+    fn watch_time(&self, topic: SourceTopic) -> Duration {
         let now = self.shared.clock.boot_time();
         let key_age = self.shared.bounds.load().key_age;
         if self.view.sync_state().has_followers(now) {
@@ -213,14 +215,14 @@
         &self,
         topic: SourceTopic,
         cause: CallCause,
-        is_whole: bool,
+        is_full_read: bool,
         has_changes: bool,
     ) -> Duration {
-        let is_first = is_whole && cause == CallCause::Start;
+        let is_first = is_full_read && cause == CallCause::Start;
         if is_first && self.shared.options.peer_listen.is_some() {
             return START_PAUSE;
         }
-        if is_whole {
+        if is_full_read {
             return REREAD_PAUSE;
         }
         if topic == SourceTopic::Servers && has_changes {
@@ -231,7 +233,7 @@
 
     /// Returns the pause after a failed call, given the node's own backoff pause.
     ///
-    /// The collector keeps retrying, and reports within two rounds that the store is back. Eight nodes made
+    /// The collector keeps retrying, and reports within two rounds that the store answers again. Eight nodes made
     /// 184 calls in 6 s of an outage without this, and less than 75 with it (`platform/tests/told.rs`).
     fn retry_pause(&self, topic: SourceTopic, own_pause: Duration) -> Duration {
         let is_known = self.view.sync_state().known_at(topic).is_some();
@@ -249,14 +251,14 @@
         self.view.set_era(version.era);
     }
 
-    fn log_regained(&self, topic: SourceTopic, version: StoreVersion) {
+    fn log_recovery(&self, topic: SourceTopic, version: StoreVersion) {
         LogLine::new("source_regained")
             .with("topic", topic.as_str())
             .with("source_version", version)
             .info(&self.shared.log);
     }
 
-    fn on_failure(&self, topic: SourceTopic, error: &SourceError, is_lost: &mut bool) {
+    fn on_failure(&self, topic: SourceTopic, error: &SourceError, is_unavailable: &mut bool) {
         if *error == SourceError::HistoryLost {
             LogLine::new("source_history_lost")
                 .with("topic", topic.as_str())
@@ -264,13 +266,13 @@
             return;
         }
         self.view.record_source_failure();
-        if !*is_lost {
+        if !*is_unavailable {
             LogLine::new("source_lost")
                 .with("topic", topic.as_str())
                 .with("error", error)
                 .with_some("key_age_ms", self.shared.key_age_ms())
                 .warn(&self.shared.log);
-            *is_lost = true;
+            *is_unavailable = true;
         }
     }
 }
--- a/crates/plumgate-node/src/gateway/guards.rs
+++ b/crates/plumgate-node/src/gateway/guards.rs
@@ -56,7 +56,7 @@
 pub(crate) enum RunRefusal {
     /// The request is blocked because it may crash the server.
     Blocked(BlockedRequest),
-    /// The server's own statements forbid it: the server made one in the meantime, or a permit has expired.
+    /// The server's own statements forbid it: a new one was received in the meantime, or a permit has expired.
     Disallowed(SendRefusal),
 }
 
@@ -72,7 +72,7 @@
     sent: BootTime,
     /// Permit to send the request, until it is used.
     permit: Option<SendPermit>,
-    /// Whether the server leaves and no other can handle the request.
+    /// Whether the server is leaving and no other can handle the request.
     is_last_resort: bool,
     outcome: WorkOutcome,
     /// Incarnation of the server that handles the request.
@@ -140,7 +140,7 @@
         self.shared.record_notices(&self.server, statement, times);
     }
 
-    /// Records that the server certainly has the request, as the head of its answer was received.
+    /// Records that the server certainly received the request, as the head of its answer arrived.
     pub(crate) fn on_response_started(&mut self) {
         if let Some(run) = &mut self.run {
             run.on_response_started();
--- a/crates/plumgate-node/src/gateway/incarnations.rs
+++ b/crates/plumgate-node/src/gateway/incarnations.rs
@@ -1,9 +1,9 @@
 //! Incarnations of backend servers, and the requests that end with them.
 //!
 //! A server that crashed and restarted under the same id has lost the requests of its previous incarnation. Their
-//! connections may stay silent for ever, and a caller would wait until its deadline for an answer that is never
-//! sent. The entry of the new incarnation proves that no answer will come, so requests at the previous one
-//! end then, as requests that may have run.
+//! connections may stay open without any data, and a caller would wait until its deadline for an answer that is
+//! never sent. The entry of the new incarnation proves that no answer will arrive, so requests at the previous one
+//! are ended then, as requests that may have run.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,8 +21,8 @@
 }
 
 impl ServerIncarnation {
-    /// Waits for an operation at this incarnation; `None` if the incarnation ended first. An operation that can
-    /// complete at once does so even if the incarnation has ended.
+    /// Waits for an operation at this incarnation to complete; `None` if the incarnation ended first. An operation
+    /// that can complete at once does so even if the incarnation has ended.
     pub(crate) async fn run<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let work = async { Some(work.await) };
         let ended = async {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Removes a server whose entry is gone; requests that it already runs continue.
+    /// Removes a server whose entry was removed; requests that it already runs continue.
     pub(crate) fn forget(&self, server: &ServerId) {
         self.remove(server);
     }
--- a/crates/plumgate-node/src/gateway/lifecycle.rs
+++ b/crates/plumgate-node/src/gateway/lifecycle.rs
@@ -39,7 +39,7 @@
         self.run.is_ended()
     }
 
-    /// Handles that a configuration is in force.
+    /// Handles that a configuration came into force.
     pub(crate) fn configured<C: Clock, W>(&mut self, shared: &GatewayShared<C, W>) {
         if self.run.expects("configured") {
             self.enter("configured", shared);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Enters the next state when its time has come.
+    /// Enters the next state if its condition holds.
     pub(crate) fn tick<C: Clock, W>(&mut self, shared: &GatewayShared<C, W>) {
         let now = shared.clock.now();
         let Some(entered_at) = self.entered_at else {
--- a/crates/plumgate-node/src/gateway/links.rs
+++ b/crates/plumgate-node/src/gateway/links.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds a connection whose last answer was read to its end; closes it if the server has enough of them.
+    /// Adds a connection whose last answer was read to its end; closes it if the pool is full for that server.
     pub(crate) fn put(&self, server: &ServerId, link: HttpLink, usable_until: Instant) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let links = idle.entry(server.clone()).or_default();
--- a/crates/plumgate-node/src/gateway/node.rs
+++ b/crates/plumgate-node/src/gateway/node.rs
@@ -34,7 +34,7 @@
         let _ = self.signals.try_send(GatewaySignal::Stop);
     }
 
-    /// Passes on the operators' bounds after they were read again.
+    /// Passes on the operators' bounds after a reload.
     pub fn reload(&self, bounds: GatewayBounds) {
         let _ = self.signals.try_send(GatewaySignal::Reload(bounds));
     }
@@ -65,7 +65,7 @@
         wire: W,
         source: S,
     ) -> Result<Self> {
-        let (signals, received) = async_channel::bounded(MAX_PENDING_SIGNALS);
+        let (signals, signal_receiver) = async_channel::bounded(MAX_PENDING_SIGNALS);
         // Fixed addresses are bound before those whose port the system may choose.
         let peer_listener = bind_peer_listener(&options, &log);
         let callers = bind(options.listen)?;
@@ -93,7 +93,7 @@
         };
         let control = move || {
             let control = GatewayControl::new(shared.clone());
-            control.run(source, received, peer_listener);
+            control.run(source, signal_receiver, peer_listener);
             LogLine::new("stop")
                 .with("node", &shared.options.node)
                 .with("open_requests", shared.open_requests())
--- a/crates/plumgate-node/src/gateway/ports.rs
+++ b/crates/plumgate-node/src/gateway/ports.rs
@@ -98,13 +98,13 @@
         topic: SourceTopic,
     ) -> impl Future<Output = Result<SourceChange, SourceError>>;
 
-    /// Waits for changes of a topic after a version. Returns an answer without events if none comes within the
-    /// pause.
+    /// Waits for changes of a topic after a version. Returns an answer without events if there are none within
+    /// `max_wait`.
     fn watch(
         &mut self,
         topic: SourceTopic,
         since: StoreVersion,
-        pause: Duration,
+        max_wait: Duration,
     ) -> impl Future<Output = Result<SourceChange, SourceError>>;
 
     /// Registers this node, so that the other nodes find it.
@@ -180,7 +180,7 @@
     pub patience: Option<Duration>,
     /// Shape of the prompt, where the request has one.
     pub prompt: Option<PromptShape>,
-    /// Output tokens that the caller expects: right on average, often wrong by far for a single request.
+    /// Output tokens that the caller expects: accurate on average, but often far off for a single request.
     pub output_hint: Option<u32>,
     /// Number of the event after which the caller wants to resume a stream.
     pub resume_after: Option<u64>,
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -12,8 +12,8 @@
     RequestVerdict, SendPermit, SendRefusal, ServerPick, WorkOutcome,
 };
 
-use super::answer::{GatewayBody, StreamPiece, own_answer, relayed_head, stream_body, whole_body};
-use super::attempt::read_whole;
+use super::answer::{GatewayBody, StreamChunk, full_body, own_answer, relayed_head, stream_body};
+use super::attempt::collect_body;
 use super::metrics::ReasonLabels;
 use super::ports::{AnswerMetadata, WireFormat};
 use super::request::{AttemptOutcome, RESTARTED, ServerAnswer};
@@ -23,8 +23,9 @@
 use crate::clock::{Clock, until};
 use crate::link::HttpLink;
 
-/// Largest answer in bytes that is read whole before it is relayed; services without streams answer with less.
-const MAX_WHOLE_BODY: usize = 8 * 1024 * 1024;
+/// Maximum size of an answer that is read to its end before it is relayed; services without streams answer with
+/// less.
+const MAX_FULL_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Multiple of a route's target latency after which a repeatable request without an answer is sent to another
 /// server.
 const HEAD_TIMEOUT_TARGETS: f64 = 2.5;
@@ -61,7 +62,7 @@
     /// Tries servers until one answers.
     pub(crate) async fn answer(
         mut self,
-    ) -> Response<GatewayBody<impl Stream<Item = StreamPiece> + Send + use<C, W>>> {
+    ) -> Response<GatewayBody<impl Stream<Item = StreamChunk> + Send + use<C, W>>> {
         let error = loop {
             let (pick, permit) = match self.choose_server().await {
                 Ok(chosen) => chosen,
@@ -70,9 +71,9 @@
             let next = match self.try_server(&pick, permit).await {
                 AttemptOutcome::Answer(answer) if self.begins_stream(&answer) => {
                     let (head, relay) = StreamRelay::begin(self, *answer);
-                    return relayed_head(head, stream_body(relay.pieces()));
+                    return relayed_head(head, stream_body(relay.chunks()));
                 }
-                AttemptOutcome::Answer(answer) => self.relay_whole_body(*answer).await,
+                AttemptOutcome::Answer(answer) => self.relay_full_body(*answer).await,
                 AttemptOutcome::NotRun { reason, arrived } => self.after_refusal(reason, arrived),
                 AttemptOutcome::Disallowed(refusal) => self.after_disallowed(&pick, refusal),
                 AttemptOutcome::InDoubt(reason) => {
@@ -83,7 +84,7 @@
             };
             match next {
                 NextStep::Retry => {}
-                NextStep::Respond(response) => return response.map(whole_body),
+                NextStep::Respond(response) => return response.map(full_body),
                 NextStep::Fail(error) => break error,
             }
         };
@@ -117,15 +118,15 @@
         let max_wait = self.request.route.target.mul_f64(DEFERRAL_WAIT_SHARE);
         if waited + deferred_for <= max_wait {
             // The most urgent request is the first to find the server available again.
-            let behind = URGENCY_WAKE_STEP * u32::from(self.request.urgency);
-            self.shared.clock.sleep(deferred_for + behind).await;
+            let urgency_delay = URGENCY_WAKE_STEP * u32::from(self.request.urgency);
+            self.shared.clock.sleep(deferred_for + urgency_delay).await;
             return Ok(());
         }
         let spread = self.shared.random_share();
-        let pause = self
+        let retry_after = self
             .admission()
             .retry_delay(deferred_for, self.time_left(), spread);
-        Err(self.unserved_error(deferral.cause.as_str(), pause))
+        Err(self.unserved_error(deferral.cause.as_str(), retry_after))
     }
 
     /// Chooses the next server; `None` if all servers defer requests, an error if none can be used.
@@ -153,13 +154,13 @@
                 return Ok(None);
             }
             let has_only_leaving = self.shared.loads().has_only_leaving(&self.request.pool);
-            let (reason, pause) = if has_only_leaving {
+            let (reason, delay) = if has_only_leaving {
                 (SendRefusal::Leaving.as_str(), ALL_LEAVING_RETRY_DELAY)
             } else {
                 ("no_server", NO_SERVER_RETRY_DELAY)
             };
-            let pause = self.admission().retry_delay(pause, left, spread);
-            return Err(self.unserved_error(reason, pause));
+            let retry_after = self.admission().retry_delay(delay, left, spread);
+            return Err(self.unserved_error(reason, retry_after));
         };
         if !std::mem::replace(&mut self.is_demand_recorded, true) {
             let mut loads = self.shared.loads();
@@ -205,8 +206,8 @@
     /// Returns the time by which a server's answer must begin before another server is tried.
     fn head_deadline(&self, now: Instant) -> Instant {
         let route = &self.request.route;
-        let last_run = self.runs + 1 >= route.max_attempts;
-        if route.kind != RepeatKind::Idempotent || last_run {
+        let is_last_run = self.runs + 1 >= route.max_attempts;
+        if route.kind != RepeatKind::Idempotent || is_last_run {
             return self.request.due + Duration::from_secs(1);
         }
         let left = self.request.due.saturating_duration_since(now);
@@ -218,14 +219,14 @@
         self.request.route.kind.is_stream() && answer.head.status.is_success()
     }
 
-    /// Reads an answer whole before it is relayed, so that a request whose answer breaks off can be retried or
-    /// fails visibly.
-    async fn relay_whole_body(&mut self, mut answer: ServerAnswer<C, W>) -> NextStep {
+    /// Reads an answer to its end before it is relayed, so that a request whose answer breaks off can be retried
+    /// or fails visibly.
+    async fn relay_full_body(&mut self, mut answer: ServerAnswer<C, W>) -> NextStep {
         self.apply(AttemptEvent::HeadReceived);
         self.record_run_start(self.ran_for().unwrap_or_default());
         answer.work.record_first_byte();
         let deadline = self.request.due + BODY_GRACE;
-        let reading = read_whole(&mut answer.link, &mut answer.body, MAX_WHOLE_BODY);
+        let reading = collect_body(&mut answer.link, &mut answer.body, MAX_FULL_BODY_BYTES);
         let incarnation = answer.work.incarnation();
         let body = match until(&self.shared.clock, deadline, incarnation.run(reading)).await {
             None => return NextStep::Fail(self.time_out()),
@@ -263,14 +264,14 @@
         NextStep::Respond(relayed_head(answer.head, body))
     }
 
-    /// Handles a request that was not sent because the server's statements forbid it by now. Another attempt takes
-    /// nothing from the retry budget: no server has received the request.
+    /// Handles a request that was not sent because the server's statements now forbid it. Another attempt takes
+    /// nothing from the retry budget, as this server did not receive the request.
     fn after_disallowed(&mut self, pick: &ServerPick, refusal: SendRefusal) -> NextStep {
         self.on_disallowed(&pick.server, refusal);
         NextStep::Retry
     }
 
-    /// Handles a request that a server did certainly not run: retries it, if the limits of retries allow.
+    /// Handles a request that a server certainly did not run: retries it, if the limits of retries allow.
     fn after_refusal(&mut self, reason: &'static str, arrived: bool) -> NextStep {
         self.on_refusal(arrived);
         self.count_failure(reason);
@@ -280,10 +281,10 @@
         }
         let left = self.time_left();
         let spread = self.shared.random_share();
-        let pause = self
+        let retry_after = self
             .admission()
             .retry_delay(REFUSED_RETRY_DELAY, left, spread);
-        NextStep::Fail(self.unserved_error(reason, pause))
+        NextStep::Fail(self.unserved_error(reason, retry_after))
     }
 
     /// Handles a request that a server may have run and whose answer is lost: runs it again, if it is repeatable
--- a/crates/plumgate-node/src/gateway/request.rs
+++ b/crates/plumgate-node/src/gateway/request.rs
@@ -35,7 +35,7 @@
     pub(crate) workspace: Option<WorkspaceId>,
     /// Urgency; 0 is the most urgent.
     pub(crate) urgency: u8,
-    /// Sensitivity of its stream to pauses.
+    /// Sensitivity of the answer's stream to pauses.
     pub(crate) class: StreamClass,
     /// Target latency by which the request is admitted or refused.
     pub(crate) refusal_target: Duration,
@@ -43,9 +43,9 @@
     pub(crate) identity: RequestIdentity,
     /// Head as received.
     pub(crate) head: Parts,
-    /// Whole body.
+    /// Complete body.
     pub(crate) body: Bytes,
-    /// Facts read from the head.
+    /// Values read from the head.
     pub(crate) metadata: RequestMetadata,
     /// Time at which the request arrived.
     pub(crate) arrived: Instant,
@@ -83,7 +83,7 @@
     pub(crate) link: HttpLink,
     /// Guard that counts the request as load of the server.
     pub(crate) work: WorkGuard<C, W>,
-    /// Facts read from the head.
+    /// Values read from the head.
     pub(crate) metadata: AnswerMetadata,
 }
 
@@ -91,7 +91,7 @@
 pub(crate) enum AttemptOutcome<C: Clock, W: WireFormat> {
     /// The server answers.
     Answer(Box<ServerAnswer<C, W>>),
-    /// The server did certainly not run the request.
+    /// The server certainly did not run the request.
     NotRun {
         /// Reason used in logs and metrics.
         reason: &'static str,
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -30,7 +30,7 @@
     pub(crate) shared: Arc<GatewayShared<C, W>>,
     /// The request.
     pub(crate) request: RelayRequest,
-    /// State of the request in the chart of attempts.
+    /// State of the request in the state chart of attempts.
     pub(crate) run: AttemptRun,
     /// Servers that were tried, the current one last.
     pub(crate) tried: Vec<ServerId>,
@@ -194,7 +194,7 @@
             .record_disallowed_send(&self.request, server, refusal);
     }
 
-    /// Records that a server did certainly not run the request; `arrived` if the server received it.
+    /// Records that a server certainly did not run the request; `arrived` if the server received it.
     pub(crate) fn on_refusal(&mut self, arrived: bool) {
         self.apply(if arrived {
             AttemptEvent::ServerRefused
@@ -246,8 +246,8 @@
         self.shared.quarantine().verdict(self.request.identity, now)
     }
 
-    /// Waits for the probe that shows whether the server just crashed, if others crashed under the request
-    /// before: a retry at once could crash the next one. Waits no longer than a connection may take to open.
+    /// Waits for the probe that shows whether the server just crashed, if others crashed while running the request
+    /// before: an immediate retry could crash the next one. Waits no longer than a connection may take to open.
     pub(crate) async fn wait_for_probe(&self) {
         let clock = &self.shared.clock;
         let deadline = clock.now() + CONNECT_TIMEOUT;
@@ -271,7 +271,7 @@
         self.request.due.saturating_duration_since(now)
     }
 
-    /// Applies an event to the request's chart.
+    /// Applies an event to the state chart of the request.
     pub(crate) fn apply(&mut self, event: AttemptEvent) {
         let applied = self.run.apply(event);
         debug_assert!(
--- a/crates/plumgate-node/src/gateway/server_limits.rs
+++ b/crates/plumgate-node/src/gateway/server_limits.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Requests a permit to send a request to a server, if the server's rate limit requires one (`Ok(None)`: not
-    /// required).
+    /// Requests a permit to send a request to a server. Returns `Ok(None)` if no rate limit of the server requires
+    /// one.
     ///
     /// # Errors
     ///
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Waits for the response to a permit request and sends it again while none comes; `None` after the timeout.
+    /// Waits for the response to a permit request, and resends the request until one arrives; `None` after the
+    /// timeout.
     async fn await_permit_response(&self, id: PermitRequestId) -> Option<PermitStatus> {
         let pending = PermitRequestGuard { shared: self, id };
         self.permits_requested.notify(1);
--- a/crates/plumgate-node/src/gateway/server_notices.rs
+++ b/crates/plumgate-node/src/gateway/server_notices.rs
@@ -45,7 +45,7 @@
         self.log_dropped_notices();
     }
 
-    /// Passes a server's availability, as its notices give it, to placement.
+    /// Updates a server's availability in placement from its notices.
     fn set_availability(&self, server: &ServerEntry) {
         let now = self.clock.now();
         let boot = self.clock.boot_time();
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -82,12 +82,12 @@
 }
 
 impl<C: Clock, W> GatewayShared<C, W> {
-    /// Creates the state of a node that knows nothing yet.
+    /// Creates the state of a node that has no configuration and no servers yet.
     pub(crate) fn new(options: GatewayOptions, clock: C, log: EventLog, wire: W) -> Self {
         let bounds = options.bounds;
         let budget = WindowBudget::new(bounds.retry_window, bounds.retry_ratio, bounds.retry_extra);
         let budget = match options.peer_listen {
-            // The register contains the number of nodes.
+            // The number of nodes is set once the register was read.
             Some(_) => budget,
             None => budget.with_nodes(ASSUMED_NODES),
         };
@@ -144,7 +144,7 @@
         self.bounds.store(Arc::new(bounds));
     }
 
-    /// Returns the limit on the age of the known configuration and keys.
+    /// Returns the freshness lease, which limits the age of the known configuration and keys.
     pub(crate) fn lease(&self) -> MutexGuard<'_, FreshnessLease> {
         lock(&self.lease)
     }
--- a/crates/plumgate-node/src/gateway/snapshot_requests.rs
+++ b/crates/plumgate-node/src/gateway/snapshot_requests.rs
@@ -10,8 +10,8 @@
 /// Time for which the store is not called while a snapshot is requested from another node: the longest time
 /// that the request may take.
 const SNAPSHOT_WAIT: Duration = Duration::from_millis(1_100);
-/// Time without new requests for a topic after a snapshot could not be fetched. Messages show ten times a
-/// second which node holds the state, and the store is called meanwhile.
+/// Time without new requests for a topic after a snapshot could not be fetched. Messages report ten times a
+/// second which node holds the state, and each could start another request; the store is called instead.
 const SNAPSHOT_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Request for a snapshot from a node that holds what this one lacks.
--- a/crates/plumgate-node/src/gateway/snapshots.rs
+++ b/crates/plumgate-node/src/gateway/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots that nodes request from each other: the whole configuration, or all backend servers.
+//! Snapshots that nodes request from each other: the configuration in force, or all backend servers.
 //!
 //! One node reads the store and sends the others what changed. A node that can't apply the changes, because
 //! its log differs or it lacks a configuration that was announced to it, requests a snapshot from the node that
@@ -34,7 +34,7 @@
 const CONFIG_PATH: &str = "/config";
 /// Path of the servers' snapshot.
 const SERVERS_PATH: &str = "/servers";
-/// Maximum time for a response, in which a slow link can carry a large configuration.
+/// Maximum time for a response: enough for a slow link to transfer a large configuration.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Number of snapshots that are sent at the same time. More would share a small VM's link until none arrives
 /// in time; other requests wait for their turn.
@@ -53,7 +53,7 @@
     Refused(u16),
     /// {0}
     Malformed(plumgate::Error),
-    /// the request could not be made: {0}
+    /// the request could not be built: {0}
     InvalidRequest(hyper::http::Error),
     /// the snapshot is no newer than the state of this node
     Outdated,
--- a/crates/plumgate-node/src/gateway/source_calls.rs
+++ b/crates/plumgate-node/src/gateway/source_calls.rs
@@ -13,7 +13,7 @@
     Start,
     /// The node follows a topic for itself or for other nodes.
     Watch,
-    /// Something changed that no other node could send.
+    /// A change has to be written, or read because no other node could send it.
     Change,
     /// An earlier call failed, or no recent state was received.
     Outage,
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -14,7 +14,7 @@
     EventSplitter, RepeatKind, RequestVerdict, SendPermit, ServerPick, WorkOutcome,
 };
 
-use super::answer::{StreamPiece, remove_content_length};
+use super::answer::{StreamChunk, remove_content_length};
 use super::guards::WorkGuard;
 use super::ports::WireFormat;
 use super::request::{AttemptOutcome, RESTARTED, ServerAnswer};
@@ -43,9 +43,9 @@
     /// Server that sends the stream; none while another one is chosen.
     source: Option<StreamSource<C, W>>,
     splitter: EventSplitter,
-    last_piece: Option<Instant>,
-    /// Time at which the first event of a run was received, as long as the run is not recorded.
-    first_piece: Option<Instant>,
+    last_chunk: Option<Instant>,
+    /// Time at which the first event of a run was received, until the run is recorded.
+    first_chunk: Option<Instant>,
     is_finished: bool,
 }
 
@@ -101,31 +101,31 @@
             run,
             source: Some(source),
             splitter,
-            last_piece: None,
-            first_piece: None,
+            last_chunk: None,
+            first_chunk: None,
             is_finished: false,
         };
         (head, relay)
     }
 
-    /// Returns the stream of whole events for the caller.
-    pub(crate) fn pieces(self) -> impl Stream<Item = StreamPiece> + Send + use<C, W> {
+    /// Returns the stream of complete events for the caller.
+    pub(crate) fn chunks(self) -> impl Stream<Item = StreamChunk> + Send + use<C, W> {
         stream::unfold(self, |mut relay| async move {
-            let piece = relay.next().await?;
-            Some((piece, relay))
+            let chunk = relay.next().await?;
+            Some((chunk, relay))
         })
     }
 
-    async fn next(&mut self) -> Option<StreamPiece> {
+    async fn next(&mut self) -> Option<StreamChunk> {
         if self.is_finished {
             return None;
         }
         loop {
             match self.next_input().await {
                 StreamInput::Bytes(bytes) => {
-                    if let Some(whole) = self.splitter.push(&bytes) {
-                        self.on_piece();
-                        return Some(Ok(Frame::data(whole)));
+                    if let Some(events) = self.splitter.push(&bytes) {
+                        self.on_chunk();
+                        return Some(Ok(Frame::data(events)));
                     }
                     if self.splitter.is_overlong() {
                         return self.abort("overlong_event").await;
@@ -178,24 +178,24 @@
 
     /// Returns when a silent server counts as failed: only if another server can continue the stream.
     fn silent_at(&self) -> Instant {
-        let far = self.run.request.due + Duration::from_secs(1);
-        let Some(last) = self.last_piece else {
-            return far;
+        let past_deadline = self.run.request.due + Duration::from_secs(1);
+        let Some(last) = self.last_chunk else {
+            return past_deadline;
         };
         if self.run.request.route.kind != RepeatKind::ResumableStream {
-            return far;
+            return past_deadline;
         }
         last + SILENCE_TIMEOUT
     }
 
-    fn on_piece(&mut self) {
+    fn on_chunk(&mut self) {
         let now = self.run.shared.clock.now();
-        match self.last_piece {
+        match self.last_chunk {
             None => {
                 if let Some(source) = &mut self.source {
                     source.work.record_first_byte();
                 }
-                self.first_piece = Some(now);
+                self.first_chunk = Some(now);
                 self.run.observe_first_byte();
             }
             Some(last) => {
@@ -204,13 +204,13 @@
                 self.run.observe_pause(pause);
             }
         }
-        self.last_piece = Some(now);
+        self.last_chunk = Some(now);
     }
 
     /// Records the run whose first event was received, once. The run started with the first token of that event,
     /// which preceded the event by about as long as the tokens of the next event took.
     fn record_run(&mut self, pause: Duration) {
-        if let Some(first) = self.first_piece.take() {
+        if let Some(first) = self.first_chunk.take() {
             let now = self.run.shared.clock.now();
             let ago = now.saturating_duration_since(first) + pause.mul_f64(FIRST_TOKEN_SHARE);
             self.run.record_run_start(ago);
@@ -218,7 +218,7 @@
     }
 
     /// Ends the stream after the server completed its answer.
-    fn finish(&mut self) -> Option<StreamPiece> {
+    fn finish(&mut self) -> Option<StreamChunk> {
         self.is_finished = true;
         self.record_run(Duration::ZERO);
         self.set_outcome(WorkOutcome::Answered);
@@ -230,17 +230,17 @@
     }
 
     /// Ends the stream with an error, so that it does not look complete.
-    async fn abort(&mut self, reason: &'static str) -> Option<StreamPiece> {
+    async fn abort(&mut self, reason: &'static str) -> Option<StreamChunk> {
         self.is_finished = true;
         self.record_run(Duration::ZERO);
         self.run.report(RunOutcome::Unknown, reason, StatusCode::OK);
-        // Earlier pieces are written first: an error closes the connection and discards
+        // Earlier chunks are written first: an error closes the connection and discards
         // unwritten data.
         future::yield_now().await;
         Some(Err(AnswerTruncated))
     }
 
-    /// Continues at another server after the last whole event. Returns whether that worked.
+    /// Continues at another server after the last complete event. Returns whether that succeeded.
     async fn resume(&mut self, reason: &'static str) -> bool {
         self.record_run(Duration::ZERO);
         self.run.apply(AttemptEvent::ConnectionLost);
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -18,9 +18,9 @@
 use crate::clock::{Clock, until};
 use crate::log::LogLine;
 
-/// Time after a failed call to the source in which missing entries are attributed to the outage. It covers
+/// Time after a failed call to the source within which missing entries are attributed to the outage. It covers
 /// the longest pause before the next call of each topic and the time of that call.
-const OUTAGE_TAIL: Duration = Duration::from_millis(1_000);
+const OUTAGE_WINDOW: Duration = Duration::from_millis(1_000);
 /// Time for which a server stays in use after its entry went missing in an outage. A running server has
 /// renewed its entry by then.
 pub(super) const UNCONFIRMED_GRACE_PERIOD: Duration = Duration::from_millis(1_800);
@@ -90,8 +90,8 @@
     }
 
     /// Handles the era of an answer of the store; a later one means that the store was restored from an old
-    /// backup. Entries of servers that have left may be in it again, and those of servers that were added are
-    /// missing until these write them again.
+    /// backup. It may contain entries of servers that have left, and lacks those of servers that were added until
+    /// these servers write them again.
     pub(crate) fn set_era(&self, era: StoreEra) {
         if era <= self.era.get() {
             return;
@@ -113,8 +113,8 @@
         self.failed_at.set(Some(self.shared.clock.now()));
     }
 
-    /// Returns whether this node relies on its collector to detect that a lost store is back: the collector is
-    /// another node, and messages of other nodes arrive.
+    /// Returns whether this node relies on its collector to detect that an unavailable store answers again: the
+    /// collector is another node, and messages of other nodes arrive.
     pub(crate) fn relies_on_collector(&self) -> bool {
         let has_recent_peers = self.shared.has_recent_peers();
         self.shared.options.switches.has(PolicyPart::StateSync)
@@ -123,7 +123,7 @@
     }
 
     /// Returns the time for which the store need not be called for a topic, because other nodes send its
-    /// state or a snapshot is on its way.
+    /// state or a snapshot is pending.
     pub(crate) fn fresh_for(&self, topic: SourceTopic) -> Option<Duration> {
         if !self.shared.options.switches.has(PolicyPart::StateSync) {
             return None;
@@ -176,20 +176,20 @@
         }
     }
 
-    /// Applies an answer of the source to a call that was sent at `requested_at`. Returns whether another
-    /// configuration is in force.
+    /// Applies an answer of the source to a call that was sent at `requested_at`. Returns whether a new
+    /// configuration came into force.
     pub(crate) fn apply(
         &self,
         topic: SourceTopic,
         change: SourceChange,
-        is_whole: bool,
+        is_full_read: bool,
         requested_at: Duration,
     ) -> bool {
         self.set_era(change.version.era);
         let has_new_config = match topic {
             SourceTopic::Config => self.apply_configs(change),
             SourceTopic::Servers => {
-                self.apply_servers(change, is_whole);
+                self.apply_servers(change, is_full_read);
                 false
             }
         };
@@ -220,9 +220,9 @@
 
     /// Returns the time for which a server whose entry is missing now stays in use as unconfirmed.
     ///
-    /// Entries expire while the store is away, and the first answers after the outage show it. Entries that
-    /// go later were removed for good: a grace period would send requests to a server that has left after it
-    /// stopped.
+    /// Entries expire while the store is unavailable, and are missing from its first answers after the outage.
+    /// Entries that disappear later were removed on purpose: with a grace period, requests would still be sent to
+    /// a server that has left and stopped.
     pub(super) fn grace_period(&self, now: Instant) -> Option<Duration> {
         if !self
             .shared
@@ -233,7 +233,8 @@
             return None;
         }
         let failed_at = self.failed_at.get()?;
-        (now.saturating_duration_since(failed_at) < OUTAGE_TAIL).then_some(UNCONFIRMED_GRACE_PERIOD)
+        (now.saturating_duration_since(failed_at) < OUTAGE_WINDOW)
+            .then_some(UNCONFIRMED_GRACE_PERIOD)
     }
 
     pub(super) fn apply_config(
@@ -244,8 +245,8 @@
     ) -> bool {
         let current = self.shared.config.load_full();
         let current_version = current.as_ref().map_or(0, |current| current.version);
-        // A source that was away may answer with old state. An older version would bring back routes and keys
-        // that callers have already seen removed.
+        // A source that was unavailable may answer with old state. An older version would restore routes and keys
+        // whose removal callers have already noticed.
         if current.is_some() && config.version <= current_version {
             return false;
         }
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -13,13 +13,13 @@
 
 impl<C: Clock, W: Send + Sync + 'static> FleetView<C, W> {
     /// Applies the source's changes of servers.
-    pub(super) fn apply_servers(&self, change: SourceChange, is_whole: bool) {
+    pub(super) fn apply_servers(&self, change: SourceChange, is_full_read: bool) {
         let grace_period = self.grace_period(self.shared.clock.now());
         let events = change.events.into_iter();
         let updates: Vec<ServerUpdate> = events
             .filter_map(|event| self.server_update(event, grace_period.is_some()))
             .collect();
-        if is_whole {
+        if is_full_read {
             self.replace_servers(updates, grace_period);
             self.sync_state().restart_log(change.version);
             return;
@@ -101,8 +101,8 @@
         self.publish(&expired, "lapsed");
     }
 
-    /// Reports a server to the quarantine that went without draining or that restarted: it may have crashed
-    /// under a request.
+    /// Reports a server to the quarantine that restarted or whose entry was removed without draining: it may have
+    /// crashed while it ran a request.
     fn check_for_crash(&self, loads: &LoadTable, change: &ServerChange, now: Instant) {
         let (id, sign) = match change {
             ServerChange::Gone(id) => (id, CrashSign::Lapsed),
--- a/crates/plumgate-node/src/gateway/view_snapshots.rs
+++ b/crates/plumgate-node/src/gateway/view_snapshots.rs
@@ -14,7 +14,7 @@
 
 impl<C: Clock, W: Send + Sync + 'static> FleetView<C, W> {
     /// Waits until another node holds state of a topic that this one lacks, and fetches it from there.
-    /// Returns whether another configuration is in force.
+    /// Returns whether a new configuration came into force.
     pub(crate) async fn fetch_next_snapshot(&self, topic: SourceTopic) -> bool {
         let from = self.snapshot_requests.next(topic).await;
         let fetched = match topic {
@@ -93,7 +93,7 @@
     /// Returns the servers, encoded for other nodes; `None` if they were not read yet.
     pub(crate) fn servers_snapshot(&self) -> Option<Vec<u8>> {
         let now = self.shared.clock.boot_time();
-        // Entries don't contain what servers report to nodes.
+        // Entries don't contain leave notices: their reports start again for the node that fetches the snapshot.
         self.shared.statements().notices.restart_reports(now);
         let snapshot = self
             .sync_state()
