--- a/crates/plumgate-node/src/gateway/connection.rs
+++ b/crates/plumgate-node/src/gateway/connection.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Records that the head of a request was received; the guard is held until the whole answer was sent.
+    /// Records that the head of a request was received; the guard is held until the complete answer was sent.
     pub(crate) fn begin_answer<C: Clock>(self: &Arc<Self>, clock: C) -> AnswerGuard<C> {
         *self.state() = ActivityState::Answering;
         AnswerGuard {
--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -94,12 +94,12 @@
             executor.spawn(maintaining).detach();
             executor.spawn(duties.clone().call_duty_api(api)).detach();
         }
-        let own = PeerExchange::new(control.shared.clone(), control.view.clone(), duties)
+        let own_entry = PeerExchange::new(control.shared.clone(), control.view.clone(), duties)
             .map(|exchange| exchange.spawn(&executor, source.clone()));
         let running = async {
             control.run_lifecycle(signals).await;
-            if let Some(own) = own {
-                control.leave(source, &own).await;
+            if let Some(entry) = own_entry {
+                control.leave(source, &entry).await;
             }
         };
         async_io::block_on(executor.run(running));
@@ -107,9 +107,9 @@
 
     /// Removes the node from the register, if that succeeds quickly: a row that remains only reduces the other
     /// nodes' share of the retries.
-    async fn leave<S: FleetSource>(&self, mut source: S, own: &NodeEntry) {
+    async fn leave<S: FleetSource>(&self, mut source: S, entry: &NodeEntry) {
         let deadline = self.shared.clock.now() + LEAVE_TIMEOUT;
-        let leaving = source.unregister(own);
+        let leaving = source.unregister(entry);
         let removed = until(&self.shared.clock, deadline, leaving).await;
         let done = matches!(removed, Some(Ok(())));
         record_source_call(&self.shared, CallTopic::Nodes, CallCause::Leave, done);
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -45,7 +45,7 @@
     shared: Arc<GatewayShared<C, W>>,
     view: Rc<FleetView<C, W>>,
     socket: Async<UdpSocket>,
-    own: NodeEntry,
+    own_entry: NodeEntry,
     exchange: RefCell<LoadExchange>,
     verdicts: VerdictStore<C, W>,
     duties: Option<Rc<DutyState<C, W>>>,
@@ -76,14 +76,14 @@
                 return None;
             }
         };
-        let own = NodeEntry {
+        let own_entry = NodeEntry {
             node: shared.options.node.clone(),
             data_centre: shared.options.data_centre.clone(),
             address,
             capacity: shared.options.capacity,
         };
         Some(Self {
-            exchange: RefCell::new(LoadExchange::new(own.clone())),
+            exchange: RefCell::new(LoadExchange::new(own_entry.clone())),
             verdicts: VerdictStore::new(shared.clone()),
             duties,
             collector: RefCell::default(),
@@ -92,7 +92,7 @@
             shared,
             view,
             socket,
-            own,
+            own_entry,
         })
     }
 
@@ -105,7 +105,7 @@
     where
         Self: 'a,
     {
-        let own = self.own.clone();
+        let own_entry = self.own_entry.clone();
         let exchange = Rc::new(self);
         let receiver = exchange.clone();
         executor
@@ -126,7 +126,7 @@
         executor
             .spawn(async move { exchange.maintain_registration(source).await })
             .detach();
-        own
+        own_entry
     }
 
     async fn receive(&self) {
@@ -273,7 +273,7 @@
     fn update_collector(&self) {
         let collector = self.exchange.borrow().collector().cloned();
         self.view.set_collector(collector.is_none());
-        let collector = collector.unwrap_or_else(|| self.own.node.clone());
+        let collector = collector.unwrap_or_else(|| self.own_entry.node.clone());
         let known = self.collector.replace(Some(collector.clone()));
         if known.as_ref() != Some(&collector) {
             LogLine::new("collector")
@@ -313,7 +313,7 @@
     /// Writes this node's row, and retries until the store accepts it.
     async fn register<S: FleetSource>(&self, source: &mut S) {
         loop {
-            let registered = source.register(&self.own).await;
+            let registered = source.register(&self.own_entry).await;
             self.record_call(registered.is_ok());
             let Err(error) = registered else {
                 return;
--- a/crates/plumgate-node/src/gateway/metrics.rs
+++ b/crates/plumgate-node/src/gateway/metrics.rs
@@ -44,7 +44,7 @@
 pub(crate) struct NoticeLabels {
     /// `leaving` or `resting`.
     pub(crate) notice: &'static str,
-    /// `answer`, `peer` or `malformed`, by where the notice comes from; for a request that was sent in spite of a
+    /// `answer`, `peer` or `malformed`, by the origin of the notice; for a request that was sent in spite of a
     /// notice, the reason to send it.
     pub(crate) source: &'static str,
 }
--- a/crates/plumgate-node/src/gateway/mod.rs
+++ b/crates/plumgate-node/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! Gateway node, which relays whole requests byte for byte.
+//! Gateway node, which relays complete requests byte for byte.
 //!
 //! Decisions come from `plumgate::gateway`. The protocols of the store, the callers and the backend servers are
 //! implemented outside, by the traits in [`ports`].
--- a/crates/plumgate-node/src/gateway/ports.rs
+++ b/crates/plumgate-node/src/gateway/ports.rs
@@ -215,7 +215,8 @@
     },
     /// An answer to another request.
     Foreign,
-    /// Bytes that do not come from the server itself, or an answer that states what it cannot know.
+    /// An answer that did not come from the server itself, or whose status claims that the request was not run
+    /// although the server does not state so.
     Untrue,
 }
 
@@ -224,7 +225,7 @@
 pub struct AnswerMetadata {
     /// Meaning of the answer.
     pub meaning: AnswerMeaning,
-    /// Time for which the server keeps an idle connection open; `None` where the answer doesn't say.
+    /// Time for which the server keeps an idle connection open; `None` where the answer does not state it.
     pub keep_alive: Option<Duration>,
     /// Statement of the server on itself; `None` unless the answer is certainly the server's own to this request.
     pub statement: Option<ServerStatement>,
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -52,7 +52,7 @@
 enum NextStep {
     /// Choose a server again.
     Retry,
-    /// The whole answer is sent to the caller.
+    /// The complete answer is sent to the caller.
     Respond(Response<Bytes>),
     /// The request fails with this error.
     Fail(CallerError),
--- a/crates/plumgate-node/src/gateway/view_snapshots.rs
+++ b/crates/plumgate-node/src/gateway/view_snapshots.rs
@@ -83,7 +83,7 @@
 
     /// Returns the configuration in force, encoded for other nodes; `None` if there is none.
     pub(crate) fn config_snapshot(&self) -> Option<Vec<u8>> {
-        // The age is read first: a configuration that comes into force in between is newer than the age says,
+        // The age is read first: a configuration that comes into force in between is newer than the age states,
         // never older.
         let age = self.shared.lease().age(self.shared.clock.boot_time())?;
         let config = self.shared.config.load_full()?;
