--- a/crates/plumgate/tests/charts.rs
+++ b/crates/plumgate/tests/charts.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn unreachable_states_traps_and_unknown_names_are_found_together() {
+fn unreachable_states_traps_and_unknown_names_are_reported_together() {
     let text = r#"name = "test"
 start = "a"
 [states.a]
@@ -57,7 +57,7 @@
 // model. After the first byte the outcome is "unknown", and an attempt that is refused later must not turn
 // that back.
 #[test]
-fn not_run_is_said_only_before_the_first_byte() {
+fn not_run_is_reported_only_before_the_first_byte() {
     use AttemptEvent::{ConnectFailed, ConnectionLost, FirstByte, RunAgain, ServerRefused};
     let mut run = AttemptRun::new();
     run.dispatch("s1".into()).expect("expected");
@@ -88,7 +88,7 @@
     let mut run = AttemptRun::new();
     let error = run
         .apply(AttemptEvent::Finished)
-        .expect_err("nothing was sent yet");
+        .expect_err("no attempt was dispatched yet");
     assert_eq!(
         error,
         Error::UnexpectedEvent("queued".to_owned(), "finished".to_owned())
--- a/crates/plumgate/tests/claim.rs
+++ b/crates/plumgate/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of keys: at most one run for each key, and truthful answers.
+//! Claims of idempotency keys: at most one run for each key, and correct answers to callers.
 
 use plumgate::RunOutcome;
 use plumgate::claim::{ClaimAction, ClaimRow, ClaimRun, ClaimState, claim_row_name};
@@ -19,7 +19,7 @@
 
 // Guards against a node that refuses its own request: the claim is written but its answer is lost, and a
 // blind retry of the write finds the node's own claim. The node must read the row back, so that the caller
-// gets one receipt, or a refusal that says so, and never two.
+// gets either one receipt or an explicit refusal, and never two receipts.
 #[test]
 fn claim_whose_answer_is_lost_is_read_back_and_granted() {
     let mut claim = run("a");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn key_of_a_request_that_surely_did_not_run_is_claimed_anew() {
+fn key_of_a_request_that_did_not_run_can_be_claimed_again() {
     let found = Some((row("b", ClaimState::NotRun), 7));
     assert_eq!(
         run("a").apply_row(found),
@@ -56,8 +56,8 @@
     );
 }
 
-// Guards against a caller that reuses a key for another request by mistake: with the answer of the first
-// request a wrong certificate would be put on its heat lot.
+// Guards against a caller that reuses a key for another request by mistake: it would get the answer of the
+// first request, such as the certificate of another heat lot.
 #[test]
 fn key_of_another_request_is_refused() {
     let found = ClaimRow {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn platform_that_never_answers_ends_the_claim() {
+fn claim_is_unavailable_when_the_platform_never_answers() {
     let mut claim = run("a");
     let mut steps = 0;
     while claim.apply_unanswered() != ClaimAction::Unavailable {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn end_of_a_run_is_written_truthfully() {
+fn claim_row_stores_the_outcome_of_the_run() {
     assert_eq!(run("a").ended(RunOutcome::NotRun).state, ClaimState::NotRun);
     assert_eq!(
         run("a").ended(RunOutcome::Unknown).state,
@@ -97,17 +97,17 @@
     );
 }
 
-/// What happens to one call of the platform.
+/// Result of one call to the platform.
 #[derive(Clone, Copy, Debug)]
-enum CallFate {
+enum CallResult {
     Answered,
     AnswerLost,
-    CallLost,
+    RequestLost,
 }
 
-impl Arbitrary for CallFate {
+impl Arbitrary for CallResult {
     fn arbitrary(g: &mut Gen) -> Self {
-        *g.choose(&[Self::Answered, Self::AnswerLost, Self::CallLost])
+        *g.choose(&[Self::Answered, Self::AnswerLost, Self::RequestLost])
             .expect("not empty")
     }
 }
@@ -135,19 +135,21 @@
     claim: &mut ClaimRun,
     action: ClaimAction,
     store: &mut RowStore,
-    fate: CallFate,
+    result: CallResult,
 ) -> ClaimAction {
-    match (action, fate) {
-        (ClaimAction::Put(..) | ClaimAction::Read, CallFate::CallLost) => claim.apply_unanswered(),
-        (ClaimAction::Put(row, version), fate) => {
+    match (action, result) {
+        (ClaimAction::Put(..) | ClaimAction::Read, CallResult::RequestLost) => {
+            claim.apply_unanswered()
+        }
+        (ClaimAction::Put(row, version), result) => {
             let written = store.put(row, version);
-            match fate {
-                CallFate::AnswerLost => claim.apply_unanswered(),
+            match result {
+                CallResult::AnswerLost => claim.apply_unanswered(),
                 _ if written => claim.apply_written(store.writes),
                 _ => claim.apply_row(store.row.clone()),
             }
         }
-        (ClaimAction::Read, CallFate::AnswerLost) => claim.apply_unanswered(),
+        (ClaimAction::Read, CallResult::AnswerLost) => claim.apply_unanswered(),
         (ClaimAction::Read, _) => claim.apply_row(store.row.clone()),
         (end, _) => end,
     }
@@ -156,7 +158,7 @@
 quickcheck! {
     // Four attempts claim the same key, and calls and answers get lost in any order. However the steps
     // interleave, at most one attempt may run the request.
-    fn one_attempt_at_most_is_granted(schedule: Vec<(u8, CallFate)>) -> bool {
+    fn one_attempt_at_most_is_granted(schedule: Vec<(u8, CallResult)>) -> bool {
         let mut store = RowStore::default();
         let names = ["a", "b", "c", "d"];
         let mut claims: Vec<_> = names.iter().map(|name| {
@@ -164,9 +166,9 @@
             let action = claim.start();
             (claim, action)
         }).collect();
-        for (index, fate) in schedule {
+        for (index, result) in schedule {
             let (claim, action) = &mut claims[usize::from(index) % names.len()];
-            *action = step(claim, action.clone(), &mut store, fate);
+            *action = step(claim, action.clone(), &mut store, result);
         }
         let granted = claims.iter().filter(|(_, action)| matches!(action, ClaimAction::Granted(_)));
         granted.count() <= 1
--- a/crates/plumgate/tests/config.rs
+++ b/crates/plumgate/tests/config.rs
@@ -52,8 +52,8 @@
     assert!(text.starts_with("inventory.toml:1: "), "{text}");
 }
 
-// Guards against two names for one address: each would be given the server's full load, and callers would
-// wait twice as long as predicted.
+// Guards against two names for one address: each would get the server's full load, and callers would wait
+// twice as long as predicted.
 #[test]
 fn one_address_under_two_names_is_a_finding() {
     let text = inventory(2, 1).replace(":1002", ":1001");
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn key_names_its_workspace_only() {
+fn key_identifies_only_its_own_workspace() {
     let keys = format!(
         "tier = \"courier\"\nkey_digests = [\"{}\"]\n",
         key_digest("secret")
@@ -92,7 +92,7 @@
     assert_eq!(
         config.rank_of(workspace, class),
         2,
-        "the workspace pays for courier only"
+        "the tier of the workspace is below the tier of the class"
     );
 }
 
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn changes_name_what_was_added_removed_and_changed() {
+fn changes_list_what_was_added_removed_and_changed() {
     let read = |text: String| ConfigBundle::new(text, RULES).read(1).expect("no findings");
     let old = read(inventory(2, 1));
     let new = read(
@@ -129,7 +129,7 @@
     for example in ["foundation", "brazos", "demo"] {
         let folder = format!("{}/../../examples/{example}", env!("CARGO_MANIFEST_DIR"));
         let read = |name: &str| {
-            std::fs::read_to_string(format!("{folder}/{name}")).expect("the example is there")
+            std::fs::read_to_string(format!("{folder}/{name}")).expect("the example exists")
         };
         let bundle = ConfigBundle::new(read("inventory.toml"), read("rules.toml"));
         assert!(bundle.read(1).is_ok(), "{example}");
--- a/crates/plumgate/tests/dispatch.rs
+++ b/crates/plumgate/tests/dispatch.rs
@@ -29,11 +29,11 @@
     assert_eq!(order, [urgent, middle, late]);
 }
 
-// Guards against a lower tier that takes a higher tier's places in the queue: a caption arrives while the
+// Guards against a lower tier that fills a higher tier's share of the queue: a caption arrives while the
 // queue is full of dossiers and must be queued and served first. The first dossier beyond the queue's length
 // is refused at once, with the reason.
 #[test]
-fn flood_of_a_lower_tier_leaves_the_places_of_a_higher_one_alone() {
+fn lower_tier_does_not_fill_the_queue_of_a_higher_one() {
     let mut bench = Bench::new(1, 1);
     let (running, _) = bench.submit("caption");
     for _ in 0..6 {
@@ -46,10 +46,10 @@
     assert_eq!(started(&bench.answer(&running))[0].0, caption);
 }
 
-// Guards against a caption that waits for slots which dossiers hold for 20 s: the dossier that has done the
-// least is preempted, and its caller still gets an answer later.
+// Guards against a caption that waits for slots which dossiers hold for 20 s: the dossier that started last
+// is preempted, as it loses the least work, and its caller still gets an answer later.
 #[test]
-fn running_lower_tier_gives_way_to_a_caption_that_would_wait_too_long() {
+fn running_lower_tier_is_preempted_for_a_caption_that_would_wait_too_long() {
     let mut bench = Bench::new(1, 2);
     let (first, _) = bench.submit("dossier");
     bench.now += Duration::from_secs(1);
@@ -69,10 +69,10 @@
     assert_eq!(started(&bench.answer(&first)).len(), 1);
 }
 
-// Guards against preempting a dossier whose caller already receives the stream: its answer would be cut
-// short.
+// Guards against preempting a dossier whose caller already receives the stream: its answer would be
+// truncated.
 #[test]
-fn request_whose_caller_has_bytes_does_not_give_way() {
+fn request_whose_caller_has_received_bytes_is_not_preempted() {
     let mut bench = Bench::new(1, 1);
     let (dossier, _) = bench.submit("dossier");
     bench.dispatcher.disable_preemption(&dossier);
@@ -83,7 +83,7 @@
 // Guards against preempting a receipt in flight, which may have run: running it again would bill it twice. A
 // non-idempotent request is never preempted.
 #[test]
-fn non_idempotent_request_does_not_give_way() {
+fn non_idempotent_request_is_not_preempted() {
     let mut bench = Bench::new(1, 1);
     let mut ticket = bench.ticket("receipt");
     ticket.rank = 3;
@@ -95,7 +95,7 @@
 // Guards against refusing a caption at once because its predicted wait is too long while another node runs
 // dossiers on the server: that node is asked to preempt one.
 #[test]
-fn caption_is_not_refused_while_a_peer_holds_room_with_a_lower_tier() {
+fn caption_is_not_refused_while_a_peer_runs_a_lower_tier() {
     let mut bench = Bench::new(1, 1);
     let (running, _) = bench.submit("caption");
     bench.now += Duration::from_secs(20);
@@ -119,20 +119,20 @@
         .apply_peer(&"other".into(), &loads, now);
     let (_, actions) = bench.submit("caption");
     assert!(refused(&actions).is_empty());
-    let asks = |action: &DispatchAction| {
+    let requests_preemption = |action: &DispatchAction| {
         matches!(
             action,
             DispatchAction::RequestPeerPreemption { rank: 1, .. }
         )
     };
-    assert!(actions.iter().any(asks), "{actions:?}");
+    assert!(actions.iter().any(requests_preemption), "{actions:?}");
 }
 
 // Guards against starvation of lower tiers: for an hour captions come 50% faster than the servers can serve
 // them. Floors give each tier its share of the dispatches, and no request waits longer than its patience;
 // after that it is refused.
 #[test]
-fn every_tier_is_served_under_endless_overload() {
+fn every_tier_is_served_under_sustained_overload() {
     let mut bench = Bench::new(2, 2);
     let mut served: BTreeMap<u8, u32> = BTreeMap::new();
     let mut arrived = HashMap::new();
@@ -181,9 +181,9 @@
 }
 
 // Guards against preempting a dossier that runs by its tier's floor: it would be started and cancelled again
-// and again, and the floor would serve nobody.
+// and again, and the floor would have no effect.
 #[test]
-fn request_that_runs_by_its_floor_does_not_give_way() {
+fn request_that_runs_by_its_floor_is_not_preempted() {
     let mut bench = Bench::new(1, 1);
     let (mut running, _) = bench.submit("caption");
     bench.submit("dossier");
@@ -194,7 +194,7 @@
         bench.now += Duration::from_secs(2);
         let actions = bench.answer(&running);
         let Some(DispatchAction::Start(order)) = actions.into_iter().next() else {
-            panic!("a start")
+            panic!("no request was started")
         };
         running = order.ticket.id.clone();
         if order.by_floor {
@@ -207,10 +207,10 @@
     assert!(preempted(&actions).is_empty(), "{actions:?}");
 }
 
-// Guards against a request that is kept until its connection breaks: when its patience ends without a free
-// server, it is refused with a time to retry after.
+// Guards against a request that stays queued until its connection breaks: when its patience ends without a
+// free server, it is refused with a time to retry after.
 #[test]
-fn request_that_waited_as_long_as_it_may_is_refused() {
+fn request_that_waited_beyond_its_patience_is_refused() {
     let mut bench = Bench::new(1, 1);
     bench.submit("caption");
     let (waiting, _) = bench.submit("caption");
@@ -218,13 +218,13 @@
     let actions = bench.advance(200);
     assert_eq!(refused(&actions), [(waiting, RefusalReason::Expired)]);
     let DispatchAction::Refuse { retry_after, .. } = &actions[0] else {
-        panic!("a refusal")
+        panic!("no request was refused")
     };
     assert!(*retry_after >= Duration::from_millis(200));
 }
 
 // Guards against a small workspace that waits behind all requests of a large one which filled the tier's
-// queue before: by deadline alone it would.
+// queue before: an order by deadline alone would put it last.
 #[test]
 fn small_workspace_does_not_wait_behind_a_large_one() {
     let mut bench = Bench::new(1, 2);
@@ -253,10 +253,10 @@
     assert_eq!(started(&bench.submit("caption").1).len(), 1);
 }
 
-// Guards against callers that learn too late that a node stops: waiting requests are refused at once as not
-// run, so that callers can go to another node.
+// Guards against callers that wait at a node that stops: waiting requests are refused at once as not run, so
+// that callers can go to another node.
 #[test]
-fn stopping_refuses_what_waits_and_what_comes() {
+fn stopping_node_refuses_waiting_and_new_requests() {
     let mut bench = Bench::new(1, 1);
     bench.submit("caption");
     let (waiting, _) = bench.submit("note");
--- a/crates/plumgate/tests/duty.rs
+++ b/crates/plumgate/tests/duty.rs
@@ -1,4 +1,4 @@
-//! What the duty API receives in the cases that operators ask about, one at a time.
+//! Reports to the duty API under single faults, in the cases that operators ask about.
 
 mod duty_model;
 
@@ -16,11 +16,11 @@
     assert!(fleet.checker.violations.is_empty());
 }
 
-// Guards against a missed window when the holder ends for good just as a window is due and another node is
-// wanted: the next holder waits until the lease has ended and the last call of the first one is over, and
-// still reports in time.
+// Guards against a missed window when the holder is killed for good just as a window is due and another node
+// is to take over: the next holder waits until the lease has expired and the last call of the first one is
+// over, and still reports in time.
 #[test]
-fn window_is_reported_where_the_holder_ends() {
+fn window_is_reported_after_the_holder_is_killed() {
     for offset in 0..25 {
         let mut fleet = DutyFleet::new(2, 3, FaultRates::default());
         let first = window_at(fleet.now);
@@ -41,9 +41,9 @@
     }
 }
 
-// Guards against missed or repeated windows when the store is away for a moment and is restored to a state of
-// some seconds ago, at any moment of a window: the holder learns of it within its lease, knows all that was
-// sent, and continues.
+// Guards against missed or repeated windows when the store is restored to a state of some seconds ago, at any
+// time within a window, and once more soon after: the holder detects it within its lease, has a record of all
+// reports that were sent, and continues.
 #[test]
 fn holder_continues_after_the_store_is_restored() {
     for offset in 0..20 {
@@ -69,10 +69,10 @@
 }
 
 // Guards against a second, different report when the store is restored to an earlier state while the holder
-// is down, so that the row may lack its last reports: the next holder leaves out the windows that may have
-// been sent, as a second count would break a rule, and reports all later ones.
+// is down, so that the row may lack its last reports: the next holder skips the windows that may have been
+// sent, as a second count would break a rule, and reports all later ones.
 #[test]
-fn windows_that_may_have_been_sent_are_left_out() {
+fn windows_that_may_have_been_sent_are_skipped() {
     let mut fleet = DutyFleet::new(4, 3, FaultRates::default());
     fleet.run(32);
     fleet.kill(0, 1_000_000);
--- a/crates/plumgate/tests/duty_scale.rs
+++ b/crates/plumgate/tests/duty_scale.rs
@@ -1,4 +1,4 @@
-//! How many servers are ordered: a load is simulated, and cost and late prompts are counted.
+//! Orders of servers under a simulated load, with their cost and the late prompts.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -113,7 +113,7 @@
         load
     }
 
-    /// Takes away all reclaimable servers of a data centre; none is available there for ten seconds.
+    /// Reclaims all reclaimable servers of a data centre; none is available there for ten seconds.
     fn reclaim(&mut self, data_centre: &str) {
         let key = (data_centre.into(), CapacityType::Reclaimable);
         self.servers.remove(&key);
@@ -202,8 +202,8 @@
     }
 }
 
-/// Simulates a steady load with a burst of three times as much in each twenty seconds; reclaimable servers
-/// are taken away twice.
+/// Simulates a steady load with a burst of three times that load every twenty seconds; reclaimable servers
+/// are reclaimed twice.
 fn simulate(policy: &mut impl ScalePolicy, scaling: &PoolScaling) -> SimPool {
     let mut pool = SimPool::new(30);
     for step in 0..STEPS {
@@ -221,10 +221,10 @@
 }
 
 // Guards against paying for servers that are idle most of the time: following the load costs less than half,
-// and no more prompts are late, though bursts come faster than servers boot and reclaimable ones are taken
-// away.
+// and no more prompts are late, though bursts come faster than servers boot and reclaimable ones are
+// reclaimed.
 #[test]
-fn load_is_followed_at_half_of_the_cost() {
+fn following_the_load_halves_the_cost() {
     let limits = scaling(Some(180));
     let unscaled = simulate(&mut NoScaling, &limits);
     let scaled = simulate(&mut LoadScaling::default(), &limits);
@@ -243,9 +243,10 @@
     assert!(scaled.orders < 120, "{} orders", scaled.orders);
 }
 
-// Without reclaimable servers the operator's number is kept until the load needs more, and is not undercut.
+// Without reclaimable servers the operator's number is the minimum: more are ordered only when the load needs
+// them, and never fewer.
 #[test]
-fn lasting_servers_alone_follow_too() {
+fn lasting_servers_alone_follow_the_load() {
     let limits = scaling(None);
     let pool = simulate(&mut LoadScaling::default(), &limits);
     assert!(
@@ -257,10 +258,10 @@
     assert!((90..=180).contains(&lasting), "{lasting}");
 }
 
-// Guards against orders by a partial view: at the start servers write their entries one after another, and a
-// new holder sees only some of them. An order by that number would take the rest away.
+// Guards against orders from a partial view: at the start servers write their entries one after another, and
+// a new holder sees only some of them. An order of that number would release the rest.
 #[test]
-fn nothing_is_ordered_before_the_pool_was_seen() {
+fn nothing_is_ordered_from_a_partial_view_of_the_pool() {
     let mut policy = fixed_number_policy();
     let limits = scaling(Some(180));
     let now = Instant::now();
@@ -289,7 +290,7 @@
     assert!(lasting.is_some_and(|count| *count >= 18), "{lasting:?}");
 }
 
-// Guards against servers that are given back and ordered again because the wanted number fluctuates from one
+// Guards against servers that are released and ordered again because the wanted number fluctuates from one
 // evaluation to the next.
 #[test]
 fn fluctuating_numbers_lead_to_no_orders() {
@@ -314,7 +315,7 @@
     assert!(orders == 0, "{orders} orders");
 }
 
-// Guards against lost capacity when all reclaimable servers of one data centre are taken away and none is
+// Guards against lost capacity when all reclaimable servers of one data centre are reclaimed and none is
 // available there: the others get as many more, and return to their number once it has some again.
 #[test]
 fn servers_unavailable_in_one_data_centre_are_ordered_in_the_others() {
@@ -344,10 +345,10 @@
     assert_eq!(reclaimable(&wanted, "b"), Some(30));
 }
 
-// A thousand servers of a data centre are no longer needed. They are given back in steps, so that all nodes
-// learn of each removal in time.
+// A thousand servers of a data centre are no longer needed. They are released in steps, so that each removal
+// reaches all nodes in time.
 #[test]
-fn many_servers_are_given_back_in_steps() {
+fn many_servers_are_released_in_steps() {
     let mut tracker = OrderTracker::new();
     let subject = ScaleSubject {
         pool: "models".into(),
--- a/crates/plumgate/tests/duty_search.rs
+++ b/crates/plumgate/tests/duty_search.rs
@@ -64,10 +64,10 @@
     search("holders", rates);
 }
 
-// All nodes want the duties; the holder loses the store and continues until its lease ends, and its calls
-// take as long as they may. The next holder waits for the last of them.
+// All nodes want the duties; the holder is cut off from the store and continues until its lease expires, and
+// its calls take as long as they may. The next holder waits for the last of them.
 #[test]
-fn last_call_of_a_holder_is_waited_for() {
+fn next_holder_waits_for_the_last_call_of_the_previous_one() {
     let rates = FaultRates {
         cut_store: 0.25,
         slow_duty_api: 0.8,
--- a/crates/plumgate/tests/gateway_apart.rs
+++ b/crates/plumgate/tests/gateway_apart.rs
@@ -22,14 +22,14 @@
 }
 
 // Guards against blocking a harmless popular request: once suspected, it was placed on the server with the
-// least work, which was unresponsive under another request and idle for that reason, and the crash there
-// counted against it too.
+// least work. That server was idle because another request had made it unresponsive, and its crash counted
+// against the popular request too.
 #[test]
 fn unresponsive_server_is_not_taken_for_an_idle_one() {
     let mut table = LoadTable::new(PlacementOptions::new("hall-a"));
     let pool: PoolId = "models".into();
     let mut now = Instant::now();
-    let names = ["dark", "a", "b"];
+    let names = ["unresponsive", "a", "b"];
     for name in names {
         table.apply(&ServerChange::Changed(server_entry(name)), now);
     }
@@ -39,7 +39,7 @@
         let request = request(&pool, false, &others);
         let pick = table.pick(&request, now).expect("a server");
         let mut ticket = table.start(&pick, &request, now);
-        if name == "dark" {
+        if name == "unresponsive" {
             table.finish(ticket, WorkOutcome::Answered, now);
         } else {
             // Responsive servers have work in progress and keep answering.
@@ -53,5 +53,5 @@
     // Where no server answers, any server is better than none.
     now += Duration::from_secs(9);
     let pick = table.pick(&request(&pool, true, &[]), now);
-    assert_eq!(&*pick.expect("a server").server.id, "dark");
+    assert_eq!(&*pick.expect("a server").server.id, "unresponsive");
 }
--- a/crates/plumgate/tests/gateway_budget.rs
+++ b/crates/plumgate/tests/gateway_budget.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn pools_don_t_pay_for_each_other() {
+fn pools_have_separate_budgets() {
     let now = Instant::now();
     let mut budget = WindowBudget::new(WINDOW, 0.2, 8.0).with_nodes(8);
     assert!(budget.spend(&pool(), now));
@@ -52,9 +52,9 @@
 }
 
 /// Guards against too many retries when all nodes of a large fleet restart while the fleet's size can't be
-/// read: each then took a share as of a small fleet.
+/// read: each then took the share of a node in a small fleet.
 #[test]
-fn nodes_that_do_not_know_how_many_they_are_spend_no_extra() {
+fn nodes_that_do_not_know_the_fleet_size_spend_no_extra() {
     let now = Instant::now();
     let extra = 52.0;
     let spent: usize = (0..195)
@@ -67,8 +67,8 @@
 }
 
 quickcheck! {
-    /// A server that fails every request gets no second load: for any order of requests and failures, the
-    /// retries of all nodes stay within the ratio plus the extra in each sliding window.
+    /// Retries don't double the load of a server that fails every request: for any order of requests and
+    /// failures, the retries of all nodes stay within the ratio plus the extra in each sliding window.
     fn retries_of_all_nodes_stay_within_the_bound(steps: Vec<(u8, u16)>) -> bool {
         let start = Instant::now();
         let nodes = 4;
--- a/crates/plumgate/tests/gateway_config.rs
+++ b/crates/plumgate/tests/gateway_config.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn key_finds_its_workspace_and_only_its() {
+fn key_identifies_only_its_own_workspace() {
     let first = KeyOwner {
         workspace: "first".into(),
         priority: Some(1),
@@ -91,20 +91,20 @@
 }
 
 #[test]
-fn workspace_rank_goes_before_route_rank() {
+fn workspace_priority_precedes_route_priority() {
     let mut urgent = route("urgent", "a.example", "/u/");
     urgent.priority = 0;
     let mut bulk = route("bulk", "a.example", "/b/");
     bulk.priority = 2;
     let config = config(vec![urgent.clone(), bulk.clone()]);
-    let keys = |priority| KeyOwner {
+    let owner = |priority| KeyOwner {
         workspace: "w".into(),
         priority: Some(priority),
     };
-    let urgency_of = |route: &GatewayRoute, priority| config.urgency(route, Some(&keys(priority)));
+    let urgency_of = |route: &GatewayRoute, priority| config.urgency(route, Some(&owner(priority)));
     assert!(
         urgency_of(&urgent, 0) < urgency_of(&bulk, 0),
-        "the route decides within a rank"
+        "routes decide within a priority of workspaces"
     );
     assert!(
         urgency_of(&bulk, 0) < urgency_of(&urgent, 1),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn streams_that_bear_no_pause_are_interactive() {
+fn streams_with_a_short_pause_target_are_interactive() {
     let with_pause = |name: &str, pause| {
         let mut route = route(name, "a.example", &format!("/{name}/"));
         route.pause_target = Some(Duration::from_millis(pause));
@@ -132,7 +132,7 @@
     assert_eq!(
         config.stream_class(&dossier, &"elsewhere".into()),
         StreamClass::Interactive,
-        "alone in its pool a stream yields to no other"
+        "a stream that is alone in its pool has no other to yield to"
     );
 }
 
@@ -160,8 +160,8 @@
     );
 }
 
-// Guards against accepting a revoked key after a suspension of the VM: its monotonic clock stands still
-// meanwhile, so that a configuration read long before looks fresh when the VM resumes.
+// Guards against accepting a revoked key after a suspension of the VM: its monotonic clock stops meanwhile,
+// so that a configuration read long before looks fresh when the VM resumes.
 #[test]
 fn keys_are_not_trusted_after_a_suspension() {
     let mut lease = FreshnessLease::new(Duration::from_secs(5));
@@ -197,7 +197,7 @@
 // was queued for seconds: its age counts from the time of the request, and includes the age of the sender's
 // own state.
 #[test]
-fn passed_on_configuration_is_as_old_as_its_giver_knows() {
+fn forwarded_configuration_includes_the_age_at_its_sender() {
     let original = Arc::new(GatewayConfig::new(7, CallerLimits::default()));
     let snapshot = ConfigSnapshot::new(original.clone(), Duration::from_millis(1_200));
     let bytes = snapshot.encode().expect("it is encoded");
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn passed_on_configuration_routes_as_the_one_that_was_read() {
+fn forwarded_configuration_equals_the_original() {
     let workspace = KeyOwner {
         workspace: "norte".into(),
         priority: Some(1),
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -57,22 +57,22 @@
         pick
     }
 
-    /// Starts requests without shared parts at one server, and leaves them unanswered.
+    /// Starts requests without shared parts at one server and leaves them in flight.
     fn occupy(&mut self, server: &ServerId, count: u64) {
         let servers = ["a", "b", "c", "d", "e", "f", "g", "h"];
         let others: Vec<ServerId> = servers.map(ServerId::from).into();
         let others: Vec<ServerId> = others.into_iter().filter(|id| id != server).collect();
         let pool = self.pool.clone();
         for number in 0..count {
-            let alone = PromptShape {
+            let unshared = PromptShape {
                 parts: vec![PromptPart {
                     id: 10_000 + number,
                     tokens: 2_000,
                 }],
                 max_output_tokens: 100,
             };
-            let pick = self.pick(&alone, &others);
-            let request = request(&pool, &alone, &others);
+            let pick = self.pick(&unshared, &others);
+            let request = request(&pool, &unshared, &others);
             let _ticket = self.table.start(&pick, &request, self.now);
         }
     }
@@ -139,13 +139,17 @@
     bench
         .table
         .apply(&ServerChange::Gone(first.id.clone()), bench.now);
-    let alone = bench.pick(&prompt, &[]);
-    assert_eq!(copy_from(&alone), None, "no server holds it any more");
+    let after_removal = bench.pick(&prompt, &[]);
+    assert_eq!(
+        copy_from(&after_removal),
+        None,
+        "no server has it in its cache any more"
+    );
 }
 
 // A part that no server has prefilled, or that is prefilled in a few milliseconds, is not copied.
 #[test]
-fn nothing_is_copied_that_nobody_keeps_or_that_is_small() {
+fn uncached_and_small_parts_are_not_copied() {
     let mut bench = CopyBench::new(PolicySwitches::new());
     assert_eq!(copy_from(&bench.pick(&shape(1, 13_300), &[])), None);
     let small = shape(2, 300);
@@ -183,8 +187,8 @@
     assert_eq!(copy_from(&other), Some(&preferred));
 }
 
-/// Guards against copies from a server that asked for fewer requests by a limit: they came from all other
-/// servers, beside the requests that it had asked to be spared.
+/// Guards against copying from a server that has set a limit on its request rate: copies by all other servers
+/// would add to the load that it asked to reduce.
 #[test]
 fn limited_server_is_not_copied_from() {
     let mut bench = CopyBench::new(PolicySwitches::new());
@@ -204,7 +208,7 @@
     assert_eq!(copy_from(&elsewhere), None);
 }
 
-/// Guards against copies from a server that leaves or rests, for requests that other servers run.
+/// Guards against copying from a server that is leaving or resting, for requests that run on other servers.
 #[test]
 fn leaving_or_resting_server_is_not_copied_from() {
     for availability in [
--- a/crates/plumgate/tests/gateway_events.rs
+++ b/crates/plumgate/tests/gateway_events.rs
@@ -1,4 +1,4 @@
-//! Splitting of streams into whole events.
+//! Splitting of streams into complete events.
 
 use plumgate::gateway::EventSplitter;
 use quickcheck::quickcheck;
@@ -8,12 +8,12 @@
 }
 
 #[test]
-fn whole_events_go_on_and_the_beginning_of_one_is_held() {
+fn complete_events_are_forwarded_and_a_partial_one_is_buffered() {
     let mut splitter = EventSplitter::new(None);
     let text = format!("{}{}id: 3\nda", event(1), event(2));
-    let whole = splitter.push(text.as_bytes());
+    let complete = splitter.push(text.as_bytes());
     assert_eq!(
-        whole.as_deref(),
+        complete.as_deref(),
         Some(format!("{}{}", event(1), event(2)).as_bytes())
     );
     assert_eq!(splitter.last_id(), Some(2));
@@ -21,7 +21,7 @@
 }
 
 // Guards against a gap or a repeat in the caller's stream when the server stops in the middle of an event:
-// the partial event must not be sent, as the next server sends that event whole.
+// the partial event must not be sent, as the next server sends the complete event.
 #[test]
 fn partial_event_is_dropped_before_another_server_continues() {
     let mut splitter = EventSplitter::new(None);
@@ -34,15 +34,15 @@
 }
 
 #[test]
-fn stream_that_goes_on_after_an_event_knows_it() {
+fn resumed_stream_starts_from_the_last_event_id() {
     let splitter = EventSplitter::new(Some(12));
     assert_eq!(splitter.last_id(), Some(12));
 }
 
 quickcheck! {
     /// However the network splits a stream, all its bytes come out in order, and every output ends with a
-    /// whole event.
-    fn any_cuts_give_the_same_bytes(sizes: Vec<u8>, crlf: bool) -> bool {
+    /// complete event.
+    fn any_split_gives_the_same_bytes(sizes: Vec<u8>, crlf: bool) -> bool {
         let mut text: String = (1..6).map(event).collect();
         if crlf {
             text = text.replace('\n', "\r\n");
@@ -55,12 +55,12 @@
             let size = usize::from(sizes.next().unwrap_or(255).max(1)).min(left.len());
             let (piece, rest) = left.split_at(size);
             left = rest;
-            if let Some(whole) = splitter.push(piece) {
+            if let Some(complete) = splitter.push(piece) {
                 let end: &[u8] = if crlf { b"\r\n\r\n" } else { b"\n\n" };
-                if !whole.ends_with(end) {
+                if !complete.ends_with(end) {
                     return false;
                 }
-                out.extend_from_slice(&whole);
+                out.extend_from_slice(&complete);
             }
         }
         out == text.as_bytes() && splitter.partial().is_empty() && splitter.last_id() == Some(5)
--- a/crates/plumgate/tests/gateway_exchange.rs
+++ b/crates/plumgate/tests/gateway_exchange.rs
@@ -14,14 +14,14 @@
 
 const ROUND: Duration = Duration::from_millis(200);
 
-/// Nodes in one process. Packets arrive unless the receiver is down or the data centres are cut off.
+/// Nodes in one process. Packets arrive unless the receiver is down or the network is partitioned.
 struct ExchangeBench {
     nodes: BTreeMap<SocketAddr, LoadExchange>,
     sync_states: BTreeMap<SocketAddr, SyncState>,
     work: BTreeMap<SocketAddr, Vec<(ServerEntry, ServerWork)>>,
     down: Vec<SocketAddr>,
-    /// Whether the data centres are cut off from each other.
-    is_cut: bool,
+    /// Whether packets between data centres are lost.
+    is_partitioned: bool,
     data_centres: usize,
     packets: usize,
     now: Instant,
@@ -55,7 +55,7 @@
             nodes,
             work: BTreeMap::new(),
             down: Vec::new(),
-            is_cut: false,
+            is_partitioned: false,
             data_centres,
             packets: 0,
             now: Instant::now(),
@@ -97,14 +97,15 @@
                     self.packets += 1;
                     let data_centre =
                         |address: SocketAddr| usize::from(address.port()) % self.data_centres;
-                    let is_lost = self.is_cut && data_centre(from) != data_centre(to);
+                    let is_lost = self.is_partitioned && data_centre(from) != data_centre(to);
                     if !self.down.contains(&to) && !is_lost {
                         let node = self.nodes.get_mut(&to).expect("a node");
                         let sync = self
                             .sync_states
                             .entry(to)
                             .or_insert_with(|| new_sync_state(to));
-                        node.receive(&bytes, from, sync, moment).expect("a message");
+                        node.receive(&bytes, from, sync, moment)
+                            .expect("a valid message");
                     }
                 }
             }
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn all_nodes_learn_of_the_others_work_but_not_of_their_own() {
+fn nodes_receive_the_work_of_all_others_but_not_their_own() {
     let mut bench = ExchangeBench::new(3, 3);
     bench.set_work(0, "a", 3, 6_400);
     bench.set_work(4, "a", 5, 12_800);
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn work_that_is_over_is_forgotten() {
+fn finished_work_is_removed() {
     let mut bench = ExchangeBench::new(2, 4);
     bench.set_work(1, "a", 9, 640);
     bench.rounds(6);
@@ -145,8 +146,8 @@
 }
 
 // Guards against requests that pile up at a server that looks idle: the collector of a data centre is killed,
-// and the other nodes go on with its last report. They must choose another collector within a second or two,
-// and expire reports that are no longer renewed.
+// and the other nodes continue to use its last report. They must choose another collector within a second or
+// two, and expire reports that are no longer renewed.
 #[test]
 fn nodes_choose_another_collector_when_theirs_is_silent() {
     let mut bench = ExchangeBench::new(2, 6);
@@ -161,25 +162,25 @@
     assert_eq!(collectors.len(), 2, "one per data centre");
     bench.down = collectors;
     bench.rounds(14);
-    let alive = (0..12).filter(|index| !bench.down.contains(&bench.address(*index)));
-    for index in alive.filter(|index| *index != 3) {
+    let running = (0..12).filter(|index| !bench.down.contains(&bench.address(*index)));
+    for index in running.filter(|index| *index != 3) {
         assert_eq!(bench.peer_work_at(index, "a").in_flight, 7, "node {index}");
     }
 }
 
 // Guards against requests that pile up at servers that look idle after a network partition: each data centre
-// has passed over the collectors of the others meanwhile, and must find them again at once when the partition
+// has skipped the collectors of the others meanwhile, and must find them again at once when the partition
 // ends.
 #[test]
-fn data_centres_find_each_other_again_after_a_cut() {
+fn data_centres_find_each_other_again_after_a_partition() {
     let mut bench = ExchangeBench::new(3, 21);
     bench.set_work(0, "a", 7, 0);
     bench.rounds(6);
     assert_eq!(bench.peer_work_at(1, "a").in_flight, 7);
-    bench.is_cut = true;
+    bench.is_partitioned = true;
     bench.rounds(50);
     assert_eq!(bench.peer_work_at(1, "a").in_flight, 0);
-    bench.is_cut = false;
+    bench.is_partitioned = false;
     bench.rounds(6);
     for index in 1..63 {
         assert_eq!(bench.peer_work_at(index, "a").in_flight, 7, "node {index}");
@@ -216,7 +217,7 @@
 // The exchange must not saturate the links in a large fleet. The number of messages grows linearly with the
 // nodes, not with their square: 113 nodes in one data centre, beside two others of that size.
 #[test]
-fn messages_grow_with_the_nodes_only() {
+fn messages_grow_linearly_with_the_nodes() {
     let packets = |nodes_each| {
         let mut bench = ExchangeBench::new(3, nodes_each);
         bench.set_work(0, "a", 1, 0);
@@ -228,7 +229,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_are_refused() {
+fn malformed_message_is_refused() {
     let mut bench = ExchangeBench::new(1, 1);
     let now = bench.now;
     let address = bench.address(0);
@@ -243,9 +244,9 @@
 }
 
 // Guards against a restarted server that gets no requests: the other nodes reported much work there shortly
-// before, but it belonged to the previous incarnation and is lost.
+// before, but it belonged to the previous incarnation and ended with it.
 #[test]
-fn work_at_an_earlier_incarnation_says_nothing_of_the_next() {
+fn work_at_an_earlier_incarnation_is_not_counted_for_the_next() {
     let mut bench = ExchangeBench::new(1, 3);
     bench.set_work(0, "a", 5, 6_400);
     let address = bench.address(0);
@@ -254,9 +255,9 @@
     }
     bench.rounds(4);
     let node = &bench.nodes[&bench.address(1)];
-    let reported = |start_time| {
+    let peer_requests = |start_time| {
         node.peer_work(&entry_with_start_time("a", start_time), bench.now)
             .in_flight
     };
-    assert_eq!((reported(100), reported(200)), (5, 0));
+    assert_eq!((peer_requests(100), peer_requests(200)), (5, 0));
 }
--- a/crates/plumgate/tests/gateway_identity.rs
+++ b/crates/plumgate/tests/gateway_identity.rs
@@ -19,22 +19,21 @@
 }
 
 quickcheck! {
-    /// The identity doesn't depend on how the network splits a body.
-    fn body_counts_whatever_its_pieces(body: Vec<u8>, at: usize) -> bool {
+    fn identity_does_not_depend_on_how_the_network_splits_a_body(body: Vec<u8>, at: usize) -> bool {
         let (head, tail) = body.split_at(at % (body.len() + 1));
         identity(Some("lab"), "/a/", &[&body]) == identity(Some("lab"), "/a/", &[head, tail])
     }
 
-    fn other_bodies_are_other_requests(one: Vec<u8>, other: Vec<u8>) -> bool {
+    fn different_bodies_are_different_requests(one: Vec<u8>, other: Vec<u8>) -> bool {
         let same = identity(Some("lab"), "/a/", &[&one]) == identity(Some("lab"), "/a/", &[&other]);
         same == (one == other)
     }
 }
 
-// Guards against a caller that gets another caller's requests blocked: the same path and body under another
-// workspace's key is another request.
+// Guards against a caller that gets another caller's requests blocked: the same path and body with the key of
+// another workspace is a different request.
 #[test]
-fn workspace_path_and_body_tell_requests_apart() {
+fn requests_differ_by_workspace_path_and_body() {
     let own = identity(Some("lab"), "/a/", &[b"x"]);
     assert_eq!(own, identity(Some("lab"), "/a/", &[b"x"]));
     assert_ne!(own, identity(Some("clinic"), "/a/", &[b"x"]));
@@ -42,5 +41,5 @@
     assert_ne!(own, identity(Some("lab"), "/a/?b", &[b"x"]));
     assert_ne!(own, identity(Some("lab"), "/a/", &[]));
     assert_ne!(own, identity(Some("lab"), "/a/x", &[]));
-    assert_eq!(own.to_string().len(), 16, "what logs show: {own}");
+    assert_eq!(own.to_string().len(), 16, "length in logs: {own}");
 }
--- a/crates/plumgate/tests/gateway_load.rs
+++ b/crates/plumgate/tests/gateway_load.rs
@@ -63,8 +63,8 @@
         policy: PlacementPolicy::PredictedCost,
         switches: PolicySwitches::new(),
         prefill_speed: TOKENS_PER_SECOND,
-        admits: true,
-        exchanges: true,
+        has_admission: true,
+        has_exchange: true,
         callers_retry: false,
         samples: false,
         shedding: None,
@@ -91,17 +91,17 @@
 #[test]
 fn predicted_cost_beats_the_other_policies() {
     let usual = run("predicted cost", plan(20, 20, 2.3));
-    let blind = run(
+    let without_exchange = run(
         "without exchange",
         LoadPlan {
-            exchanges: false,
+            has_exchange: false,
             ..plan(20, 20, 2.3)
         },
     );
-    let open = run(
+    let without_admission = run(
         "without admission",
         LoadPlan {
-            admits: false,
+            has_admission: false,
             ..plan(20, 20, 2.3)
         },
     );
@@ -123,7 +123,7 @@
             ..plan(20, 20, 2.3)
         },
     );
-    for other in [&blind, &open, &least, &random] {
+    for other in [&without_exchange, &without_admission, &least, &random] {
         assert!(share(&usual, "dossier") > share(other, "dossier") + 0.15);
     }
     assert!(share(&usual, "caption") > 0.98);
@@ -136,7 +136,7 @@
 // are busy, and a prefill at any other server takes a quarter of a second, just when there is no time left. A
 // server that copies the documents from a cache holder is almost as good as the preferred server.
 #[test]
-fn shared_parts_are_copied_rather_than_read_again() {
+fn shared_parts_are_copied_rather_than_prefilled_again() {
     let copied = run("copied", plan(20, 20, 2.7));
     let no_copies = PolicySwitches::new().without(PolicyPart::PartCopies);
     let prefilled = run(
@@ -177,7 +177,7 @@
 // Callers whose answer would come late are refused at once and asked to retry. Those that retry find free
 // servers, and most are served; refusals must not reduce the number of answers.
 #[test]
-fn callers_that_come_back_are_served() {
+fn callers_that_retry_are_served() {
     let plan_of = |callers_retry| LoadPlan {
         callers_retry,
         kinds: kinds(20.0, 2.7)
@@ -204,7 +204,7 @@
 fn game_kinds(engines: f64, burst: f64) -> Vec<TrafficKind> {
     let base = kinds(engines, burst);
     let [dossier, check, caption] = &base[..] else {
-        panic!("three kinds");
+        panic!("three kinds are expected");
     };
     vec![
         TrafficKind {
@@ -245,9 +245,9 @@
 
 // Guards against late answers to long prompts at engines whose prefill is half as fast as expected: predicted
 // waits are half of the real ones, so that too many requests are admitted. Once the speed is learnt, callers
-// that can't be served in time are told when to retry, and the others are served in time.
+// that can't be served in time are refused with a retry delay, and the others are served in time.
 #[test]
-fn engines_that_read_slowly_are_not_taken_for_fast_ones() {
+fn slow_prefill_is_learnt_before_too_many_requests_are_admitted() {
     let plan_of = |switches| LoadPlan {
         switches,
         kinds: game_kinds(20.0, 2.9),
@@ -262,9 +262,9 @@
     assert!(share(&learnt, "narration") > share(&assumed, "narration") - 0.02);
 }
 
-// A request that may crash its server breaks off all requests that run beside it. Isolated placement picks
-// the server with the fewest requests: 0.9 others ran beside it in the mean, and 9.0 under the usual
-// placement by shared prompt parts and predicted waits (six nodes, 18 engines).
+// A request that may crash its server endangers all requests that run beside it. Isolated placement picks the
+// server with the fewest requests: on average 0.9 others ran beside it, and 9.0 with the usual placement by
+// shared prompt parts and predicted waits (six nodes, 18 engines).
 #[test]
 fn isolated_request_runs_beside_fewer_others() {
     let mut usual = LoadPlan {
@@ -310,7 +310,7 @@
 struct ShedMean {
     /// Shares in time of captions, checks and dossiers, the most urgent first, as means over the seeds.
     in_time: [f64; 3],
-    turned_away: f64,
+    rejected: f64,
     during_rest: u64,
 }
 
@@ -323,21 +323,21 @@
         let shares = results.iter().map(|result| self::share(result, kind));
         shares.sum::<f64>() / count
     });
-    let turned_away = results.iter().map(|result| result.shed).sum::<u64>() as f64 / count;
+    let rejected = results.iter().map(|result| result.shed).sum::<u64>() as f64 / count;
     let during_rest = results.iter().map(|result| result.during_rest).sum();
     println!(
-        "load {load}, {share:.2} shed, {handling:?}: in time {in_time:.3?}, {turned_away:.0} turned away, {during_rest} in rests"
+        "load {load}, {share:.2} shed, {handling:?}: in time {in_time:.3?}, {rejected:.0} rejected, {during_rest} in rests"
     );
     ShedMean {
         in_time,
-        turned_away,
+        rejected,
         during_rest,
     }
 }
 
 /// Guards against worse results for callers when nodes respect the rests that servers ask for.
 #[test]
-fn rests_cost_callers_nothing_and_spare_the_servers() {
+fn respected_rests_spare_servers_at_no_cost_for_callers() {
     for load in [0.6, 1.2] {
         for share in [0.34, 1.0] {
             let ignored = shed_mean(load, share, RestHandling::Ignored);
@@ -348,12 +348,12 @@
                 "engines ask for rests under this load"
             );
             assert_eq!(respected.during_rest, 0);
-            assert!(respected.turned_away < ignored.turned_away);
-            // Engines that shed no more may still rest for as long as they asked.
-            let lost = share * LONGEST_REST / SHED_SECONDS;
+            assert!(respected.rejected < ignored.rejected);
+            // Engines that no longer shed load may still rest for as long as they asked.
+            let tolerance = share * LONGEST_REST / SHED_SECONDS;
             for (respected, ignored) in respected.in_time.into_iter().zip(ignored.in_time) {
                 assert!(
-                    respected >= ignored - lost,
+                    respected >= ignored - tolerance,
                     "{respected} in time, {ignored} where rests are ignored"
                 );
             }
--- a/crates/plumgate/tests/gateway_quarantine.rs
+++ b/crates/plumgate/tests/gateway_quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine of poison requests, and requests that only ran on servers that crashed under others.
+//! Quarantine of poison requests, but not of requests that only ran on servers that other requests crashed.
 
 mod entries;
 mod suspects;
@@ -14,10 +14,10 @@
 use entries::server_entry;
 use suspects::{RESTART_TIME, SuspectFleet, config, identity};
 
-/// Time after a third crash within which nodes may not have received it yet, as the operators allow.
-const CONTACT_TIME: Duration = Duration::from_secs(3);
+/// Time that operators allow until all nodes know of the third crash.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 const SECOND: Duration = Duration::from_secs(1);
-const MOMENT: Duration = Duration::from_millis(200);
+const STEP: Duration = Duration::from_millis(200);
 
 fn lone_table() -> QuarantineTable {
     let mut table = QuarantineTable::new(false);
@@ -25,8 +25,8 @@
     table
 }
 
-/// Runs a request on a server that crashes under it.
-fn crash_under(
+/// Runs a request on a server that crashes during the run.
+fn crash_during_run(
     table: &mut QuarantineTable,
     request: RequestIdentity,
     server: &ServerEntry,
@@ -52,8 +52,8 @@
     panic!("not blocked after 30 s");
 }
 
-// Guards against a poison request that breaks off other callers' answers each time it is sent. After three
-// crashed servers no node in any data centre sends it, and its callers are told how long it is blocked.
+// Guards against a poison request that interrupts other callers' answers each time it is sent. After three
+// crashed servers no node in any data centre sends it, and its callers get the remaining time of the block.
 #[test]
 fn request_that_crashed_three_servers_is_blocked_at_all_nodes() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
@@ -73,7 +73,8 @@
 }
 
 // A poison request arrives at all nodes at once, before any of them has evidence. All its runs crash servers
-// together, as a rack that loses power does too; only one more run decides, and no further one follows.
+// at the same time, as a power loss of a rack does too, so that one more run is needed to decide; no further
+// one follows.
 #[test]
 fn burst_of_a_poison_request_is_followed_by_one_run_at_most() {
     for nodes in [2, 4, 8] {
@@ -84,15 +85,15 @@
             for node in 0..fleet.nodes.len() {
                 fleet.send(node, poison);
             }
-            fleet.advance(CONTACT_TIME + SECOND);
+            fleet.advance(PROPAGATION_TIME + SECOND);
         }
         for _ in 0..30 {
             for node in 0..fleet.nodes.len() {
                 fleet.send(node, poison);
             }
-            fleet.advance(MOMENT);
+            fleet.advance(STEP);
         }
-        let after = fleet.sent_after_third(poison, CONTACT_TIME);
+        let after = fleet.sent_after_third(poison, PROPAGATION_TIME);
         assert!(
             after <= 1,
             "{after} runs after the burst, {nodes} nodes per data centre"
@@ -112,11 +113,11 @@
         let node = number as usize % 6;
         fleet.send(node, poison[number as usize % 3]);
         fleet.send(node, identity("clinic", &format!("unique {number}")));
-        fleet.advance(MOMENT);
+        fleet.advance(STEP);
     }
     for request in poison {
         assert!(fleet.all_block(request));
-        assert_eq!(fleet.sent_after_third(request, CONTACT_TIME), 0);
+        assert_eq!(fleet.sent_after_third(request, PROPAGATION_TIME), 0);
     }
     let blocked: u32 = fleet
         .results
@@ -128,8 +129,8 @@
 }
 
 // Guards against blocking a popular request after its servers crashed. All replicas of a service crash at the
-// same moment, with a run of the request on each; once they are back, its callers are served again within a
-// contact time.
+// same moment, with a run of the request on each; once they have restarted, its callers are served again
+// within the propagation time.
 #[test]
 fn popular_request_survives_a_crash_of_all_replicas() {
     for (nodes_each, a_second) in [(2, 25), (8, 25), (65, 60)] {
@@ -145,15 +146,15 @@
             for server in 0..6 {
                 fleet.send_to((crash + server) % nodes, popular, server);
             }
-            fleet.advance(MOMENT / 10);
+            fleet.advance(STEP / 10);
             for server in 0..6 {
                 fleet.crash_server(server, WorkOutcome::Broken);
             }
-            // Callers send requests all the while, until after the servers are back.
+            // Callers send requests all the while, until after the servers have restarted.
             let restarted_at = fleet.now + RESTART_TIME;
             let mut step = 0;
             while fleet.now < restarted_at || fleet.state(0, popular) != SuspectState::Free {
-                assert!(fleet.now < restarted_at + CONTACT_TIME, "{nodes} nodes");
+                assert!(fleet.now < restarted_at + PROPAGATION_TIME, "{nodes} nodes");
                 fleet.send(step % nodes, popular);
                 fleet.advance(pause);
                 step += 1;
@@ -168,7 +169,7 @@
 // Guards against counting a node's own retry as a consecutive crash. A popular request and a poison request
 // run on one server; it crashes, the node sends both to the next server within milliseconds, and that one
 // crashes too. That the second run of the popular request began after the first crash is no evidence, as both
-// requests moved together.
+// requests were retried together.
 #[test]
 fn own_retry_beside_a_poison_request_is_no_consecutive_crash() {
     let mut table = lone_table();
@@ -176,22 +177,16 @@
     let start = Instant::now();
     let milli = Duration::from_millis(1);
     let (first, second) = (server_entry("s1"), server_entry("s2"));
-    crash_under(&mut table, popular, &first, start, start + MOMENT);
-    let retried_at = start + MOMENT + milli * 2;
-    crash_under(
-        &mut table,
-        popular,
-        &second,
-        retried_at,
-        retried_at + MOMENT,
-    );
-    let verdict = table.verdict(popular, retried_at + MOMENT);
+    crash_during_run(&mut table, popular, &first, start, start + STEP);
+    let retried_at = start + STEP + milli * 2;
+    crash_during_run(&mut table, popular, &second, retried_at, retried_at + STEP);
+    let verdict = table.verdict(popular, retried_at + STEP);
     assert_eq!(verdict, RequestVerdict::Send, "two simultaneous crashes");
 }
 
-// All three servers of a small pool crash within two seconds under poison requests, and a popular request
-// runs on each, once by itself and once as a retry. No answer arrives in between, but another node had an
-// answer before: the popular request is not suspected.
+// All three servers of a small pool crash within two seconds because of poison requests, and a popular
+// request runs on each, once by itself and once as a retry. No answer arrives in between, but another node
+// had an answer before: the popular request is not suspected.
 #[test]
 fn answers_before_the_crashes_count_for_a_popular_request() {
     let mut fleet = SuspectFleet::new(2, 2, 6);
@@ -202,7 +197,7 @@
         let entry = server_entry(&format!("s{server}-0"));
         let now = fleet.now;
         let table = &mut fleet.nodes[0].table;
-        crash_under(table, popular, &entry, now, now + MOMENT);
+        crash_during_run(table, popular, &entry, now, now + STEP);
         fleet.advance(SECOND);
         let free = (0..4).all(|node| fleet.state(node, popular) == SuspectState::Free);
         assert!(free, "server {server}");
@@ -213,14 +208,14 @@
         let entry = server_entry(&format!("s{server}-0"));
         let now = fleet.now;
         let table = &mut fleet.nodes[0].table;
-        crash_under(table, popular, &entry, now, now + MOMENT);
+        crash_during_run(table, popular, &entry, now, now + STEP);
         fleet.advance(SECOND);
     }
     assert!(fleet.all_block(popular));
 }
 
-// Servers crash one after another, for other reasons, under a popular request. It is answered in between, so
-// that the crashes don't count against it.
+// Servers crash one after another, for other reasons, while they run a popular request. It is answered in
+// between, so that the crashes don't count against it.
 #[test]
 fn popular_request_survives_servers_that_crash_in_turn() {
     let mut fleet = SuspectFleet::new(3, 2, 6);
@@ -230,7 +225,7 @@
         fleet.crash_server(server, WorkOutcome::Broken);
         for node in 0..6 {
             fleet.send(node, popular);
-            fleet.advance(MOMENT);
+            fleet.advance(STEP);
         }
     }
     let result = *fleet.result(popular);
@@ -238,8 +233,8 @@
 }
 
 // Guards against blocking popular requests when a rack loses power: requests get no answer, callers leave,
-// and entries lapse seconds later. Requests sent after the loss reached no server, and the runs before it
-// were all concurrent.
+// and entries lapse seconds later. Requests sent after the power loss reached no server, and the runs before
+// it were all concurrent.
 #[test]
 fn rack_that_loses_power_blocks_nothing() {
     let mut fleet = SuspectFleet::new(3, 2, 8);
@@ -250,8 +245,8 @@
     for server in 0..4 {
         fleet.crash_server(server, WorkOutcome::Silent);
     }
-    // Reused connections get no answer, one after another.
-    let before = fleet.now - MOMENT;
+    // Requests on reused connections get no answer, one after another.
+    let before = fleet.now - STEP;
     for number in 0..4 {
         let unresponsive = server_entry(&format!("s{number}-0"));
         let now = fleet.now;
@@ -262,7 +257,7 @@
         let ticket = table
             .begin(popular, &unresponsive, connection, now)
             .expect("sent");
-        fleet.advance(MOMENT);
+        fleet.advance(STEP);
         let now = fleet.now;
         fleet.nodes[0]
             .table
@@ -275,7 +270,7 @@
     assert!((0..6).all(|node| fleet.state(node, popular) != SuspectState::Blocked));
     for number in 0..36 {
         fleet.send(number % 6, popular);
-        fleet.advance(MOMENT);
+        fleet.advance(STEP);
     }
     assert_eq!(fleet.state(0, popular), SuspectState::Free);
 }
@@ -310,7 +305,7 @@
 
 // A server's entry may lapse before the run that crashed it is abandoned.
 #[test]
-fn run_that_ends_after_its_server_went_counts() {
+fn run_that_ends_after_the_entry_of_its_server_lapsed_counts() {
     let mut table = lone_table();
     let request = identity("lab", "deadly");
     let now = Instant::now();
@@ -324,32 +319,32 @@
 }
 
 // Guards against blocking a popular request that has no answer anywhere yet, as at the start of a day. Two of
-// three servers crashed at once under a poison request beside it; the third was unresponsive under another
-// one, accepted the connection and sent nothing until its entry lapsed. The third may have crashed with the
-// first two, as its last answer came before their crashes: its run is no consecutive crash.
+// three servers crashed at once because of a poison request beside it; another one had made the third server
+// unresponsive, which accepted the connection and sent nothing until its entry lapsed. The third may have
+// crashed with the first two, as its last answer came before their crashes: its run is no consecutive crash.
 #[test]
 fn run_at_an_unresponsive_server_is_no_consecutive_crash() {
     let mut table = lone_table();
     let popular = identity("lab", "new and popular");
     let start = Instant::now();
     let milli = Duration::from_millis(1);
-    let retried_at = start + MOMENT + milli;
-    crash_under(
+    let retried_at = start + STEP + milli;
+    crash_during_run(
         &mut table,
         popular,
         &server_entry("s1"),
         start,
-        start + MOMENT,
+        start + STEP,
     );
-    crash_under(
+    crash_during_run(
         &mut table,
         popular,
         &server_entry("s2"),
         retried_at,
-        retried_at + MOMENT,
+        retried_at + STEP,
     );
     // The third server has not answered since before the first two crashed.
-    let unresponsive = server_entry("dark");
+    let unresponsive = server_entry("unresponsive");
     let sent = start + SECOND * 2;
     let ticket = table.begin(popular, &unresponsive, ConnectionKind::New, sent);
     let late = sent + SECOND * 2;
@@ -363,7 +358,7 @@
 // still wait: its server becomes unresponsive, the entry lapses, and the callers leave only seconds later.
 // Where a server is alive and answers after all, the crashes don't count against the request.
 #[test]
-fn run_under_way_counts_when_its_server_s_entry_lapses() {
+fn run_in_progress_counts_when_the_entry_of_its_server_lapses() {
     let mut table = lone_table();
     let request = identity("lab", "deadly");
     let mut now = Instant::now();
@@ -386,8 +381,8 @@
     assert_eq!(table.verdict(request, now), RequestVerdict::Send);
 }
 
-// Callers that leave, slow servers and lost answers are no crash of a server that goes on answering, or whose
-// entry stays.
+// Callers that leave, slow servers and lost answers don't count as crashes of a server that continues to
+// answer, or whose entry does not lapse.
 #[test]
 fn silence_alone_is_no_evidence() {
     let mut table = lone_table();
@@ -407,7 +402,7 @@
         let ticket = table
             .begin(other, &server, ConnectionKind::New, now)
             .expect("sent");
-        table.finish(ticket, WorkOutcome::Answered, now + MOMENT);
+        table.finish(ticket, WorkOutcome::Answered, now + STEP);
         // The server was removed as planned, or for other reasons, after it had answered again.
         table.on_server_gone(&server, CrashSign::Lapsed, now + SECOND);
         now += SECOND * 2;
@@ -416,8 +411,8 @@
     assert!(table.is_empty());
 }
 
-// A server refuses a connection for a moment and is alive. Any answer within a second and a half after it
-// refutes the evidence, at this node and at the others.
+// A live server refuses a connection once. Any answer within a second and a half after the refusal refutes
+// the evidence, at this node and at the others.
 #[test]
 fn answer_of_a_live_server_refutes_evidence() {
     let mut fleet = SuspectFleet::new(2, 2, 6);
@@ -426,8 +421,8 @@
         let now = fleet.now;
         let entry = server_entry(&format!("s{server}-0"));
         let table = &mut fleet.nodes[0].table;
-        crash_under(table, request, &entry, now - MOMENT, now);
-        fleet.advance(MOMENT);
+        crash_during_run(table, request, &entry, now - STEP, now);
+        fleet.advance(STEP);
         fleet.send_to(1, identity("clinic", "another"), server);
         fleet.send_to(0, identity("clinic", "another"), server);
         fleet.advance(SECOND);
@@ -439,19 +434,19 @@
 // Guards against blocking a popular request when connections break one after another without an answer, while
 // the servers are alive and accept new connections.
 #[test]
-fn broken_connections_of_servers_that_live_are_no_evidence() {
+fn broken_connections_of_live_servers_are_no_evidence() {
     let mut table = lone_table();
     let request = identity("lab", "popular");
     let mut now = Instant::now();
     for number in 0..12 {
         let server = server_entry(&format!("s{}", number % 4));
         let ticket = table.begin(request, &server, ConnectionKind::New, now);
-        now += MOMENT;
+        now += STEP;
         let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now);
         assert_eq!(finding, RunFinding::ProbeServer);
         table.on_server_reached(&server, now, now);
         // The entry may lapse later, for other reasons.
-        let crashes = table.on_server_gone(&server, CrashSign::Lapsed, now + MOMENT);
+        let crashes = table.on_server_gone(&server, CrashSign::Lapsed, now + STEP);
         assert!(crashes.is_empty());
         table.on_server_back(&server);
         now += SECOND;
@@ -459,7 +454,7 @@
     assert!(table.is_empty());
 }
 
-// A server is probed once when many runs break off at the same time.
+// A server is probed once when many runs fail at the same time.
 #[test]
 fn server_is_probed_once_for_all_broken_runs() {
     let mut table = lone_table();
@@ -474,10 +469,10 @@
         .collect();
     let findings = tickets
         .into_iter()
-        .map(|ticket| table.finish(ticket, WorkOutcome::Broken, now + MOMENT));
+        .map(|ticket| table.finish(ticket, WorkOutcome::Broken, now + STEP));
     let probes = findings.filter(|finding| *finding == RunFinding::ProbeServer);
     assert_eq!(probes.count(), 1);
-    let crashes = table.on_server_gone(&server, CrashSign::Refused, now + MOMENT);
+    let crashes = table.on_server_gone(&server, CrashSign::Refused, now + STEP);
     assert_eq!(crashes.len(), 9);
 }
 
@@ -492,14 +487,14 @@
         let server = server_entry(&format!("s{number}"));
         let sent = now + SECOND * number;
         let connection = ConnectionKind::Reused {
-            answered: Some(now - MOMENT),
+            answered: Some(now - STEP),
         };
         let Ok(ticket) = table.begin(request, &server, connection, sent) else {
-            // By now the request is sent one by one, and an isolated request opens a new connection.
+            // By now the request is sent in isolation, which needs a new connection.
             continue;
         };
-        table.finish(ticket, WorkOutcome::Broken, sent + MOMENT);
-        table.on_server_gone(&server, CrashSign::Refused, sent + MOMENT);
+        table.finish(ticket, WorkOutcome::Broken, sent + STEP);
+        table.on_server_gone(&server, CrashSign::Refused, sent + STEP);
     }
     let verdict = table.verdict(request, now + SECOND * 5);
     assert_eq!(verdict, RequestVerdict::SendIsolated);
@@ -510,9 +505,9 @@
     assert_eq!(finding, RunFinding::Nothing, "no earlier answer is known");
 }
 
-// A repeatable request crashes servers before their first byte, and goes by reused connections. The servers
-// had answered other requests shortly before, so that they crashed under it, one after another: all crashes
-// count.
+// An idempotent request crashes servers before their first byte, and is sent on reused connections. The
+// servers had answered other requests shortly before, so that they crashed during its runs, one after
+// another: all crashes count.
 #[test]
 fn crashes_on_reused_connections_count_after_a_recent_answer() {
     let mut table = lone_table();
@@ -521,12 +516,12 @@
     for number in 0..3 {
         let server = server_entry(&format!("s{number}"));
         let connection = ConnectionKind::Reused {
-            answered: Some(now - MOMENT),
+            answered: Some(now - STEP),
         };
         let ticket = table.begin(request, &server, connection, now);
-        let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now + MOMENT);
+        let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now + STEP);
         assert_eq!(finding, RunFinding::ProbeServer);
-        table.on_server_gone(&server, CrashSign::Refused, now + MOMENT);
+        table.on_server_gone(&server, CrashSign::Refused, now + STEP);
         now += SECOND;
     }
     let verdict = table.verdict(request, now);
@@ -559,10 +554,10 @@
     assert!(table.is_empty());
 }
 
-// Guards against a wrong verdict that lasts: an answer to the request, an operator, or the end of its time
-// lifts it at all nodes.
+// Guards against a wrong verdict that lasts: an answer to the request, an operator, or its expiry lifts it at
+// all nodes.
 #[test]
-fn verdict_ends_by_an_answer_by_an_operator_and_by_its_time() {
+fn verdict_is_lifted_by_an_answer_an_operator_or_its_expiry() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
     let poison = identity("lab", "deadly");
     fleet.poison.insert(poison);
@@ -573,23 +568,23 @@
     assert!((0..6).all(|node| fleet.state(node, poison) == SuspectState::Free));
     fleet.crashes.clear();
     send_until_blocked(&mut fleet, poison);
-    assert_eq!(fleet.crashes.len(), 3, "it counts from the start");
+    assert_eq!(fleet.crashes.len(), 3, "counting starts again from zero");
     fleet.advance(BLOCK_DURATION + SECOND);
     assert!((0..6).all(|node| fleet.nodes[node].table.is_empty()));
     assert_eq!(fleet.send(0, poison), None, "it may be tried again");
 }
 
 // Nodes are killed and restart, and one was cut off while the verdict was sent: each blocks the request
-// within a contact time of its start.
+// within the propagation time after its start.
 #[test]
-fn nodes_that_start_later_or_were_cut_off_learn_the_verdict() {
+fn nodes_that_start_later_or_were_cut_off_receive_the_verdict() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
     let poison = identity("lab", "deadly");
     fleet.poison.insert(poison);
     send_until_blocked(&mut fleet, poison);
     for node in 0..6 {
         fleet.restart(node);
-        fleet.advance(CONTACT_TIME);
+        fleet.advance(PROPAGATION_TIME);
         assert!(fleet.all_block(poison), "node {node}");
     }
     let other = identity("lab", "other");
@@ -606,12 +601,12 @@
         "the other side of the partition"
     );
     fleet.is_cut = false;
-    fleet.advance(CONTACT_TIME);
+    fleet.advance(PROPAGATION_TIME);
     assert!(fleet.all_block(other));
 }
 
-// All nodes crash at the same moment. The verdict is restored from the store with its age; one whose time is
-// over, and invalid bytes, block nothing.
+// All nodes crash at the same moment. The verdict is restored from the store with its age; an expired verdict
+// and invalid bytes block nothing.
 #[test]
 fn stored_verdict_is_restored_and_expires() {
     let mut table = lone_table();
@@ -619,7 +614,7 @@
     let mut now = Instant::now();
     for number in 0..3 {
         let server = server_entry(&format!("s{number}"));
-        crash_under(&mut table, request, &server, now, now + MOMENT);
+        crash_during_run(&mut table, request, &server, now, now + STEP);
         now += SECOND * 4;
     }
     let changes = table.take_changes();
@@ -631,7 +626,7 @@
     let later = now + SECOND * 20;
     assert_eq!(next.apply_stored(&stored, later, 1_020_000), Ok(true));
     let RequestVerdict::Block(blocked) = next.verdict(request, later) else {
-        panic!("blocked");
+        panic!("the request is not blocked");
     };
     assert!(blocked.retry_after < BLOCK_DURATION - SECOND * 20);
     assert!(next.take_changes().is_empty(), "it is in the store already");
@@ -654,8 +649,8 @@
     ));
 }
 
-// All nodes receive the request at the same moment, again and again; one by one means that one node at a time
-// sends it.
+// All nodes receive a suspect request at the same moment. They must send it one by one, each node in its
+// turn, and not all at once.
 #[test]
 fn suspect_request_runs_at_one_node_at_a_time() {
     let mut fleet = SuspectFleet::new(3, 4, 40);
@@ -675,10 +670,10 @@
     assert!(fleet.sent.len() <= 2, "{} at once", fleet.sent.len());
 }
 
-// Guards against a stranger that gets requests blocked: by a notice of its own, by a recorded one that it
-// sends again, or by one recorded before an operator lifted the verdict.
+// Guards against an attacker that gets requests blocked: by a forged notice, by replaying a recorded one, or
+// by replaying one recorded before an operator lifted the verdict.
 #[test]
-fn forged_old_and_repeated_notices_change_nothing() {
+fn forged_outdated_and_replayed_notices_change_nothing() {
     let mut fleet = SuspectFleet::new(1, 2, 18);
     let poison = identity("lab", "deadly");
     fleet.poison.insert(poison);
@@ -700,10 +695,10 @@
         1,
         "sent at another time of day"
     );
-    let mut stranger = lone_table();
-    stranger.set_config(&config(1, &["key-1"]));
+    let mut attacker = lone_table();
+    attacker.set_config(&config(1, &["key-1"]));
     let mut other = SuspectFleet::new(1, 2, 18);
-    other.nodes[0].table = stranger;
+    other.nodes[0].table = attacker;
     other.poison.insert(poison);
     for _ in 0..6 {
         other.send(0, poison);
@@ -720,16 +715,16 @@
     }
 }
 
-// A notice recorded before a verdict was lifted, and sent again within its time, doesn't restore the verdict.
+// A notice recorded before a verdict was lifted, and replayed before it expires, doesn't restore the verdict.
 #[test]
-fn repeated_notice_does_not_undo_a_release() {
+fn replayed_notice_does_not_restore_a_lifted_verdict() {
     let mut table = lone_table();
     let mut fleet = SuspectFleet::new(1, 1, 6);
     let request = identity("lab", "deadly");
     let mut now = fleet.now;
     for number in 0..3 {
         let server = server_entry(&format!("s{number}"));
-        crash_under(&mut table, request, &server, now, now + MOMENT);
+        crash_during_run(&mut table, request, &server, now, now + STEP);
         now += SECOND * 4;
     }
     fleet.nodes[0].table = table;
@@ -743,30 +738,30 @@
     assert_eq!(fleet.state(0, request), SuspectState::Free);
     let server = server_entry("s9");
     let table = &mut fleet.nodes[0].table;
-    crash_under(table, request, &server, now, now + MOMENT);
+    crash_during_run(table, request, &server, now, now + STEP);
     assert_eq!(
         fleet.state(0, request),
         SuspectState::Free,
-        "it counts from the start"
+        "counting starts again from zero"
     );
 }
 
-// Somebody sends any number of different requests under which servers crash. The table stays bounded, and
-// keeps the records of another workspace's requests.
+// One workspace sends any number of different requests that crash servers. The table stays bounded, and keeps
+// the records of another workspace's requests.
 #[test]
-fn what_is_kept_is_bounded_and_fair() {
+fn table_is_bounded_and_fair_to_other_workspaces() {
     let mut table = lone_table();
     let mut now = Instant::now();
     let blocked = identity("clinic", "deadly");
     for number in 0..3 {
         let server = server_entry(&format!("c{number}"));
-        crash_under(&mut table, blocked, &server, now, now + MOMENT);
+        crash_during_run(&mut table, blocked, &server, now, now + STEP);
         now += SECOND;
     }
     // Another request of the same workspace has crashed one server so far.
     let recorded = identity("clinic", "noted");
     let server = server_entry("n0");
-    crash_under(&mut table, recorded, &server, now, now + MOMENT);
+    crash_during_run(&mut table, recorded, &server, now, now + STEP);
     now += SECOND;
     for number in 0..20_000 {
         let request = identity("lab", &format!("text {number}"));
@@ -774,46 +769,50 @@
         let started_at = now;
         now += Duration::from_millis(1);
         if number % 2 == 0 {
-            crash_under(&mut table, request, &server, started_at, now);
+            crash_during_run(&mut table, request, &server, started_at, now);
         } else {
             let ticket = table.begin(request, &server, ConnectionKind::New, started_at);
             table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, now);
         }
     }
     assert!(table.len() <= 1_024, "{}", table.len());
-    assert_eq!(table.blocked_count(), 1, "the other workspace's is kept");
+    assert_eq!(
+        table.blocked_count(),
+        1,
+        "the verdict of the other workspace stays"
+    );
     for number in 1..3 {
         let server = server_entry(&format!("n{number}"));
-        crash_under(&mut table, recorded, &server, now, now + MOMENT);
+        crash_during_run(&mut table, recorded, &server, now, now + STEP);
         now += SECOND;
     }
     assert_eq!(
         table.blocked_count(),
         2,
-        "the record of the other request is kept too"
+        "the record of its other request stays too"
     );
     assert!(table.take_events().len() <= 64);
 }
 
 // A rack crashes with hundreds of runs. Notices share datagrams with load reports and sync messages, and a
-// datagram that is too long would be lost whole. The strongest evidence is sent first.
+// datagram that is too long would be dropped with all of them. The strongest evidence is sent first.
 #[test]
-fn notices_stay_short_and_tell_the_worst_first() {
+fn notices_stay_short_with_the_strongest_evidence_first() {
     let mut table = lone_table();
     table.set_config(&config(2, &["key-2"]));
     let mut now = Instant::now();
-    let worst = identity("clinic", "deadly");
+    let strongest = identity("clinic", "deadly");
     for number in 0..500 {
         let request = identity("lab", &format!("text {number}"));
         for replica in 0..number % 3 + 1 {
             let server = server_entry(&format!("s{number}-{replica}"));
-            crash_under(&mut table, request, &server, now, now + MOMENT);
+            crash_during_run(&mut table, request, &server, now, now + STEP);
         }
         now += Duration::from_millis(1);
     }
     for number in 0..3 {
         let server = server_entry(&format!("w{number}"));
-        crash_under(&mut table, worst, &server, now, now + MOMENT);
+        crash_during_run(&mut table, strongest, &server, now, now + STEP);
         now += SECOND;
     }
     let mut fleet = SuspectFleet::new(1, 1, 6);
@@ -827,12 +826,12 @@
     for notice in &notices {
         fleet.nodes[0].receive_notice_at(notice, now, 1_000);
     }
-    assert_eq!(fleet.state(0, worst), SuspectState::Blocked);
+    assert_eq!(fleet.state(0, strongest), SuspectState::Blocked);
 }
 
-// Keys change while nodes get them one after another: the notices that nodes send each other still count.
+// Keys are rotated, and nodes get the new ones one after another: notices between nodes are still accepted.
 #[test]
-fn change_of_the_keys_does_not_silence_the_nodes() {
+fn notices_are_accepted_during_a_key_rotation() {
     let mut fleet = SuspectFleet::new(3, 2, 18);
     let poison = identity("lab", "deadly");
     fleet.poison.insert(poison);
--- a/crates/plumgate/tests/gateway_reading.rs
+++ b/crates/plumgate/tests/gateway_reading.rs
@@ -1,4 +1,4 @@
-//! Predicted waits, by the measured prefill speed of the engines.
+//! Prediction of waits from the measured prefill speed of the engines.
 
 mod entries;
 
@@ -78,7 +78,7 @@
 // been refused: the engines' prefill is slower than expected. The prediction must follow the measured speed
 // within a second or two of a burst, and return to the expected speed afterwards.
 #[test]
-fn waits_are_predicted_as_they_were_seen() {
+fn waits_are_predicted_from_the_measured_speed() {
     let mut bench = PrefillBench::new(PolicySwitches::new());
     let before = bench.pick().wait;
     assert_eq!(before.as_millis(), 800, "42,000 tokens per second");
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn one_odd_answer_moves_the_prediction_little() {
+fn outlier_changes_the_prediction_little() {
     let mut bench = PrefillBench::new(PolicySwitches::new());
     bench.serve(Duration::from_secs(4));
     let wait = bench.pick().wait;
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn nothing_is_learnt_where_that_is_switched_off() {
+fn prefill_speed_is_not_learnt_when_switched_off() {
     let mut bench = PrefillBench::new(PolicySwitches::new().without(PolicyPart::PrefillSpeed));
     for _ in 0..20 {
         bench.serve(Duration::from_millis(1_600));
--- a/crates/plumgate/tests/gateway_servers.rs
+++ b/crates/plumgate/tests/gateway_servers.rs
@@ -38,26 +38,26 @@
 }
 
 // Guards against refused callers after an outage of the store. Servers can't renew their entries meanwhile,
-// so that the entries lapse; when the store is back, a node reads an almost empty list, and the servers are
-// registered again within two seconds.
+// so that the entries lapse; when the store is available again, a node reads an almost empty list, and the
+// servers register again within two seconds.
 #[test]
 fn entries_that_lapsed_in_an_outage_are_unconfirmed_first() {
     let now = Instant::now();
     let grace_period = Some(Duration::from_millis(1_800));
     let mut table = ServerTable::new();
-    table.put(server_entry("lives"));
-    table.put(server_entry("gone"));
+    table.put(server_entry("running"));
+    table.put(server_entry("stopped"));
     let changes = table.replace(Vec::new(), &[], grace_period, now);
     assert_eq!(changes.len(), 2);
-    assert_eq!(ready(&table), ["gone", "lives"], "both stay in use");
-    table.put(server_entry("lives"));
+    assert_eq!(ready(&table), ["running", "stopped"], "both stay in use");
+    table.put(server_entry("running"));
     let expired = table.tick(now + Duration::from_secs(2));
-    assert_eq!(expired, [ServerChange::Gone("gone".into())]);
-    assert_eq!(ready(&table), ["lives"]);
+    assert_eq!(expired, [ServerChange::Gone("stopped".into())]);
+    assert_eq!(ready(&table), ["running"]);
 }
 
 #[test]
-fn entry_that_goes_in_quiet_times_is_gone_at_once() {
+fn entry_that_disappears_without_an_outage_is_removed_at_once() {
     let now = Instant::now();
     let mut table = ServerTable::new();
     table.put(server_entry("a"));
@@ -67,9 +67,9 @@
 }
 
 // Guards against callers that wait for one timeout for each server of a data centre that is cut off, as each
-// connection hangs until its timeout: two silent servers are enough to avoid the data centre.
+// connection hangs until its timeout: after two silent servers the data centre is avoided.
 #[test]
-fn two_silent_servers_mean_their_data_centre() {
+fn two_silent_servers_cut_off_their_data_centre() {
     let now = Instant::now();
     let mut table = DataCentreTable::new();
     let data_centre = "hall-a".into();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn server_that_starts_again_under_its_id_is_another_incarnation() {
+fn server_that_starts_again_with_its_id_is_another_incarnation() {
     let mut table = ServerTable::new();
     table.put(entry_with_start_time("a", 100));
     let renewed = ServerEntry {
@@ -141,19 +141,19 @@
     assert!(!table.is_foreign(&server_entry("b")));
 }
 
-// Guards against requests to a server whose entry was overwritten by somebody else. An invalid entry did not
+// Guards against requests to a server whose entry was overwritten by another writer. An invalid entry did not
 // lapse, so that a recent outage is no reason to keep the server.
 #[test]
-fn server_whose_entry_is_unusable_is_not_kept() {
+fn server_whose_entry_is_invalid_is_removed() {
     let now = Instant::now();
     let grace_period = Some(Duration::from_millis(1_800));
     let mut table = ServerTable::new();
     table.put(server_entry("lapsed"));
-    table.put(server_entry("spoilt"));
-    let changes = table.replace(Vec::new(), &["spoilt".into()], grace_period, now);
+    table.put(server_entry("overwritten"));
+    let changes = table.replace(Vec::new(), &["overwritten".into()], grace_period, now);
     let expected = [
         ServerChange::Unconfirmed("lapsed".into()),
-        ServerChange::Gone("spoilt".into()),
+        ServerChange::Gone("overwritten".into()),
     ];
     assert_eq!(changes, expected);
     assert_eq!(ready(&table), ["lapsed"]);
@@ -162,7 +162,7 @@
 quickcheck! {
     /// For any order of entries, the incarnation in use is never older than one that was in use since the
     /// entry was last removed.
-    fn incarnations_only_go_on(writes: Vec<(u8, Option<u8>)>) -> bool {
+    fn incarnations_never_go_back(writes: Vec<(u8, Option<u8>)>) -> bool {
         let mut table = ServerTable::new();
         let mut newest = [None; 4];
         writes.iter().all(|(server, start_time)| {
@@ -181,7 +181,7 @@
     }
 }
 
-/// Guards against a draining server that becomes ready again, by a list that the store read from an outdated
+/// Guards against a draining server that becomes ready again when the store reads a list from an outdated
 /// replica.
 #[test]
 fn older_row_does_not_make_a_draining_server_ready() {
--- a/crates/plumgate/tests/gateway_switches.rs
+++ b/crates/plumgate/tests/gateway_switches.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn one_that_is_switched_off_leaves_the_others_on() {
+fn switching_one_mechanism_off_leaves_the_others_on() {
     for part in PolicyPart::all() {
         let switches = PolicySwitches::new().without(part);
         assert!(!switches.has(part));
--- a/crates/plumgate/tests/gateway_sync.rs
+++ b/crates/plumgate/tests/gateway_sync.rs
@@ -54,16 +54,16 @@
     watcher.respond(&request, received_at)
 }
 
-// Guards against accepting a revoked key for too long. A watcher's answer is queued at a machine that is
+// Guards against accepting a revoked key for too long. A watcher's response is queued at a machine that is
 // suspended for seconds, and looks new when the machine resumes. Its age counts from the time of the request,
-// on a clock that counts the suspension.
+// on a clock that includes the suspension.
 #[test]
 fn delayed_response_is_as_old_as_its_request() {
     let mut watcher = watcher(10, ms(900));
     let mut requester = SyncState::new(KEY_AGE, 1);
     requester.set_config(3);
     let response = request_sync(&mut requester, &mut watcher, ms(1_000), ms(1_100));
-    // Four seconds later, by the requester's clock.
+    // It arrives four seconds later by the requester's clock; its age still counts from the request.
     let outcome = requester.apply(response, true);
     assert_eq!(
         outcome.config_known_at,
@@ -77,23 +77,23 @@
     );
 }
 
-// Guards against answers by somebody who has not seen a request, which would extend the trust in keys for
-// ever.
+// Guards against responses of a sender that has not seen this node's request, which could extend the trust in
+// keys without end.
 #[test]
 fn response_without_a_request_is_ignored() {
     let mut watcher = watcher(10, ms(900));
     let mut requester = SyncState::new(KEY_AGE, 1);
     requester.set_config(3);
     requester.create_request(ms(1_000));
-    let stranger = SyncState::new(KEY_AGE, 2).create_request(ms(1_000));
-    let response = watcher.respond(&stranger, ms(1_000));
+    let other_request = SyncState::new(KEY_AGE, 2).create_request(ms(1_000));
+    let response = watcher.respond(&other_request, ms(1_000));
     let outcome = requester.apply(response, true);
     assert_eq!(outcome, plumgate::gateway::SyncOutcome::default());
     assert_eq!(requester.fresh_until(SourceTopic::Config, false), None);
 }
 
-// Guards against a node that keeps an old configuration because it is told all the time that the watcher's
-// state is recent. A report of a newer version must not extend the trust in the configuration that it has.
+// Guards against a node that keeps an old configuration because all responses report that the watcher's state
+// is recent. A report of a newer version must not extend the trust in the configuration that the node has.
 #[test]
 fn newer_configuration_has_to_be_read_before_keys_are_trusted() {
     let mut watcher = watcher(10, ms(900));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn changes_of_servers_come_once_and_in_order() {
+fn changes_of_servers_are_applied_once_and_in_order() {
     let mut first = watcher(10, ms(900));
     let mut requester = watcher(10, ms(800));
     let early = request_sync(&mut requester, &mut first, ms(1_000), ms(1_001));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn many_changes_come_in_several_answers() {
+fn many_changes_arrive_in_several_responses() {
     let mut first = watcher(10, ms(900));
     let mut requester = watcher(10, ms(800));
     for number in 0..100 {
@@ -172,8 +172,8 @@
 }
 
 // Guards against reading thousands of entries twice when all nodes of a large fleet start together: each node
-// that read a moment before the watcher was told to read again. Its own watch reaches the same version at far
-// less cost.
+// that read shortly before the watcher had to read again. Its own watch reaches the same version at far less
+// cost.
 #[test]
 fn node_that_read_before_the_watcher_continues_its_own_watch() {
     let mut first = watcher(12, ms(900));
@@ -188,10 +188,10 @@
     assert!(requester.fresh_until(SourceTopic::Servers, false).is_some());
 }
 
-// Guards against a node that goes on with servers that have left, as it relies on reports although it has
-// fallen behind the whole change log. It must query the store at once.
+// Guards against a node that continues to use servers that have left, as it relies on responses although it
+// has fallen behind the whole change log. It must query the store at once.
 #[test]
-fn node_that_is_too_far_behind_asks_the_store_at_once() {
+fn node_that_is_too_far_behind_queries_the_store_at_once() {
     let mut first = watcher(10, ms(900));
     let mut requester = watcher(10, ms(800));
     let response = request_sync(&mut requester, &mut first, ms(950), ms(951));
@@ -224,7 +224,7 @@
 // together find better collectors one after another, each with a change log of its own, and would read all
 // servers from the store again for each. They get a snapshot from the collector, from their first request on.
 #[test]
-fn node_that_finds_a_better_collector_takes_all_servers_from_it() {
+fn node_that_finds_a_better_collector_gets_a_snapshot_from_it() {
     let mut first = watcher(10, ms(900));
     let mut second = watcher(12, ms(1_500));
     let mut requester = watcher(10, ms(800));
@@ -248,17 +248,14 @@
     second.extend_log(13, vec![gone("a")]);
     let response = request_sync(&mut requester, &mut second, ms(2_100), ms(2_100));
     let outcome = requester.apply(response, true);
-    assert_eq!(
-        outcome.changes,
-        [gone("a")],
-        "it continues from the snapshot"
-    );
+    assert_eq!(outcome.changes, [gone("a")], "changes since the snapshot");
     assert!(outcome.missing.is_empty());
 }
 
-// Guards against a server that has left and gets requests for good: a snapshot requested earlier, of an older
-// state, arrives after the change that removed the server. A snapshot that is older than the node's state
-// changes nothing, nor does one while a watch is in progress, whose answer would be older than the snapshot.
+// Guards against a server that has left and gets requests indefinitely: a snapshot requested earlier, of an
+// older state, arrives after the change that removed the server. A snapshot that is older than the node's
+// state changes nothing, nor does one while a watch is in progress, whose answer would be older than the
+// snapshot.
 #[test]
 fn outdated_snapshot_changes_nothing() {
     let mut old = watcher(10, ms(900));
@@ -279,11 +276,11 @@
     assert_eq!(requester.servers_version(), Some(20u64.into()));
 }
 
-// Guards against a node that goes on with servers that have left: it doesn't query the servers while the
-// store fails for the configuration. Once it gets the configuration from other nodes it makes no such calls
-// any more, and the missing answer must not keep it from querying the servers.
+// Guards against a node that continues to use servers that have left: it doesn't query the servers while its
+// reads of the configuration fail. Once it gets the configuration from other nodes it no longer reads it
+// itself, and the last failure must not keep it from querying the servers.
 #[test]
-fn store_is_no_longer_failing_once_others_report_it() {
+fn store_is_no_longer_failing_once_others_report_the_configuration() {
     let mut first = watcher(10, ms(900));
     let mut requester = watcher(10, ms(800));
     let response = request_sync(&mut requester, &mut first, ms(1_000), ms(1_001));
@@ -304,7 +301,7 @@
     assert!(!requester.is_failing(SourceTopic::Config));
 }
 
-// Guards against a node that has read nothing itself and sends an empty fleet to others.
+// Guards against a node that has read nothing itself and sends an empty list of servers to others.
 #[test]
 fn node_that_knows_no_servers_sends_no_snapshot() {
     let state = SyncState::new(KEY_AGE, 1);
@@ -314,7 +311,7 @@
 // While a node's own watch is in progress, it receives the same changes from others. Applied twice, the older
 // ones would come last.
 #[test]
-fn changes_wait_while_a_watch_is_under_way() {
+fn changes_wait_while_a_watch_is_in_progress() {
     let mut first = watcher(10, ms(900));
     let mut requester = watcher(10, ms(800));
     requester.set_watching(true);
@@ -383,7 +380,7 @@
                     }
                     let (exchange, state) = self.nodes.get_mut(&to).expect("a node");
                     let outcome = exchange.receive(&bytes, from, state, moment);
-                    outcome.expect("a message");
+                    outcome.expect("a valid message");
                 }
             }
         }
@@ -448,7 +445,7 @@
 }
 
 // Guards against all nodes refusing keys after their watcher crashed. Each must read by itself well before
-// its trust ends, and rely on the next watcher after that.
+// its trust in keys expires, and rely on the next watcher after that.
 #[test]
 fn failed_watcher_is_replaced_before_keys_are_refused() {
     let mut bench = SyncBench::new(3, 6);
@@ -470,11 +467,11 @@
     );
 }
 
-// Guards against each data centre reading for itself for ever: the node that read for all is gone for good
-// and stays registered, and the collectors of the other data centres go on sending it requests. They must
-// pass it over.
+// Guards against each data centre reading for itself for ever: the node that read for all has stopped for
+// good and stays registered, and the collectors of the other data centres keep sending it requests. They must
+// skip it.
 #[test]
-fn watcher_that_is_gone_for_good_is_passed_over() {
+fn stopped_watcher_that_stays_registered_is_skipped() {
     let mut bench = SyncBench::new(3, 6);
     bench.rounds(20);
     bench.down = bench
@@ -490,9 +487,9 @@
 }
 
 // The store refuses the watcher and serves the other nodes. They must not wait for the watcher, whose state
-// grows old.
+// becomes outdated.
 #[test]
-fn watcher_that_lost_the_store_is_not_waited_for() {
+fn nodes_do_not_wait_for_a_watcher_without_the_store() {
     let mut bench = SyncBench::new(1, 6);
     bench.rounds(20);
     bench.without_store = bench.collectors().into_iter().collect();
@@ -509,11 +506,11 @@
 // store refuses their collector and serves the others. The collector reports it, the next one takes over, and
 // again only one node reads. The first one returns later, and the role doesn't flap.
 #[test]
-fn collector_that_the_store_turns_away_hands_over() {
+fn collector_that_the_store_refuses_hands_over() {
     let mut bench = SyncBench::new(2, 40);
     bench.rounds(20);
-    let turned_away = bench.collectors();
-    bench.without_store = turned_away.iter().copied().collect();
+    let refused = bench.collectors();
+    bench.without_store = refused.iter().copied().collect();
     (bench.reads, bench.server_reads) = (0, 0);
     bench.rounds(30);
     let reads = bench.reads + bench.server_reads;
@@ -522,7 +519,7 @@
         bench
             .collectors()
             .iter()
-            .all(|node| !turned_away.contains(node))
+            .all(|node| !refused.contains(node))
     );
     (bench.reads, bench.server_reads) = (0, 0);
     bench.rounds(40);
@@ -535,10 +532,10 @@
     assert!(ages.iter().all(|age| *age < ms(600)), "{ages:?}");
 }
 
-// Guards against frequent changes of the collectors while the store answers nobody: after each change all
-// nodes of the data centre get all servers again. Once the store is back, one node reads for all.
+// Guards against frequent changes of the collectors while the store answers no node: after each change all
+// nodes of the data centre get all servers again. Once the store is available again, one node reads for all.
 #[test]
-fn collectors_stay_while_the_store_answers_nobody() {
+fn collectors_stay_while_the_store_answers_no_node() {
     let mut bench = SyncBench::new(2, 40);
     bench.rounds(20);
     bench.store_down = true;
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -59,8 +59,10 @@
     pub(crate) switches: PolicySwitches,
     /// Prefill speed of the engines, in prompt tokens per second.
     pub(crate) prefill_speed: f64,
-    pub(crate) admits: bool,
-    pub(crate) exchanges: bool,
+    /// Whether nodes refuse requests whose answers would be late.
+    pub(crate) has_admission: bool,
+    /// Whether nodes exchange load reports.
+    pub(crate) has_exchange: bool,
     /// Whether refused callers retry once, after the delay that they are given.
     pub(crate) callers_retry: bool,
     /// Whether a run samples how many others would run beside a request.
@@ -74,9 +76,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KindResult {
     pub(crate) requests: u32,
-    /// Whole answers with the first event within its target and no pause over its bound.
+    /// Complete answers with the first event within its target and no pause over its bound.
     pub(crate) in_time: u32,
-    /// Whole answers that were late.
+    /// Complete answers that were late.
     pub(crate) late: u32,
     pub(crate) refused: u32,
     /// Requests that were sent again after a refusal.
@@ -106,8 +108,8 @@
     /// How many other requests would run beside a request under usual and under isolated placement: the two
     /// sums over all samples, and the number of samples.
     pub(crate) co_running: (u64, u64, u64),
-    /// Requests that engines turned away, and those of them that came from a node during the rest that it was
-    /// asked for.
+    /// Requests that engines rejected, and those of them that came from a node during the rest that the engine
+    /// had asked of it.
     pub(crate) shed: u64,
     pub(crate) during_rest: u64,
 }
@@ -123,7 +125,7 @@
     /// Time at which the request was last sent, in seconds.
     last_sent: f64,
     is_retry: bool,
-    /// Engines that turned it away.
+    /// Engines that rejected it.
     tried: Vec<ServerId>,
 }
 
@@ -136,7 +138,7 @@
     tokens: u32,
     last_event: f64,
     is_late: bool,
-    is_over: bool,
+    is_done: bool,
 }
 
 struct NodeState {
@@ -155,7 +157,7 @@
     nodes: Vec<NodeState>,
     engines: Vec<ModelEngine>,
     callers: Vec<CallerState>,
-    /// Requests to be sent again, with the time of it in seconds.
+    /// Requests to be sent again, each with its time in seconds.
     retries: Vec<(f64, PendingRequest)>,
     /// End of the rest that an engine asked of a node, in seconds, by index of node and engine.
     rests: BTreeMap<(usize, usize), f64>,
@@ -186,7 +188,7 @@
         let mut next: Vec<f64> = self.plan.kinds.iter().map(|_| 0.0).collect();
         let mut now = 0.0;
         let mut next_round = 0.0;
-        // The last requests still get time to be answered.
+        // Time for the last requests to be answered.
         while now < self.plan.seconds + 12.0 {
             for (kind, at) in next.iter_mut().enumerate() {
                 while *at <= now && now < self.plan.seconds {
@@ -293,7 +295,7 @@
         let pick = self.nodes[index].table.pick(&request, at);
         let engine = engine_index(&pick.expect("a server").server.id);
         let co_running = self.callers.iter();
-        let co_running = co_running.filter(|caller| caller.engine == engine && !caller.is_over);
+        let co_running = co_running.filter(|caller| caller.engine == engine && !caller.is_done);
         co_running.count() as u64
     }
 
@@ -339,17 +341,17 @@
         };
         let decision = AdmissionPolicy::new().decide(&prediction, self.rng.f64());
         if let AdmissionDecision::Refuse { retry_after } = decision
-            && self.plan.admits
+            && self.plan.has_admission
         {
             self.refuse(pending, retry_after, now);
             return;
         }
         let ticket = node.table.start(&pick, &request, at);
         let engine = engine_index(&pick.server.id);
-        if self.sheds(engine, now) {
+        if self.is_shedding(engine, now) {
             let node = &mut self.nodes[index];
             node.table.finish(ticket, WorkOutcome::Full, at);
-            self.turn_away(pending, index, &pick.server, now);
+            self.handle_rejection(pending, index, &pick.server, now);
             return;
         }
         let number = self.callers.len();
@@ -372,7 +374,7 @@
             tokens: 0,
             last_event: now,
             is_late: false,
-            is_over: false,
+            is_done: false,
         });
     }
 
@@ -442,13 +444,13 @@
 
     fn finish_caller(&mut self, number: usize, outcome: WorkOutcome, at: Instant) {
         let caller = &mut self.callers[number];
-        caller.is_over = true;
+        caller.is_done = true;
         if let Some(ticket) = caller.ticket.take() {
             self.nodes[caller.node].table.finish(ticket, outcome, at);
         }
     }
 
-    /// Cancels requests whose callers have waited too long for the whole answer or for the next event.
+    /// Cancels requests whose callers have waited too long for the complete answer or for the next event.
     fn cancel_overdue(&mut self, now: f64) {
         for number in 0..self.callers.len() {
             let caller = &self.callers[number];
@@ -456,7 +458,7 @@
             let max_pause = (4.0 * kind.target).max(8.0 * kind.pause).max(2.0);
             let is_overdue =
                 now - caller.first_sent > kind.patience || now - caller.last_event > max_pause;
-            if !caller.is_over && is_overdue {
+            if !caller.is_done && is_overdue {
                 self.engines[caller.engine].cancel(number);
                 self.result.kinds.entry(kind.name).or_default().abandoned += 1;
                 let at = self.at(now);
@@ -466,7 +468,7 @@
     }
 
     fn exchange(&mut self, now: f64) {
-        if !self.plan.exchanges {
+        if !self.plan.has_exchange {
             return;
         }
         let at = self.at(now);
@@ -485,7 +487,7 @@
             let index = usize::from(to.port() - 1000);
             let node = &mut self.nodes[index];
             let result = node.exchange.receive(&bytes, from, &mut node.sync, moment);
-            result.expect("a message");
+            result.expect("a valid message");
         }
         for node in &mut self.nodes {
             node.table.exchange_with(&mut node.exchange, at);
--- a/crates/plumgate/tests/load/shedding.rs
+++ b/crates/plumgate/tests/load/shedding.rs
@@ -1,4 +1,4 @@
-//! Engines that turn requests away for some time and ask for rests.
+//! Engines that reject requests for some time and ask for rests.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 
 use super::{LoadRun, PendingRequest, engine_index};
 
-/// Most engines that one request is offered to.
+/// Most engines that a request is sent to.
 const MAX_TRIES: usize = 4;
-/// Seconds until a refusal arrives.
-const REFUSAL_SECONDS: f64 = 0.005;
-/// Share of its target for which a request waits for an engine that rests.
+/// Seconds until the rejection of an engine arrives.
+const REJECTION_SECONDS: f64 = 0.005;
+/// Share of its target for which a request waits for a resting engine.
 const WAIT_SHARE: f64 = 0.125;
 /// Delay of callers when no engine's rest is known.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(400);
@@ -20,9 +20,9 @@
 /// Handling of a rest that an engine asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RestHandling {
-    /// A refusal only means that the engine is full.
+    /// A rejection only means that the engine is full.
     Ignored,
-    /// The node that was refused respects the rest.
+    /// The node whose request was rejected respects the rest.
     OwnNode,
     /// All nodes respect the rest, at once.
     AllNodes,
@@ -41,16 +41,16 @@
 }
 
 impl LoadRun {
-    /// Returns whether an engine turns requests away at `now`.
-    pub(super) fn sheds(&self, engine: usize, now: f64) -> bool {
+    /// Returns whether an engine rejects requests at `now`.
+    pub(super) fn is_shedding(&self, engine: usize, now: f64) -> bool {
         self.plan.shedding.is_some_and(|plan| {
             let count = (plan.share * self.engines.len() as f64).round() as usize;
             engine < count && (plan.from..plan.to).contains(&now)
         })
     }
 
-    /// Sends a request that an engine turned away on to the next engine.
-    pub(super) fn turn_away(
+    /// Sends a request that an engine rejected to the next engine, or refuses it after its last try.
+    pub(super) fn handle_rejection(
         &mut self,
         mut pending: PendingRequest,
         index: usize,
@@ -64,7 +64,7 @@
         self.record_rest(index, server, now);
         pending.tried.push(server.id.clone());
         if pending.tried.len() < MAX_TRIES {
-            self.retries.push((now + REFUSAL_SECONDS, pending));
+            self.retries.push((now + REJECTION_SECONDS, pending));
             return;
         }
         self.refuse_after(pending, DEFAULT_RETRY_DELAY, now);
@@ -78,7 +78,7 @@
         let rest = Duration::from_secs_f64(shortest + (longest - shortest) * self.rng.f64());
         let until = now + rest.as_secs_f64();
         self.rests.insert((index, engine_index(&server.id)), until);
-        let informed = match plan.handling {
+        let respecting = match plan.handling {
             RestHandling::Ignored => 0..0,
             RestHandling::OwnNode => index..index + 1,
             RestHandling::AllNodes => 0..self.nodes.len(),
@@ -94,7 +94,7 @@
             rest: RestStatement::For(rest),
             ..ServerStatement::default()
         };
-        for node in &mut self.nodes[informed] {
+        for node in &mut self.nodes[respecting] {
             node.statements.record_notices(server, &statement, times);
             let availability = node
                 .statements
--- a/crates/plumgate/tests/support/mod.rs
+++ b/crates/plumgate/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet and helpers for the tests of the decisions.
+//! Small fleet and helpers for the tests of configuration, dispatch, placement and routes.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::sync::Arc;
@@ -42,7 +42,7 @@
 idempotent = false
 "#;
 
-/// An inventory of some servers with some slots each, and two workspaces.
+/// Returns an inventory of some servers with some slots each, and two workspaces.
 pub(crate) fn inventory(servers: usize, slots: u32) -> String {
     let mut text =
         String::from("[data_centres.here]\nregion = \"r\"\n[data_centres.there]\nregion = \"r\"\n");
@@ -61,7 +61,7 @@
     text
 }
 
-/// The configuration of a small fleet.
+/// Returns the configuration of a small fleet.
 pub(crate) fn config(servers: usize, slots: u32) -> Arc<FleetConfig> {
     let bundle = ConfigBundle::new(inventory(servers, slots), RULES);
     Arc::new(
@@ -71,11 +71,11 @@
     )
 }
 
-/// A dispatcher in the data centre "here", with its clock.
+/// Dispatcher in the data centre "here", with its clock.
 pub(crate) struct Bench {
-    /// The dispatcher.
+    /// Dispatcher under test.
     pub(crate) dispatcher: Dispatcher,
-    /// The simulated time.
+    /// Simulated time.
     pub(crate) now: Instant,
     ticket_count: u32,
 }
