--- a/crates/plumgate/tests/claim.rs
+++ b/crates/plumgate/tests/claim.rs
@@ -156,7 +156,7 @@
 }
 
 quickcheck! {
-    // Four attempts claim the same key, and calls and answers get lost in any order. However the steps
+    // Four attempts claim the same key, and requests and answers are lost in any order. However the steps
     // interleave, at most one attempt may run the request.
     fn one_attempt_at_most_is_granted(schedule: Vec<(u8, CallResult)>) -> bool {
         let mut store = RowStore::default();
--- a/crates/plumgate/tests/dispatch.rs
+++ b/crates/plumgate/tests/dispatch.rs
@@ -128,7 +128,7 @@
     assert!(actions.iter().any(requests_preemption), "{actions:?}");
 }
 
-// Guards against starvation of lower tiers: for an hour captions come 50% faster than the servers can serve
+// Guards against starvation of lower tiers: for an hour captions arrive 50% faster than servers can serve
 // them. Floors give each tier its share of the dispatches, and no request waits longer than its patience;
 // after that it is refused.
 #[test]
@@ -190,7 +190,7 @@
     let mut by_floor = false;
     for _ in 0..40 {
         bench.submit("caption");
-        // Slots are held for 2 s, so that a waiting caption calls for preemption.
+        // Slots are held for 2 s, so that a waiting caption requires preemption.
         bench.now += Duration::from_secs(2);
         let actions = bench.answer(&running);
         let Some(DispatchAction::Start(order)) = actions.into_iter().next() else {
--- a/crates/plumgate/tests/duty_scale.rs
+++ b/crates/plumgate/tests/duty_scale.rs
@@ -221,7 +221,7 @@
 }
 
 // Guards against paying for servers that are idle most of the time: following the load costs less than half,
-// and no more prompts are late, though bursts come faster than servers boot and reclaimable ones are
+// and no more prompts are late, though bursts begin faster than servers boot and reclaimable ones are
 // reclaimed.
 #[test]
 fn following_the_load_halves_the_cost() {
--- a/crates/plumgate/tests/duty_usage.rs
+++ b/crates/plumgate/tests/duty_usage.rs
@@ -184,8 +184,8 @@
     assert!(now.abs_diff(UNIX_MS + 4_000) <= 12, "{now}");
 }
 
-// The time of day of a node jumps ahead and back while it runs: the node's own
-// estimate changes by a few milliseconds only.
+// The time of day of a node jumps ahead and back while it runs: the node's own estimate changes by a few
+// milliseconds only.
 #[test]
 fn own_time_does_not_jump() {
     let mut clock = AgreedClock::new();
--- a/crates/plumgate/tests/gateway_load.rs
+++ b/crates/plumgate/tests/gateway_load.rs
@@ -174,7 +174,7 @@
     }
 }
 
-// Callers whose answer would come late are refused at once and asked to retry. Those that retry find free
+// Callers whose answer would be late are refused at once and asked to retry. Those that retry find free
 // servers, and most are served; refusals must not reduce the number of answers.
 #[test]
 fn callers_that_retry_are_served() {
--- a/crates/plumgate/tests/gateway_sync.rs
+++ b/crates/plumgate/tests/gateway_sync.rs
@@ -27,7 +27,7 @@
     })
 }
 
-fn gone(id: &str) -> ServerUpdate {
+fn removed(id: &str) -> ServerUpdate {
     ServerUpdate::Gone {
         id: id.into(),
         unconfirmed: false,
@@ -117,7 +117,7 @@
     let mut requester = watcher(10, ms(800));
     let early = request_sync(&mut requester, &mut first, ms(1_000), ms(1_001));
     first.extend_log(12, vec![entry("a", ServerState::Ready)]);
-    first.extend_log(15, vec![entry("a", ServerState::Draining), gone("b")]);
+    first.extend_log(15, vec![entry("a", ServerState::Draining), removed("b")]);
     let late = request_sync(&mut requester, &mut first, ms(1_050), ms(1_051));
     assert_eq!(requester.apply(early, true).changes, Vec::new());
     let received = requester.apply(late.clone(), true).changes;
@@ -126,7 +126,7 @@
         [
             entry("a", ServerState::Ready),
             entry("a", ServerState::Draining),
-            gone("b")
+            removed("b")
         ]
     );
     assert_eq!(requester.servers_version(), Some(15u64.into()));
@@ -182,14 +182,14 @@
     assert!(!requester.apply(response, true).must_query);
     assert!(!requester.must_read(SourceTopic::Servers));
     assert_eq!(requester.fresh_until(SourceTopic::Servers, false), None);
-    requester.extend_log(12, vec![gone("a")]);
+    requester.extend_log(12, vec![removed("a")]);
     let response = request_sync(&mut requester, &mut first, ms(1_100), ms(1_101));
     requester.apply(response, true);
     assert!(requester.fresh_until(SourceTopic::Servers, false).is_some());
 }
 
 // Guards against a node that continues to use servers that have left, as it relies on responses although it
-// has fallen behind the whole change log. It must query the store at once.
+// has fallen behind the oldest entry of the change log. It must query the store at once.
 #[test]
 fn node_that_is_too_far_behind_queries_the_store_at_once() {
     let mut first = watcher(10, ms(900));
@@ -198,7 +198,7 @@
     requester.apply(response, true);
     assert!(requester.fresh_until(SourceTopic::Servers, false).is_some());
     for number in 0..3_000 {
-        first.extend_log(11 + number, vec![gone("a")]);
+        first.extend_log(11 + number, vec![removed("a")]);
     }
     let response = request_sync(&mut requester, &mut first, ms(1_000), ms(1_001));
     let outcome = requester.apply(response, true);
@@ -245,10 +245,14 @@
         Some(ms(1_494)),
         "as old as the sender's state"
     );
-    second.extend_log(13, vec![gone("a")]);
+    second.extend_log(13, vec![removed("a")]);
     let response = request_sync(&mut requester, &mut second, ms(2_100), ms(2_100));
     let outcome = requester.apply(response, true);
-    assert_eq!(outcome.changes, [gone("a")], "changes since the snapshot");
+    assert_eq!(
+        outcome.changes,
+        [removed("a")],
+        "changes since the snapshot"
+    );
     assert!(outcome.missing.is_empty());
 }
 
@@ -265,7 +269,7 @@
         .expect("a snapshot");
     assert!(!requester.apply_servers_snapshot(&snapshot, ms(1_000)));
     assert_eq!(requester.servers_version(), Some(12u64.into()));
-    old.extend_log(20, vec![gone("b")]);
+    old.extend_log(20, vec![removed("b")]);
     let snapshot = old
         .servers_snapshot(&table(&["a"]), ms(1_000))
         .expect("a snapshot");
@@ -308,20 +312,20 @@
     assert_eq!(state.servers_snapshot(&ServerTable::new(), ms(1_000)), None);
 }
 
-// While a node's own watch is in progress, it receives the same changes from others. Applied twice, the older
-// ones would come last.
+// While a node's own watch is in progress, it receives the same changes from others. Applied twice, older
+// changes would follow newer ones and undo them.
 #[test]
 fn changes_wait_while_a_watch_is_in_progress() {
     let mut first = watcher(10, ms(900));
     let mut requester = watcher(10, ms(800));
     requester.set_watching(true);
-    first.extend_log(12, vec![gone("a")]);
+    first.extend_log(12, vec![removed("a")]);
     let response = request_sync(&mut requester, &mut first, ms(1_000), ms(1_001));
     assert_eq!(requester.apply(response, true).changes, Vec::new());
     assert_eq!(requester.servers_version(), Some(10u64.into()));
     requester.set_watching(false);
     let response = request_sync(&mut requester, &mut first, ms(1_100), ms(1_101));
-    assert_eq!(requester.apply(response, true).changes, [gone("a")]);
+    assert_eq!(requester.apply(response, true).changes, [removed("a")]);
 }
 
 /// A store, and nodes that follow it as the product does.
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -41,7 +41,7 @@
     pub(crate) output: u32,
     pub(crate) target: f64,
     pub(crate) pause: f64,
-    /// Seconds that a caller waits for the whole answer.
+    /// Seconds that a caller waits for the complete answer.
     pub(crate) patience: f64,
     pub(crate) urgency: u8,
     pub(crate) class: StreamClass,
@@ -108,8 +108,8 @@
     /// How many other requests would run beside a request under usual and under isolated placement: the two
     /// sums over all samples, and the number of samples.
     pub(crate) co_running: (u64, u64, u64),
-    /// Requests that engines rejected, and those of them that came from a node during the rest that the engine
-    /// had asked of it.
+    /// Requests that engines rejected, and those of them that came from a node during the rest that the
+    /// engine had asked of it.
     pub(crate) shed: u64,
     pub(crate) during_rest: u64,
 }
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Runs the whole plan.
+    /// Runs the plan and returns its results.
     pub(crate) fn run(mut self) -> LoadResult {
         let mut next: Vec<f64> = self.plan.kinds.iter().map(|_| 0.0).collect();
         let mut now = 0.0;
@@ -227,14 +227,14 @@
     fn prompt(&mut self, kind: usize) -> PromptShape {
         let kind = self.plan.kinds[kind].clone();
         let document = self.rng.u64(0..kind.documents) + 1;
-        let name = kind.name.len() as u64 * 1_000_000;
+        let id_base = kind.name.len() as u64 * 1_000_000;
         // Sizes follow an exponential distribution: most prompts are below the mean, a few many times it.
         let size = (-(1.0 - self.rng.f64()).ln()).min(6.0);
         let own = (f64::from(kind.own_tokens) * size).max(1.0) as u32;
         PromptShape {
             parts: vec![
                 PromptPart {
-                    id: name + document,
+                    id: id_base + document,
                     tokens: kind.shared_tokens,
                 },
                 PromptPart {
@@ -299,7 +299,7 @@
         co_running.count() as u64
     }
 
-    /// Sends the requests again whose delay is over.
+    /// Sends the requests again whose delay has passed.
     fn send_due_retries(&mut self, now: f64) {
         let (due, later) = std::mem::take(&mut self.retries)
             .into_iter()
