--- a/crates/plumgate-node/tests/log_sink.rs
+++ b/crates/plumgate-node/tests/log_sink.rs
@@ -1,4 +1,4 @@
-//! The log under load and before a reader that stalls.
+//! Tests of the log sink: a flood of lines, and a reader that stalls.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,21 +8,21 @@
 use plumgate_node::log_sink::BoundedSink;
 use spdlog::LevelFilter;
 
-/// Keeps what was written.
+/// Writer that stores what is written, for inspection. Clones share their contents.
 #[derive(Clone, Default)]
-struct KeptWriter(Arc<Mutex<Vec<u8>>>);
+struct CapturingWriter(Arc<Mutex<Vec<u8>>>);
 
-impl KeptWriter {
+impl CapturingWriter {
     fn text(&self) -> String {
         let bytes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         String::from_utf8_lossy(&bytes).into_owned()
     }
 }
 
-impl Write for KeptWriter {
+impl Write for CapturingWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.extend_from_slice(bytes);
+        let mut written = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        written.extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Never gets to the end of a write.
+/// Writer whose writes never complete.
 struct StalledWriter;
 
 impl Write for StalledWriter {
@@ -46,10 +46,10 @@
     }
 }
 
-// Requests must not wait for whoever reads the log. The reader stalls and its pipe is full; lines
-// are dropped then, and nobody who writes one notices.
+// Guards against requests that block on the log. The reader of the log has stalled and its pipe is full; the
+// sink must drop lines instead of blocking the threads that log them.
 #[test]
-fn stalled_reader_stops_nobody() {
+fn stalled_reader_does_not_block_logging() {
     let sink = BoundedSink::start(StalledWriter).expect("a sink");
     let log = sink_log(Arc::new(sink), LevelFilter::All).expect("a log");
     let start = Instant::now();
@@ -63,11 +63,12 @@
     );
 }
 
-// An operator looks for a request that has no line. The log says how many lines it left out, and
-// warnings are still there: silence would look like a request that never came.
+// Guards against lines that are dropped without a trace: to an operator, a request without a line looks like
+// one that never arrived. After a flood the log must report the number of dropped lines and still contain the
+// warnings.
 #[test]
-fn flood_is_bounded_and_what_is_left_out_is_told() {
-    let writer = KeptWriter::default();
+fn log_flood_is_limited_and_dropped_lines_are_reported() {
+    let writer = CapturingWriter::default();
     let sink = BoundedSink::start(writer.clone()).expect("a sink");
     let log = sink_log(Arc::new(sink), LevelFilter::All).expect("a log");
     for number in 0..3_000 {
@@ -82,5 +83,8 @@
     assert!(lines <= 501, "{lines} lines");
     assert!(text.contains("event=source_lost"));
     assert!(text.contains("event=log_left_out lines=25"), "{text}");
-    assert!(text.contains("number=last"), "it goes on afterwards");
+    assert!(
+        text.contains("number=last"),
+        "lines are written again in the next period"
+    );
 }
