--- a/crates/plumgate-cli/src/apply.rs
+++ b/crates/plumgate-cli/src/apply.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Builds the error for an apply that lost to another change, with what that change did.
+/// Builds the error for an apply that conflicted with another change, and lists what that change did.
 pub(crate) async fn conflict_error(
     store: &ConfigStore,
     base: &ApplyBase,
@@ -88,7 +88,8 @@
         .collect())
 }
 
-/// Drains a server, or ends its drain, on top of the newest configuration; no change if it is so already.
+/// Drains a server, or ends its drain, on top of the newest configuration; applies nothing if the server
+/// is in that state already.
 pub(crate) async fn set_drained(
     store: &ConfigStore,
     server: &str,
--- a/crates/plumgate-cli/src/commands.rs
+++ b/crates/plumgate-cli/src/commands.rs
@@ -155,23 +155,23 @@
         base: &ApplyBase,
         expected: u64,
     ) -> Result<Error> {
-        let seen = store
+        let expected_head = store
             .version(expected)
             .await?
             .ok_or(Error::NoVersion(expected))?;
-        let bundle = store.bundle(&seen).await?;
+        let bundle = store.bundle(&expected_head).await?;
         let Some(found) = base.head.clone() else {
             return Ok(Error::NoConfig);
         };
-        let seen_row = plumgate_node::platform::TableRow {
+        let expected_row = plumgate_node::platform::TableRow {
             version: 0,
-            value: seen,
+            value: expected_head,
         };
-        let seen = ApplyBase {
-            head: Some(seen_row),
+        let expected_base = ApplyBase {
+            head: Some(expected_row),
             bundle,
         };
-        Ok(conflict_error(store, &seen, found).await)
+        Ok(conflict_error(store, &expected_base, found).await)
     }
 
     async fn drain(&self, matches: &ArgMatches, drained: bool) -> Result<ExitCode> {
@@ -245,7 +245,7 @@
         Ok(ExitCode::SUCCESS)
     }
 
-    /// Prints a page of each node that answers, under the node's address.
+    /// Prints a text page of each node that answers, headed by the node's address.
     async fn pages(&self, path: &str) -> Result<ExitCode> {
         let pages = node_pages(&self.nodes(), path).await?;
         if self.is_json() {
--- a/crates/plumgate-cli/src/errors.rs
+++ b/crates/plumgate-cli/src/errors.rs
@@ -15,11 +15,11 @@
     Findings(FindingList),
     /// {0}: {1}
     File(String, std::io::Error),
-    /// version {0} was applied meanwhile by {1}; nothing of yours was applied. It changed:{2}
+    /// version {0} was applied meanwhile by {1}; your change was not applied. Version {0} changed:{2}
     Conflict(u64, String, String),
     /// the platform does not answer; nothing was applied
     NotApplied,
-    /// the platform does not answer; whether the change was applied is not known. Look with "plumgate history" for change {0}
+    /// the platform does not answer; it is unknown whether the change was applied. Search "plumgate history" for change {0}
     InDoubt(String),
     /// no configuration was applied yet
     NoConfig,
--- a/crates/plumgate-cli/src/flags.rs
+++ b/crates/plumgate-cli/src/flags.rs
@@ -34,13 +34,13 @@
             ),
             Command::new("status").about("Shows data centres, nodes, servers and queues"),
             Command::new("duties").about(
-                "Shows who holds the duties, the last windows of usage and the orders, by the nodes' readiness addresses",
+                "Shows the holders of the duties, the last usage windows and the orders; --nodes takes readiness addresses",
             ),
             Command::new("limits").about(
-                "Shows the servers that reported a limit and who issues their permits, by the nodes' readiness addresses",
+                "Shows the servers that reported a limit and the issuers of their permits; --nodes takes readiness addresses",
             ),
             Command::new("statements").about(
-                "Shows what servers reported about themselves (limits, leaving, rests), by the nodes' readiness addresses",
+                "Shows what servers reported about themselves (limits, leaving, rests); --nodes takes readiness addresses",
             ),
             Command::new("show")
                 .about("Prints the configuration in force, or an earlier one")
@@ -50,10 +50,10 @@
                         .value_parser(value_parser!(u64)),
                 ),
             change(server(
-                Command::new("drain").about("Takes a backend server out of use"),
+                Command::new("drain").about("Drains a backend server: it gets no new requests"),
             )),
             change(server(
-                Command::new("undrain").about("Brings a drained server back"),
+                Command::new("undrain").about("Ends the drain of a backend server"),
             )),
             Command::new("history")
                 .about("Lists the versions that were applied")
@@ -123,7 +123,7 @@
                 .long("author")
                 .env("USER")
                 .default_value("operator")
-                .help("Who makes the change"),
+                .help("Author to record with the change"),
         )
         .arg(
             Arg::new("wait")
--- a/crates/plumgate-cli/src/nodes.rs
+++ b/crates/plumgate-cli/src/nodes.rs
@@ -12,7 +12,7 @@
 /// Pause between two polls of the nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Fetches the statuses of the nodes that answer; an error if none does.
+/// Fetches the statuses of the nodes that answer; an error if none answers.
 pub(crate) async fn statuses(addresses: &[SocketAddr]) -> Result<Vec<NodeStatus>> {
     let mut statuses = Vec::new();
     for address in addresses {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Fetches a text page of the nodes that answer, by their readiness addresses; an error if none does.
+/// Fetches a text page from the readiness addresses of the nodes; an error if none answers.
 pub(crate) async fn node_pages(
     addresses: &[SocketAddr],
     path: &str,
--- a/crates/plumgate-cli/src/store.rs
+++ b/crates/plumgate-cli/src/store.rs
@@ -87,8 +87,8 @@
         self.write_head(base.map(|row| row.version), head).await
     }
 
-    /// Writes the row of the version that is about to be replaced. Every apply does this first, so that the
-    /// history lacks no version even if an earlier apply was interrupted.
+    /// Writes the row of the version that is about to be replaced. Every apply does this first, so that no
+    /// version is missing from the history even if an earlier apply was interrupted.
     async fn store_version(&self, base: Option<&TableRow<ConfigHead>>) -> Result<()> {
         let Some(base) = base else { return Ok(()) };
         let row = version_row(base.value.version);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Resolves a conflict, which may be with this change's own earlier write whose answer was lost.
+    /// Resolves a conflict, which may be with this change's own earlier write whose answer did not arrive.
     async fn resolve_conflict(
         &self,
         head: ConfigHead,
--- a/crates/plumgated/src/flags.rs
+++ b/crates/plumgated/src/flags.rs
@@ -77,7 +77,7 @@
         "peers",
         "PLUMGATE_PEERS",
         Some(""),
-        "Peer addresses of other nodes, separated by commas",
+        "Peer addresses of seed nodes, separated by commas",
     ),
     flag(
         "peer-key",
@@ -107,7 +107,7 @@
         "grace-ms",
         "PLUMGATE_GRACE_MS",
         Some("60000"),
-        "Time after that in which requests in flight may finish, in milliseconds",
+        "Time after the balancer lag in which requests in flight may finish, in milliseconds",
     ),
     flag(
         "header-timeout-ms",
@@ -210,7 +210,7 @@
     }
 }
 
-/// Reader of settings that collects findings and goes on with a substitute value.
+/// Reader of settings that collects findings and continues with a substitute value after each.
 struct SettingReader<'a> {
     matches: &'a ArgMatches,
     findings: FindingList,
@@ -324,11 +324,14 @@
         let text = self.text(name);
         let found = choices
             .iter()
-            .find(|(word, _)| *word == text)
+            .find(|(value_name, _)| *value_name == text)
             .map(|(_, value)| *value);
         if found.is_none() {
-            let words: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
-            self.report(name, format!("\"{text}\" is none of {}", words.join(", ")));
+            let names: Vec<&str> = choices.iter().map(|(value_name, _)| *value_name).collect();
+            self.report(
+                name,
+                format!("\"{text}\" is not one of {}", names.join(", ")),
+            );
         }
         found
     }
--- a/crates/plumgated/src/gateway.rs
+++ b/crates/plumgated/src/gateway.rs
@@ -65,7 +65,7 @@
         .value_parser(PossibleValuesParser::new(LOG_LEVELS.map(|(name, _)| name)))
         .help("Lowest level of the events to log");
     Command::new("gateway")
-        .about("Relays whole requests on the users' platform")
+        .about("Runs a gateway node on the users' platform")
         .args([settings, metrics_port, policy, without, log_level])
 }
 
@@ -136,7 +136,9 @@
 }
 
 fn choice<T: Copy>(choices: &[(&str, T)], name: Option<&str>) -> Option<T> {
-    let found = choices.iter().find(|(word, _)| Some(*word) == name);
+    let found = choices
+        .iter()
+        .find(|(choice_name, _)| Some(*choice_name) == name);
     found.map(|(_, value)| *value)
 }
 
