--- a/crates/plumgate/tests/lease.rs
+++ b/crates/plumgate/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: never two holders that may act, whatever is lost, late or suspended.
+//! Leases: at most one node may act at any time, even if messages are lost or late and nodes are suspended.
 
 use std::time::{Duration, Instant};
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn lease_is_held_renewed_and_taken_over_after_its_end() {
+fn lease_is_renewed_and_taken_over_after_it_expires() {
     let mut store = RowStore::default();
     let start = Instant::now();
     let (mut a, mut b) = (LeaseHolder::new("a"), LeaseHolder::new("b"));
@@ -59,10 +59,10 @@
     assert_eq!(b.fencing(start + Duration::from_secs(44)), Some(2));
 }
 
-// Guards against a holder that acts on its old lease: it is suspended while its lease ends and another node
-// takes over. When it resumes it still assumes its lease; the check right before an order must deny it.
+// Guards against a holder that acts on an expired lease: it is suspended while its lease expires and another
+// node takes over. When it resumes it still assumes its lease; the check right before an order must deny it.
 #[test]
-fn holder_that_was_paused_does_not_act_on_its_old_lease() {
+fn holder_that_was_suspended_does_not_act_on_an_expired_lease() {
     let mut store = RowStore::default();
     let start = Instant::now();
     let (mut a, mut b) = (LeaseHolder::new("a"), LeaseHolder::new("b"));
@@ -72,7 +72,11 @@
     }
     let resumed = start + Duration::from_secs(15);
     assert_eq!(b.fencing(resumed), Some(2));
-    assert_eq!(a.fencing(resumed), None, "without any tick since the pause");
+    assert_eq!(
+        a.fencing(resumed),
+        None,
+        "without any tick since the suspension"
+    );
     act_until_idle(&mut a, &mut store, resumed);
     assert_eq!(a.fencing(resumed), None);
 }
@@ -81,7 +85,7 @@
 // and the renewal is repeated 5 s later. The first write took effect, and others count the lease from it, so
 // the holder must too.
 #[test]
-fn repeated_renewal_counts_from_the_first() {
+fn repeated_renewal_counts_from_the_first_write() {
     let mut store = RowStore::default();
     let start = Instant::now();
     let mut a = LeaseHolder::new("a");
@@ -97,9 +101,9 @@
 }
 
 // Guards against overlapping orders at an engine that ignores fencing numbers: it may still get an order
-// that the last holder sent before its lease ended. The next holder must not order before that one is over.
+// that the last holder sent before its lease expired. The next holder must not order before that one is over.
 #[test]
-fn next_holder_waits_out_old_orders_for_engines_that_ignore_the_number() {
+fn next_holder_waits_for_old_orders_at_engines_that_ignore_fencing() {
     let mut store = RowStore::default();
     let start = Instant::now();
     let mut a = LeaseHolder::new("a");
@@ -112,7 +116,7 @@
     assert_eq!(a.settled_fencing(start + Duration::from_secs(5)), Some(1));
 }
 
-/// What happens next to two nodes that want one lease.
+/// What happens next to two nodes that want one lease; each flag selects the second node.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// Time passes, in milliseconds.
@@ -122,25 +126,25 @@
     /// A node sends a request that takes effect; the answer is lost.
     AnswerLost(bool),
     /// A node sends a request that is lost.
-    CallLost(bool),
+    RequestLost(bool),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let first = bool::arbitrary(g);
+        let is_second = bool::arbitrary(g);
         match u8::arbitrary(g) % 6 {
             0 | 1 => Self::Wait(u16::arbitrary(g) % 6000),
-            2 | 3 => Self::Answered(first),
-            4 => Self::AnswerLost(first),
-            _ => Self::CallLost(first),
+            2 | 3 => Self::Answered(is_second),
+            4 => Self::AnswerLost(is_second),
+            _ => Self::RequestLost(is_second),
         }
     }
 }
 
 quickcheck! {
-    // However calls and answers are lost and nodes are suspended, two nodes never may act at once, and
+    // However requests and answers are lost and nodes are suspended, at most one node may act at a time, and
     // fencing numbers never decrease.
-    fn two_nodes_never_both_may_act(steps: Vec<Step>) -> bool {
+    fn two_nodes_never_hold_the_lease_at_once(steps: Vec<Step>) -> bool {
         let mut store = RowStore::default();
         let mut now = Instant::now();
         let mut nodes = [LeaseHolder::new("a"), LeaseHolder::new("b")];
@@ -148,9 +152,11 @@
         for step in steps {
             match step {
                 Step::Wait(milliseconds) => now += Duration::from_millis(milliseconds.into()),
-                Step::Answered(first) => act_until_idle(&mut nodes[usize::from(first)], &mut store, now),
-                Step::AnswerLost(first) | Step::CallLost(first) => {
-                    let node = &mut nodes[usize::from(first)];
+                Step::Answered(is_second) => {
+                    act_until_idle(&mut nodes[usize::from(is_second)], &mut store, now);
+                }
+                Step::AnswerLost(is_second) | Step::RequestLost(is_second) => {
+                    let node = &mut nodes[usize::from(is_second)];
                     if let Some(action) = node.tick(true, now) {
                         if matches!(step, Step::AnswerLost(_)) {
                             store.answer(action);
@@ -160,7 +166,7 @@
                 }
             }
             let acting: Vec<u64> = nodes.iter().filter_map(|node| node.fencing(now)).collect();
-            if acting.len() > 1 || acting.iter().any(|epoch| *epoch < highest) {
+            if acting.len() > 1 || acting.iter().any(|number| *number < highest) {
                 return false;
             }
             highest = acting.first().copied().unwrap_or(highest);
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -1,4 +1,4 @@
-//! What single nodes decide about servers that state limits.
+//! Decisions of single nodes about servers that state limits.
 
 mod entries;
 
@@ -13,18 +13,17 @@
     Duration::from_secs_f64(count)
 }
 
-/// Guards against less urgent requests that were deferred and keep more urgent ones of the same node from
-/// the server.
+/// Guards against deferred requests that block more urgent ones of the same node.
 #[test]
 fn most_urgent_requests_go_first_and_others_are_not_starved() {
     let server = entries::server_entry("limited");
     let mut limits = ServerLimits::new(false, 1);
-    let named = LimitObservation {
+    let observation = LimitObservation {
         rate: RequestRate::new(5.0),
         sent: seconds(1.0),
         seen: seconds(1.0),
     };
-    limits.record_answer(&server, named);
+    limits.record_answer(&server, observation);
     let mut sent = [0_u32; 2];
     let mut now = seconds(2.0);
     for step in 0..6_000 {
@@ -50,12 +49,12 @@
         limits.request_permit(&server, 0, seconds(1.0)),
         PermitStatus::NotRequired
     );
-    let named = LimitObservation {
+    let observation = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
         seen: seconds(1.1),
     };
-    limits.record_answer(&server, named);
+    limits.record_answer(&server, observation);
     assert!(!limits.allows(&server, None, seconds(1.2)));
     let PermitStatus::Granted(permit) = limits.request_permit(&server, 0, seconds(4.0)) else {
         panic!("the server takes one request a second");
@@ -69,7 +68,7 @@
 
 /// Guards against an answer that arrives late and lifts a limit, or restores one that had ended.
 #[test]
-fn answers_that_overtake_each_other_neither_lift_nor_restore_a_limit() {
+fn reordered_answers_neither_lift_nor_restore_a_limit() {
     let server = entries::server_entry("limited");
     let mut limits = ServerLimits::new(false, 1);
     let observation = |rate: Option<f64>, sent: f64, seen: f64| LimitObservation {
@@ -97,17 +96,18 @@
     assert_eq!(limits.rate(&server), None);
 }
 
-/// Guards against applying a limit to the next incarnation of a server that restarted under its id.
+/// Guards against applying a limit to the next incarnation of a server that restarted under its id. An entry
+/// that lapses and returns with the same start time keeps its limit.
 #[test]
-fn server_that_starts_again_has_no_limit_and_its_entry_may_lapse_and_return() {
+fn limit_applies_to_one_incarnation_of_a_server() {
     let mut limits = ServerLimits::new(false, 1);
     let before = entries::entry_with_start_time("limited", 1);
-    let named = LimitObservation {
+    let observation = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
         seen: seconds(1.0),
     };
-    limits.record_answer(&before, named);
+    limits.record_answer(&before, observation);
     assert_eq!(
         limits.rate(&entries::entry_with_start_time("limited", 2)),
         None
@@ -119,7 +119,7 @@
     );
 }
 
-/// One of two nodes that exchange messages, with the keys of a configuration.
+/// Creates one of two nodes that exchange messages, with the keys of a configuration.
 fn node_with_key(
     own: &NodeEntry,
     entries: &[NodeEntry],
@@ -137,18 +137,19 @@
     (exchange, limits)
 }
 
-/// Whether a node applies a limit from a message that was sealed under some key, some milliseconds ago.
+/// Returns whether a node applies a limit from a message that was sealed with `key` and arrives `late_ms`
+/// milliseconds later.
 fn applies_limit(key: &str, late_ms: u64) -> bool {
     let entries = entries::node_entries(1, 2);
     let (sender, mut sender_limits) = node_with_key(&entries[0], &entries, key);
     let (mut receiver, mut limits) = node_with_key(&entries[1], &entries, "key-1");
     let server = entries::server_entry("limited");
-    let named = LimitObservation {
+    let observation = LimitObservation {
         rate: RequestRate::new(1.0),
         sent: seconds(1.0),
         seen: seconds(1.0),
     };
-    sender_limits.record_answer(&server, named);
+    sender_limits.record_answer(&server, observation);
     let mut sync_state = SyncState::new(seconds(5.0), 1);
     let sent = MessageTime {
         boot: seconds(1.1),
@@ -176,7 +177,7 @@
     is_applied
 }
 
-/// Guards against limits from a sender without the keys, and from an old message that is sent once more.
+/// Guards against limits from a sender without the keys, and from an old message that is replayed.
 #[test]
 fn forged_and_old_messages_change_nothing() {
     assert!(
@@ -250,7 +251,7 @@
     );
 }
 
-/// Guards against a node that resumes and applies messages which waited for as long as it was suspended.
+/// Guards against a node that resumes and applies messages that were queued while it was suspended.
 #[test]
 fn node_that_resumes_ignores_old_reports_of_an_end() {
     let before = [15.8, 16.0];
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -1,4 +1,4 @@
-//! Orders of servers count a limited server by the load that it takes.
+//! Orders of servers count a limited server by the load that its limit allows.
 
 mod entries;
 
@@ -17,7 +17,8 @@
 /// Prompt tokens of each request.
 const TOKENS: u32 = 4_000;
 
-/// The load that a node sees of three servers, the first of which is limited to so many requests a second.
+/// Returns the load that a node sees of three servers, the first of which is limited to `rate` requests a
+/// second.
 fn pool_load(rate: f64) -> PoolLoad {
     let pool: PoolId = "models".into();
     let mut now = Instant::now();
@@ -56,9 +57,10 @@
     table.pool_load(&pool, 0, now)
 }
 
-/// Guards against counting a server that takes one request in ten seconds as one that prefills all the time.
+/// Guards against counting a server that is limited to one request in ten seconds with its full prefill
+/// capacity.
 #[test]
-fn limited_server_counts_as_what_it_takes() {
+fn limited_server_counts_by_its_limit() {
     let load = pool_load(0.1);
     assert_eq!(load.servers(), 3);
     assert!(load.limited > 0.9, "{load:?}");
@@ -69,10 +71,10 @@
     );
 }
 
-/// Guards against servers that are given back, or not ordered, although some of those present take next to
-/// nothing.
+/// Guards against releasing servers, or ordering none, while limits leave some of the present ones almost
+/// unused.
 #[test]
-fn servers_are_ordered_for_what_limited_ones_leave() {
+fn servers_are_ordered_to_replace_limited_capacity() {
     let ordered = |limited: f64| {
         let mut now = Instant::now();
         let mut policy = LoadScaling::default();
@@ -104,6 +106,6 @@
         }
         wanted
     };
-    let usual: u32 = ordered(0.0);
-    assert_eq!(ordered(2.8), usual + 3);
+    let unlimited: u32 = ordered(0.0);
+    assert_eq!(ordered(2.8), unlimited + 3);
 }
--- a/crates/plumgate/tests/limits.rs
+++ b/crates/plumgate/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Workspace limits: how they are split over the nodes and how far they are exceeded.
+//! Workspace limits: how they are split between the nodes and how far they are exceeded.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use plumgate::ids::WorkspaceId;
 use plumgate::limits::WorkspaceLimits;
 
-fn norte() -> WorkspaceId {
+fn workspace() -> WorkspaceId {
     "norte".into()
 }
 
@@ -44,7 +44,7 @@
         }
         for (index, limits) in node_limits.iter_mut().enumerate() {
             if step % 100 < offered[index]
-                && limits.admit(&norte(), limit, now).is_ok()
+                && limits.admit(&workspace(), limit, now).is_ok()
                 && step >= 1000
             {
                 admitted[index] += 1;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn limit_is_kept_over_all_nodes_under_demand_beyond_it() {
+fn limit_holds_across_all_nodes_when_demand_exceeds_it() {
     let rates = run(
         &mut node_limits(8),
         &[90, 90, 10, 10, 10, 10, 10, 10],
@@ -118,24 +118,24 @@
             exchange(&mut node_limits, now);
         }
         let limits = &mut node_limits[rng.usize(..6)];
-        refused += u32::from(limits.admit(&norte(), 10, now).is_err());
+        refused += u32::from(limits.admit(&workspace(), 10, now).is_err());
     }
     assert_eq!(refused, 0);
 }
 
 #[test]
-fn concurrency_is_split_and_freed() {
+fn concurrency_is_split_between_nodes_and_released() {
     let mut limits = WorkspaceLimits::new();
     limits.set_nodes(2);
     let now = Instant::now();
-    limits.start(&norte(), now);
-    limits.start(&norte(), now);
+    limits.start(&workspace(), now);
+    limits.start(&workspace(), now);
     assert!(
-        !limits.has_room(&norte(), 4, now),
+        !limits.has_room(&workspace(), 4, now),
         "an equal share of 4 is 2"
     );
-    limits.finish(&norte(), now);
-    assert!(limits.has_room(&norte(), 4, now));
+    limits.finish(&workspace(), now);
+    assert!(limits.has_room(&workspace(), 4, now));
 }
 
 /// Guards against a burst at each of many nodes: each let a workspace start its own, however small the
@@ -148,7 +148,7 @@
     let now = Instant::now();
     exchange(&mut node_limits, now);
     let admitted = node_limits.iter_mut().map(|limits| {
-        let tries = (0..10).filter(|_| limits.admit(&norte(), limit, now).is_ok());
+        let tries = (0..10).filter(|_| limits.admit(&workspace(), limit, now).is_ok());
         tries.count()
     });
     let admitted: usize = admitted.sum();
--- a/crates/plumgate/tests/membership.rs
+++ b/crates/plumgate/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Nodes discover each other, detect nodes that are gone, and pass on the configuration, over a simulated
+//! Nodes discover each other, detect unresponsive nodes, and pass on the configuration, over a simulated
 //! network.
 
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
     members: MemberTable,
     follower: ConfigFollower,
     events: Vec<MemberEvent>,
-    frozen: bool,
+    is_suspended: bool,
 }
 
 /// Some nodes and the network between them.
@@ -52,7 +52,7 @@
                 members,
                 follower: ConfigFollower::new(),
                 events: Vec::new(),
-                frozen: false,
+                is_suspended: false,
             }
         });
         Self {
@@ -66,7 +66,7 @@
 
     fn reaches(&self, from: usize, to: usize) -> bool {
         let pair = (from % 3, to % 3);
-        !self.nodes[to].frozen
+        !self.nodes[to].is_suspended
             && !self.cuts.contains(&pair)
             && !self.cuts.contains(&(pair.1, pair.0))
     }
@@ -82,7 +82,7 @@
     fn step(&mut self) {
         self.now += STEP;
         for index in 0..self.nodes.len() {
-            if self.nodes[index].frozen {
+            if self.nodes[index].is_suspended {
                 continue;
             }
             let events = self.nodes[index].members.tick(self.now);
@@ -175,12 +175,12 @@
         "[data_centres.here]\nregion = \"r\"\n[servers.s1]\ndata_centre = \"here\"\nmodel = \"m\"\naddress = \"127.0.0.1:1\"\nslots = {version}\n"
     );
     let bundle = ConfigBundle::new(inventory, "[tiers.t]\nrank = 1\n");
-    let text = serde_json::to_string(&bundle).expect("packs");
+    let text = serde_json::to_string(&bundle).expect("a serializable bundle");
     (bundle, text)
 }
 
 #[test]
-fn all_nodes_find_each_other() {
+fn all_nodes_discover_each_other() {
     let mut net = FakeNet::new(9);
     net.run(Duration::from_secs(5));
     for node in &net.nodes {
@@ -190,9 +190,9 @@
 
 // Guards against nodes that stay unknown: sixty nodes are more than one message carries. Sent in the order
 // of names, the last digests were hardly ever relayed, and a third of the nodes stayed unknown to the rest:
-// their callers' demand and their work on servers counted nowhere.
+// their callers' demand and their requests in flight on servers were not counted.
 #[test]
-fn last_names_are_relayed_like_the_first() {
+fn digests_are_relayed_regardless_of_name_order() {
     let mut net = FakeNet::new(60);
     net.run(Duration::from_secs(20));
     for node in &net.nodes {
@@ -201,14 +201,14 @@
 }
 
 #[test]
-fn silent_node_is_noticed_and_comes_back() {
+fn unresponsive_node_is_dropped_and_joins_again() {
     let mut net = FakeNet::new(9);
     net.run(Duration::from_secs(5));
-    net.nodes[4].frozen = true;
+    net.nodes[4].is_suspended = true;
     net.nodes[0].events.clear();
     net.run(Duration::from_secs(10));
     assert_eq!(net.nodes[0].members.live_count(), 8);
-    net.nodes[4].frozen = false;
+    net.nodes[4].is_suspended = false;
     net.run(Duration::from_secs(5));
     assert_eq!(net.nodes[0].members.live_count(), 9);
     let expected = [
@@ -218,16 +218,16 @@
     assert_eq!(net.nodes[0].events, expected);
 }
 
-// Guards against a node that drops all others after a suspension: a VM is suspended for ten seconds and then
-// all others look silent to it. Dropping them would make it take the whole of every workspace's limit, and
-// requests would overload the servers.
+// Guards against a node that drops all others after a suspension: its VM is suspended for ten seconds, and
+// then all others look unresponsive to it, although it was the one that was suspended. Without them it would
+// use the whole limit of every workspace, and requests would overload the servers.
 #[test]
 fn resumed_node_keeps_others_while_its_view_is_stale() {
     let mut net = FakeNet::new(6);
     net.run(Duration::from_secs(5));
-    net.nodes[3].frozen = true;
+    net.nodes[3].is_suspended = true;
     net.run(Duration::from_secs(10));
-    net.nodes[3].frozen = false;
+    net.nodes[3].is_suspended = false;
     net.nodes[3].events.clear();
     net.step();
     let node = &net.nodes[3];
@@ -247,7 +247,7 @@
     let mut net = FakeNet::new(3);
     net.run(Duration::from_secs(3));
     let old = net.nodes[1].members.own().clone();
-    net.nodes[1].frozen = true;
+    net.nodes[1].is_suspended = true;
     net.run(Duration::from_secs(10));
     assert_eq!(net.nodes[0].members.live_count(), 2);
     let now = net.now;
@@ -255,10 +255,11 @@
     assert_eq!(net.nodes[0].members.live_count(), 2);
 }
 
-// Guards against sharing out what a silent node still uses: the platform lists a node from which nothing is
-// received, and which may go on serving while it is cut off. Limits and slots are split as if it did.
+// Guards against giving the share of an unresponsive node to others: the platform lists a node from which
+// nothing is received, and which may go on serving while it is cut off. Limits and slots are split as if it
+// did.
 #[test]
-fn listed_node_that_is_silent_still_has_its_share() {
+fn listed_node_that_is_unresponsive_keeps_its_share() {
     let mut net = FakeNet::new(2);
     net.run(Duration::from_secs(2));
     let listed = |node: &str, leaving| ListedNode {
@@ -281,10 +282,11 @@
     assert!(sharing["dc2"].has_unresponsive && !sharing["dc0"].has_unresponsive);
 }
 
-// Guards against an old configuration where a data centre is cut off from the platform but not from its
-// neighbours: its nodes get a change from their peers and serve by the new rules.
+// Guards against nodes that stay on an old configuration: their data centre is cut off from the platform but
+// not from the other data centres while a change is applied. They get it from their peers and serve by the
+// new rules.
 #[test]
-fn data_centre_without_the_platform_follows_its_neighbours() {
+fn data_centre_without_the_platform_gets_changes_from_peers() {
     let mut net = FakeNet::new(9);
     net.publish(1);
     net.run(Duration::from_secs(5));
@@ -297,7 +299,7 @@
 // A data centre is cut off from everything while a change is applied. It continues with the old version, and
 // adopts the new one once it is connected again.
 #[test]
-fn data_centre_cut_from_everything_keeps_its_version_and_catches_up() {
+fn isolated_data_centre_keeps_its_version_and_catches_up() {
     let mut net = FakeNet::new(9);
     net.publish(1);
     net.run(Duration::from_secs(5));
@@ -313,10 +315,10 @@
     assert_eq!(net.nodes[2].members.live_count(), 9);
 }
 
-// Guards against a configuration that goes back when the store answers with an old head, as a lagging
+// Guards against reverting to an old configuration when the store answers with an old head, as a lagging
 // replica does.
 #[test]
-fn stale_head_does_not_revert() {
+fn stale_head_does_not_revert_the_configuration() {
     let mut net = FakeNet::new(3);
     net.publish(2);
     net.run(Duration::from_secs(3));
@@ -328,7 +330,7 @@
 // A VM is replaced while the platform is down, and at first reaches only a peer with an old version. It
 // serves by that one, and upgrades when it reaches a peer with a newer one.
 #[test]
-fn new_node_takes_the_highest_version_that_it_meets() {
+fn new_node_adopts_the_highest_version_of_its_peers() {
     let mut follower = ConfigFollower::new();
     let now = Instant::now();
     assert_eq!(
@@ -353,7 +355,7 @@
 }
 
 #[test]
-fn bundle_that_makes_no_sense_is_rejected_and_the_old_one_stays() {
+fn invalid_bundle_is_rejected_and_the_old_one_stays_active() {
     let mut follower = ConfigFollower::new();
     follower.apply_bundle(1, bundle(1).1, None);
     for text in ["<html>", "{}", "{\"inventory\":\"[\",\"rules\":\"\"}"] {
@@ -369,7 +371,7 @@
 }
 
 #[test]
-fn patch_that_does_not_fit_is_followed_by_a_question() {
+fn patch_of_another_version_is_followed_by_a_bundle_request() {
     let mut follower = ConfigFollower::new();
     follower.apply_bundle(1, bundle(1).1, None);
     let patch = plumgate::wire::TextPatch::between(&bundle(2).1, &bundle(3).1);
@@ -387,7 +389,7 @@
 quickcheck! {
     // After partitions, outages, suspensions and changes in any order: no node's version ever decreases, and
     // once all faults are over all nodes have the newest.
-    fn versions_only_go_up_and_all_arrive(schedule: Vec<(u8, u8)>) -> bool {
+    fn versions_never_decrease_and_all_nodes_converge(schedule: Vec<(u8, u8)>) -> bool {
         let mut net = FakeNet::new(6);
         net.publish(1);
         net.run(Duration::from_secs(3));
@@ -400,7 +402,7 @@
                 1 => net.cuts.clear(),
                 2 => { net.without_platform.insert(which); }
                 3 => net.without_platform.clear(),
-                4 => net.nodes[which].frozen = !net.nodes[which].frozen,
+                4 => net.nodes[which].is_suspended = !net.nodes[which].is_suspended,
                 _ => { version += 1; net.publish(version); }
             }
             net.run(Duration::from_millis(1500));
@@ -412,7 +414,7 @@
         }
         net.cuts.clear();
         net.without_platform.clear();
-        net.nodes.iter_mut().for_each(|node| node.frozen = false);
+        net.nodes.iter_mut().for_each(|node| node.is_suspended = false);
         net.run(Duration::from_secs(20));
         net.versions() == vec![version; 6]
     }
--- a/crates/plumgate/tests/placement.rs
+++ b/crates/plumgate/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which orders engines get to load and unload models.
+//! Orders to engines to load and unload models.
 
 mod support;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn engine_that_said_nothing_lately_gets_no_order() {
+fn engine_without_a_recent_report_gets_no_order() {
     let config = config(1, 1);
     let mut planner = PlacementPlanner::new("here", "m");
     let now = Instant::now();
@@ -24,10 +24,10 @@
     );
 }
 
-// Guards against an engine without any model, which serves nobody: the wanted model is loaded before the old
-// one is unloaded.
+// Guards against an engine without any model, which can serve no request: the wanted model is loaded before
+// the old one is unloaded.
 #[test]
-fn old_model_goes_after_the_wanted_one_is_there() {
+fn old_model_is_unloaded_after_the_wanted_one_is_loaded() {
     let config = config(1, 1);
     let mut planner = PlacementPlanner::new("here", "m");
     let mut now = Instant::now();
@@ -48,39 +48,39 @@
     assert_eq!(planner.next_order(&config, now), None);
 }
 
-// Guards against an order that is lost on its way: the engine still reports that it lacks the model, and the
+// Guards against an order that is lost in transit: the engine still reports that it lacks the model, and the
 // order is repeated after a while. The order states the wanted result, so that receiving it twice does no
 // harm.
 #[test]
-fn lost_order_is_given_again() {
+fn lost_order_is_repeated() {
     let config = config(1, 1);
     let mut planner = PlacementPlanner::new("here", "m");
     let start = Instant::now();
-    let mut given = 0;
+    let mut orders = 0;
     for second in 0..40 {
         let now = start + Duration::from_secs(second);
         planner.observe("s1".into(), models(&[]), now);
-        given += u32::from(planner.next_order(&config, now).is_some());
+        orders += u32::from(planner.next_order(&config, now).is_some());
     }
-    assert_eq!(given, 3);
+    assert_eq!(orders, 3);
 }
 
 #[test]
-fn loads_keep_their_pace() {
+fn loads_are_rate_limited() {
     let config = config(7, 1);
     let mut planner = PlacementPlanner::new("here", "m");
     let start = Instant::now();
-    let mut given = Vec::new();
+    let mut orders = Vec::new();
     for second in 0..60 {
         let now = start + Duration::from_secs(second);
         for server in ["s1", "s3", "s5", "s7"] {
-            let has = given.iter().any(|(held, _)| held == server);
+            let has = orders.iter().any(|(ordered, _)| ordered == server);
             planner.observe(server.into(), models(if has { &["m"] } else { &[] }), now);
         }
         if let Some(order) = planner.next_order(&config, now) {
-            given.push((order.server.to_string(), second));
+            orders.push((order.server.to_string(), second));
         }
     }
-    let times: Vec<u64> = given.iter().map(|(_, second)| *second).collect();
+    let times: Vec<u64> = orders.iter().map(|(_, second)| *second).collect();
     assert_eq!(times, [0, 10, 20, 30], "six a minute by default");
 }
--- a/crates/plumgate/tests/route.rs
+++ b/crates/plumgate/tests/route.rs
@@ -1,4 +1,4 @@
-//! The choice of a server.
+//! Choice of a server for a request.
 
 mod support;
 
@@ -12,17 +12,17 @@
 use support::{Bench, RULES, config, inventory, started};
 
 fn table(servers: usize, slots: u32) -> RouteTable {
-    table_of("own", servers, slots)
+    table_of_node("own", servers, slots)
 }
 
-fn table_of(node: &str, servers: usize, slots: u32) -> RouteTable {
+fn table_of_node(node: &str, servers: usize, slots: u32) -> RouteTable {
     let options = RouteOptions::new("here").with_node(node).with_seed(5);
     let mut table = RouteTable::new(options);
     table.set_config(config(servers, slots));
     table
 }
 
-/// The nodes of the data centre "here".
+/// Returns the nodes of the data centre "here".
 fn nodes(names: &[&str], has_unresponsive: bool) -> SharingNodes {
     let nodes = names.iter().map(|name| (*name).into()).collect();
     SharingNodes::from([(
@@ -34,7 +34,7 @@
     )])
 }
 
-/// Places requests that do not end, and returns their number by server.
+/// Places requests that do not finish, and returns their number by server.
 fn spread(table: &mut RouteTable, count: usize, now: Instant) -> BTreeMap<String, u32> {
     let mut bench = Bench::new(1, 1);
     let mut spread = BTreeMap::new();
@@ -63,7 +63,7 @@
 // Guards against sending to a server that became five times slower, where callers would wait: the node's own
 // observations show it after a few answers, and new requests go elsewhere.
 #[test]
-fn straggler_gets_less() {
+fn straggler_gets_fewer_requests() {
     let mut table = table(3, 8);
     let now = Instant::now();
     for _ in 0..10 {
@@ -93,8 +93,8 @@
     assert_eq!(spread.values().sum::<u32>(), 6, "{spread:?}");
 }
 
-// Guards against an idle server that two nodes both leave unused: each learns late of the other's work and
-// counts old work as still running. Each keeps its equal share whatever peers report.
+// Guards against an idle server that two nodes both leave unused: each learns late of the other's requests and
+// counts finished ones as still running. Each keeps its equal share whatever peers report.
 #[test]
 fn equal_share_stays_usable_whatever_peers_report() {
     let mut table = table(1, 4);
@@ -120,9 +120,9 @@
     assert_eq!(spread(&mut table, 9, now + Duration::from_secs(6))["s1"], 4);
 }
 
-// Guards against an older report that arrives after a newer one and states load which has ended since.
+// Guards against an older report that arrives after a newer one and states requests that have ended since.
 #[test]
-fn report_that_was_overtaken_is_dropped() {
+fn older_report_that_arrives_late_is_dropped() {
     let mut table = table(1, 4);
     let now = Instant::now() + Duration::from_secs(60);
     let report = |running, age_ms| LoadReport {
@@ -137,10 +137,10 @@
     assert_eq!(reported, Some(1));
 }
 
-// Guards against sending to a server that refuses connections: three failures in a row keep new work from
-// it, and after a pause one request tries it, not all that wait.
+// Guards against sending to a server that refuses connections: after three consecutive failures it gets no
+// requests, and after a pause one request probes it, not all that wait.
 #[test]
-fn server_that_refuses_connections_is_left_alone_then_tried_by_one() {
+fn server_that_refuses_connections_is_avoided_then_probed_by_one_request() {
     let mut table = table(1, 4);
     let now = Instant::now();
     for _ in 0..3 {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn leaving_server_gets_nothing_by_any_source() {
+fn server_that_any_source_marks_as_leaving_gets_no_requests() {
     let now = Instant::now();
     for source in [LeavingSource::Platform, LeavingSource::Peer] {
         let mut table = table(1, 4);
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn slot_is_free_again_after_every_kind_of_end() {
+fn slot_is_released_after_every_outcome() {
     let mut bench = Bench::new(1, 1);
     for end in [
         AttemptOutcome::Abandoned,
@@ -262,8 +262,8 @@
     assert_eq!(spread["s3"], 4, "{spread:?}");
 }
 
-// Guards against a server that stays idle for good: it recovers while it gets no work, so its old slowness
-// must be forgotten.
+// Guards against a recovered server that stays idle forever: it gets no requests that would show its new
+// speed, so its old slowness must be forgotten.
 #[test]
 fn straggler_is_tried_again_after_a_while() {
     let mut table = table(3, 8);
@@ -330,7 +330,7 @@
     }];
     let mut highest = 0;
     for name in names {
-        let mut table = table_of(name, 1, 4);
+        let mut table = table_of_node(name, 1, 4);
         table.set_nodes(nodes(&names, false));
         table.apply_peer(&"all".into(), &full, now);
         highest += spread(&mut table, 9, now).values().sum::<u32>();
@@ -346,14 +346,14 @@
 #[test]
 fn lower_tier_keeps_to_its_equal_share_while_peers_are_silent() {
     let names = ["n1", "n2"];
-    let mut table = table_of("n1", 1, 4);
+    let mut table = table_of_node("n1", 1, 4);
     table.set_nodes(nodes(&names, true));
     let now = Instant::now();
     let dossier = Bench::new(1, 1).ticket("dossier");
-    let mut held = 0;
+    let mut started_count = 0;
     while let Some(choice) = table.choose(&dossier, 3, now) {
         table.start(&choice.server.id, &dossier, now);
-        held += 1;
+        started_count += 1;
     }
-    assert_eq!(held, 2);
+    assert_eq!(started_count, 2);
 }
