--- a/crates/plumgate/examples/limit_costs.rs
+++ b/crates/plumgate/examples/limit_costs.rs
@@ -18,8 +18,9 @@
 /// Fleets: data centres, nodes in each.
 const FLEETS: [(usize, usize); 4] = [(3, 3), (3, 26), (5, 39), (15, 111)];
 /// Numbers of limited servers.
-const LIMITED: [usize; 3] = [1, 30, 500];
+const LIMITED_SERVERS: [usize; 3] = [1, 30, 500];
 
+/// A node whose rounds and messages are measured.
 struct CostNode {
     exchange: LoadExchange,
     limits: ServerLimits,
@@ -41,7 +42,8 @@
         }
     }
 
-    fn limit(&mut self, servers: usize) {
+    /// Records a limit of each of some servers.
+    fn record_limits(&mut self, servers: usize) {
         for number in 0..servers {
             let server = server_entry(&format!("server-{number}"));
             let observation = LimitObservation {
@@ -91,6 +93,7 @@
     }
 }
 
+/// Returns the microseconds of each of `count` operations.
 fn micros(time: Duration, count: u32) -> f64 {
     time.as_secs_f64() * 1e6 / f64::from(count)
 }
@@ -112,22 +115,22 @@
 fn main() {
     for (data_centres, nodes_each) in FLEETS {
         let entries = node_entries(data_centres, nodes_each);
-        for limited in LIMITED {
+        for limited in LIMITED_SERVERS {
             let mut nodes: Vec<CostNode> = entries
                 .iter()
                 .take(data_centres * 2)
                 .map(|own| CostNode::new(own, &entries))
                 .collect();
             for node in &mut nodes {
-                node.limit(limited);
+                node.record_limits(limited);
                 node.tick(1_900);
             }
-            let collects = |node: &CostNode| node.exchange.is_collector();
-            let (mut most, mut member) = ((0.0, 0.0), (0.0, 0.0));
+            let is_collector = |node: &CostNode| node.exchange.is_collector();
+            let (mut collector, mut member) = ((0.0, 0.0), (0.0, 0.0));
             for node in &mut nodes {
                 let cost = measure_rounds(node);
-                if collects(node) {
-                    most = cost;
+                if is_collector(node) {
+                    collector = cost;
                 } else {
                     member = cost;
                 }
@@ -137,23 +140,23 @@
                 data_centres * nodes_each,
                 member.0,
                 member.1,
-                most.0,
-                most.1
+                collector.0,
+                collector.1
             );
         }
     }
-    request_and_response();
+    measure_permit_request();
 }
 
 /// Measures one permit request and its response between two nodes of a data centre.
-fn request_and_response() {
+fn measure_permit_request() {
     let entries = node_entries(1, 2);
     let mut nodes: Vec<CostNode> = entries
         .iter()
         .map(|own| CostNode::new(own, &entries))
         .collect();
     for node in &mut nodes {
-        node.limit(1);
+        node.record_limits(1);
         node.tick(1_900);
         node.run_limit_round(1_900);
     }
@@ -186,5 +189,7 @@
     }
     let each = bytes as f64 / f64::from(count);
     let time = micros(spent, count);
-    println!("ask and answer: {each:.0} bytes {time:.1} us on both nodes, {count} asks");
+    println!(
+        "permit request and response: {each:.0} bytes {time:.1} us on both nodes, {count} requests"
+    );
 }
--- a/crates/plumgate/examples/limit_ways.rs
+++ b/crates/plumgate/examples/limit_ways.rs
@@ -11,13 +11,14 @@
 
 use limit_fleet::{FleetShape, LimitChecker, LimitFleet, Micros};
 
-/// Seconds that each fleet runs before the measurement, and during it.
-const WARM_UP: f64 = 3.0;
-const MEASURED: f64 = 20.0;
+/// Seconds that each fleet runs before the measurement.
+const WARM_UP_SECONDS: f64 = 3.0;
+/// Seconds that each fleet is measured.
+const MEASURED_SECONDS: f64 = 20.0;
 /// Time between two rounds in which nodes report their demand to each other.
 const REPORT_INTERVAL: Micros = 100_000;
 /// Number of nodes that send with [`SplitWay::FewSenders`].
-const SENDERS: usize = 5;
+const SENDER_COUNT: usize = 5;
 /// Fleets: data centres, nodes in each, the rate, and the demand as a multiple of it.
 const FLEETS: [(usize, usize, f64, f64); 8] = [
     (3, 2, 1.0, 4.0),
@@ -30,10 +31,10 @@
     (15, 111, 40.0, 4.0),
 ];
 
-/// Ways that need no messages of their own, or only reports of the nodes' demand.
+/// Ways to split the rate that need no messages, or only reports of the nodes' demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SplitWay {
-    /// Each node keeps to the whole rate.
+    /// Each node uses the full rate.
     Alone,
     /// Each node has an equal share.
     EqualShares,
@@ -52,12 +53,13 @@
     reported: f64,
 }
 
+/// Runs nodes that split the rate in the given way, and returns the requests that arrived.
 fn run_split(way: SplitWay, nodes: usize, rate: f64, demand: f64) -> LimitChecker {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut buckets = vec![NodeBucket::default(); nodes];
     let mut checker = LimitChecker::default();
     checker.record_limit(Some(rate), 0);
-    let end = ((WARM_UP + MEASURED) * 1e6) as Micros;
+    let end = ((WARM_UP_SECONDS + MEASURED_SECONDS) * 1e6) as Micros;
     let (mut now, mut reported_at) = (0, 0);
     while now < end {
         now += (-(1.0 - rng.f64()).ln() / demand * 1e6) as Micros + 1;
@@ -77,7 +79,7 @@
             SplitWay::EqualShares => 1.0 / nodes as f64,
             SplitWay::SharesByDemand if total > 0.0 => bucket.reported / total,
             SplitWay::SharesByDemand => 0.0,
-            SplitWay::FewSenders if index < SENDERS => 1.0 / SENDERS.min(nodes) as f64,
+            SplitWay::FewSenders if index < SENDER_COUNT => 1.0 / SENDER_COUNT.min(nodes) as f64,
             SplitWay::FewSenders => 0.0,
         };
         let elapsed = (now - bucket.refilled) as f64 / 1e6;
@@ -91,6 +93,7 @@
     checker
 }
 
+/// Prints the excess in the worst window and the used share of the rate.
 fn print(way: &str, nodes: usize, rate: f64, checker: &LimitChecker, from: Micros, to: Micros) {
     let over = checker.worst_window().map_or(0.0, |(over, _, _)| over);
     let used = checker.rate(from, to) / rate;
@@ -102,8 +105,8 @@
         let nodes = data_centres * nodes_each;
         let demand = (rate * demand_factor).max(3.0);
         let (from, to) = (
-            (WARM_UP * 1e6) as Micros,
-            ((WARM_UP + MEASURED) * 1e6) as Micros,
+            (WARM_UP_SECONDS * 1e6) as Micros,
+            ((WARM_UP_SECONDS + MEASURED_SECONDS) * 1e6) as Micros,
         );
         for way in [
             SplitWay::Alone,
@@ -120,9 +123,9 @@
         fleet.run(Duration::from_secs(2));
         let quiet = (fleet.bytes - before) as f64 / 2.0;
         fleet.set_limit(Some(rate));
-        fleet.run(Duration::from_secs_f64(WARM_UP));
+        fleet.run(Duration::from_secs_f64(WARM_UP_SECONDS));
         let (from, before) = (fleet.now, fleet.bytes);
-        fleet.run(Duration::from_secs_f64(MEASURED));
+        fleet.run(Duration::from_secs_f64(MEASURED_SECONDS));
         print(
             "Permits",
             nodes,
@@ -131,7 +134,7 @@
             from,
             fleet.now,
         );
-        let limited = (fleet.bytes - before) as f64 / MEASURED;
+        let limited = (fleet.bytes - before) as f64 / MEASURED_SECONDS;
         println!(
             "way=Permits nodes={nodes} rate={rate} bytes_a_second_and_node: {:.0} without limits, {:.0} with one",
             quiet / nodes as f64,
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -1,4 +1,4 @@
-//! Measures what the decisions cost by size of the fleet: processor time, bytes and memory.
+//! Measures processor time, bytes and memory of the decisions by size of the fleet.
 //!
 //! `scripts/slopes` runs it; `docs/CAPACITY.md` multiplies what it prints.
 
@@ -20,7 +20,7 @@
 
 /// Times that each figure is measured; the median is printed.
 const RUNS: usize = 5;
-/// Slots of each server: eight accelerators with eight answers each.
+/// Slots of each server: eight accelerators with eight concurrent requests each.
 const SLOTS: u32 = 64;
 
 /// The size of a fleet, as one node sees it.
@@ -131,7 +131,8 @@
         inventory(size).replacen("slots = 64", "slots = 63", 1),
         RULES,
     );
-    let texts = [&old, &new].map(|bundle| serde_json::to_string(bundle).expect("packs"));
+    let texts =
+        [&old, &new].map(|bundle| serde_json::to_string(bundle).expect("a serializable bundle"));
     let patch = TextPatch::between(&texts[0], &texts[1]);
     let digest = new.digest();
     let mut dispatcher = Dispatcher::new(DispatchOptions::new(RouteOptions::new("dc-00")));
@@ -142,7 +143,7 @@
         let start = Instant::now();
         let action = follower.apply_patch("peer", 1, 2, &patch, &digest);
         let Some(FollowAction::Adopt { config, .. }) = action else {
-            panic!("the patch fits")
+            panic!("the patch does not apply")
         };
         dispatcher.set_config(config, now);
         start.elapsed()
@@ -177,7 +178,7 @@
     }
 }
 
-/// Measures a request from its arrival to its end, with 832 others in flight as at the target size.
+/// Measures a request from its arrival to its completion, with 832 others in flight as at the target size.
 fn measure_dispatch(size: FleetSize) {
     const IN_FLIGHT: u64 = 832;
     const REQUESTS: u64 = 2_000;
@@ -250,7 +251,7 @@
     )])
 }
 
-/// A digest as full as its limits allow at the target size.
+/// Returns a digest as large as its limits allow at the target size.
 fn full_digest(number: usize) -> NodeDigest {
     let counts = vec![(1, 1), (3, 1)];
     NodeDigest {
@@ -298,7 +299,7 @@
         .collect();
     let mut guards: Vec<ReplayGuard> = (0..nodes).map(|_| ReplayGuard::new()).collect();
     let mut sequences = vec![0_u64; nodes];
-    let (mut bytes, mut messages, mut greeted) = (0_u64, 0_u64, 0_u64);
+    let (mut bytes, mut messages, mut greeting_digests) = (0_u64, 0_u64, 0_u64);
     let mut all_known = None;
     let mut spent = Duration::ZERO;
     let settle = SECONDS / 2;
@@ -326,19 +327,21 @@
                 sent_ms: step * 50,
                 message: PeerMessage::Digests(round.digests),
             };
-            let sealed = key.seal(&envelope).expect("packs");
+            let sealed = key
+                .seal(&envelope)
+                .expect("a message within the size limit");
             let size = sealed.len() as u64 * round.addresses.len() as u64;
             tables[from].record_sent(size, &sent, now);
             for address in &round.addresses {
                 let Some(to) = (0..nodes).find(|to| tables[*to].own().address == *address) else {
                     continue;
                 };
-                let envelope = key.open(&sealed).expect("opens");
+                let envelope = key.open(&sealed).expect("a message sealed with this key");
                 if guards[to].check(&envelope, step * 50).is_ok()
                     && let PeerMessage::Digests(digests) = envelope.message
                 {
                     let known = tables[to].known_digests(&envelope.sender, now);
-                    greeted += known.as_ref().map_or(0, Vec::len) as u64;
+                    greeting_digests += known.as_ref().map_or(0, Vec::len) as u64;
                     tables[to].apply(digests, now);
                     tables[from].apply(known.unwrap_or_default(), now);
                 }
@@ -355,7 +358,7 @@
     let node_seconds = nodes as f64 * (SECONDS - settle) as f64;
     let live: usize = tables.iter().map(MemberTable::live_count).sum();
     println!(
-        "gossip: {nodes} nodes started at once: all known by all after {all_known:?} s, {greeted} digests in greetings"
+        "gossip: {nodes} nodes started at once: all known by all after {all_known:?} s, {greeting_digests} digests in greetings"
     );
     println!(
         "gossip: {nodes} nodes: {:.1} KB/s sent a node (and as much received), {:.1} messages/s, {:.3}% of a core, {:.1} of {nodes} nodes known, round {:?}, counted as gone after {:?}",
@@ -368,6 +371,7 @@
     );
 }
 
+/// Returns a digest of a node in a small fleet.
 fn small_digest(number: usize) -> NodeDigest {
     let mut digest = full_digest(number);
     digest.servers.truncate(18);
--- a/crates/plumgate/tests/lease.rs
+++ b/crates/plumgate/tests/lease.rs
@@ -153,7 +153,7 @@
             match step {
                 Step::Wait(milliseconds) => now += Duration::from_millis(milliseconds.into()),
                 Step::Answered(is_second) => {
-                    act_until_idle(&mut nodes[usize::from(is_second)], &mut store, now);
+                    act_until_idle(&mut nodes[usize::from(is_second)], &mut store, now)
                 }
                 Step::AnswerLost(is_second) | Step::RequestLost(is_second) => {
                     let node = &mut nodes[usize::from(is_second)];
--- a/crates/plumgate/tests/limit_fleet/faults.rs
+++ b/crates/plumgate/tests/limit_fleet/faults.rs
@@ -6,7 +6,7 @@
 use super::{FleetEvent, LimitFleet, ROUND, StatedConditions, micros};
 
 impl LimitFleet {
-    /// Ends a node and starts it again after some time.
+    /// Stops a node and starts it again after `pause`.
     pub(crate) fn restart(&mut self, index: usize, pause: Duration) {
         self.nodes[index].incarnation += 1;
         self.nodes[index].is_down = true;
@@ -14,13 +14,13 @@
         self.schedule(at, FleetEvent::Start(index));
     }
 
-    /// Ends a node for good.
-    pub(crate) fn end(&mut self, index: usize) {
+    /// Stops a node for good.
+    pub(crate) fn stop(&mut self, index: usize) {
         self.nodes[index].incarnation += 1;
         self.nodes[index].is_down = true;
     }
 
-    /// Suspends a node; `stops_clock` says whether its steady clock stops as well.
+    /// Suspends a node; with `stops_clock` its monotonic clock stops as well.
     pub(crate) fn suspend(&mut self, index: usize, pause: Duration, stops_clock: bool) {
         if self.nodes[index].is_down || self.nodes[index].is_suspended {
             return;
@@ -33,7 +33,7 @@
         self.schedule(at, FleetEvent::Resume(index));
     }
 
-    /// Cuts nodes off from all others, but not from the server.
+    /// Cuts nodes off from all other nodes, but not from the server.
     pub(crate) fn cut(&mut self, indexes: &[usize]) {
         for index in indexes {
             self.nodes[*index].is_cut_off = true;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Restarts the server under its id; the nodes learn of it within some time.
+    /// Restarts the server under its id; each node learns of it within `learnt_within`.
     pub(crate) fn restart_server(&mut self, learnt_within: Duration) {
         let start_time = self.server.start_time.unwrap_or(0) + 1;
         self.server.start_time = Some(start_time);
@@ -64,10 +64,11 @@
         }
     }
 
+    /// Resumes a node and schedules the events that were deferred.
     pub(super) fn resume(&mut self, index: usize) {
         self.nodes[index].is_suspended = false;
         let deferred_events = std::mem::take(&mut self.nodes[index].deferred_events);
-        // What was deferred arrives all at once, in any order.
+        // Deferred events arrive almost at once, in any order.
         let mut deferred_events = deferred_events;
         self.rng.shuffle(&mut deferred_events);
         for event in deferred_events {
@@ -76,7 +77,8 @@
         }
     }
 
-    pub(super) fn start_again(&mut self, index: usize) {
+    /// Starts a stopped node with new state.
+    pub(super) fn restart_node(&mut self, index: usize) {
         let offset = self.nodes[index].offset;
         let seed = self.rng.u64(..);
         let incarnation = self.nodes[index].incarnation;
--- a/crates/plumgate/tests/limit_fleet/limit_checker.rs
+++ b/crates/plumgate/tests/limit_fleet/limit_checker.rs
@@ -1,24 +1,24 @@
-//! Checks what the server got, as the server would.
+//! Checks the requests that arrived at the server against the limits that it stated.
 
 use std::time::Duration;
 
 use super::{Micros, micros};
 
-/// The time in which a limit is checked.
+/// Window over which a limit is checked.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests in a window that are allowed beyond the limit's.
+/// Requests that a window may hold beyond the limit.
 const EXTRA: f64 = 5.0;
-/// Time until all nodes must keep to a limit, from when it is stated and from a node's start on.
+/// Time that a node has to learn and apply a limit, from when it is stated and from the node's start.
 const GRACE_TIME: Duration = Duration::from_secs(3);
 
-/// A limit from some time on.
+/// A limit and the time from which it applies.
 #[derive(Clone, Copy, Debug)]
 struct StatedLimit {
     from: Micros,
     rate: Option<f64>,
 }
 
-/// One arrival, and when the node started that sent it.
+/// The arrival of a request, and when the node that sent it started.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Micros,
@@ -46,8 +46,8 @@
         self.demands.push(now);
     }
 
-    /// Returns the worst window: by how many requests it exceeds its limit and five, where it begins, and
-    /// how many it holds.
+    /// Returns the worst window: by how many requests it exceeds what is allowed, when it begins, and how many
+    /// it holds.
     pub(crate) fn worst_window(&self) -> Option<(f64, Micros, usize)> {
         let windows = self
             .limits
@@ -66,12 +66,12 @@
     }
 
     fn worst_between(&self, begin: Micros, end: Micros, rate: f64) -> Option<(f64, Micros, usize)> {
-        let judged = self.arrivals.iter().filter(|arrival| {
+        let checked = self.arrivals.iter().filter(|arrival| {
             let is_known =
                 arrival.started == 0 || arrival.at >= arrival.started + micros(GRACE_TIME);
             is_known && (begin..end).contains(&arrival.at)
         });
-        let times: Vec<Micros> = judged.map(|arrival| arrival.at).collect();
+        let times: Vec<Micros> = checked.map(|arrival| arrival.at).collect();
         let allowed = rate * WINDOW.as_secs_f64() + EXTRA;
         let mut first = 0;
         let mut worst: Option<(f64, Micros, usize)> = None;
@@ -88,13 +88,13 @@
         worst
     }
 
-    /// Returns the share of the callers' requests in a time that arrived.
+    /// Returns the share of the callers' requests between two times that arrived at the server.
     pub(crate) fn served_share(&self, from: Micros, to: Micros) -> f64 {
         let demands = self.demands.iter().filter(|at| (from..to).contains(*at));
         self.rate(from, to) * ((to - from) as f64 / 1e6) / demands.count() as f64
     }
 
-    /// Returns the requests a second that arrived in a time.
+    /// Returns the requests a second that arrived at the server between two times.
     pub(crate) fn rate(&self, from: Micros, to: Micros) -> f64 {
         let arrivals = self
             .arrivals
--- a/crates/plumgate/tests/limit_fleet/mod.rs
+++ b/crates/plumgate/tests/limit_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of decision states before one server that states limits, under messages that are late, lost,
-//! repeated or reordered, and nodes that end, restart, are suspended or are cut off.
+//! A simulated fleet of nodes that send to one server, which states limits: messages are late, lost, repeated
+//! or reordered, and nodes stop, restart, are suspended or are cut off.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 mod faults;
@@ -35,8 +35,9 @@
     pub(crate) nodes_each: usize,
     /// Requests a second that callers send to all nodes together.
     pub(crate) demand: f64,
-    /// Share of messages that are lost, and of those that arrive twice.
+    /// Share of messages that are lost.
     pub(crate) lost: f64,
+    /// Share of messages that arrive twice.
     pub(crate) repeated: f64,
     /// Share of messages that arrive up to two seconds late.
     pub(crate) late: f64,
@@ -57,12 +58,12 @@
     }
 }
 
-/// What the server states in its answers.
+/// Conditions that the server states in its answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StatedConditions {
     pub(crate) limit: Option<f64>,
     pub(crate) is_leaving: bool,
-    /// The rest that it asks for when it refuses requests; none while it accepts them.
+    /// The rest that the server asks for when it refuses requests; none while it accepts them.
     pub(crate) rest: Option<Duration>,
 }
 
@@ -75,7 +76,7 @@
     Packet(SocketAddr, SocketAddr, Vec<u8>),
     /// A caller's request arrives at some node.
     Caller,
-    /// A node sends a request, if it still may.
+    /// A node sends a request, if that is still allowed.
     Send(usize, u32, node::PermittedRequest),
     /// An answer arrives at the node that sent the request.
     Answer(usize, u32, FleetAnswer),
@@ -87,7 +88,7 @@
     PermitTimeout(usize, u32, u64),
     /// A suspended node resumes.
     Resume(usize),
-    /// A node starts again.
+    /// A stopped node starts again.
     Start(usize),
 }
 
@@ -98,9 +99,9 @@
     pub(crate) limit_checker: LimitChecker,
     pub(crate) server: ServerEntry,
     pub(crate) notice_checker: NoticeChecker,
-    /// What the server states of itself.
+    /// Conditions that the server currently states.
     pub(crate) stated: StatedConditions,
-    /// Bytes that nodes sent, about limits and all else.
+    /// Bytes of all messages that nodes sent.
     pub(crate) bytes: u64,
     nodes: Vec<FleetNode>,
     /// Pairs of sender and receiver between which messages are dropped.
@@ -113,7 +114,7 @@
     rng: fastrand::Rng,
 }
 
-/// An event that does not count in the order.
+/// An event that is ignored when queue entries are compared.
 #[derive(Debug)]
 struct UnorderedEvent(FleetEvent);
 
@@ -175,7 +176,7 @@
             let at = fleet.rng.u64(0..ROUND);
             fleet.schedule(at, FleetEvent::Round(index));
         }
-        fleet.next_caller();
+        fleet.schedule_caller();
         fleet
     }
 
@@ -199,13 +200,13 @@
         self.now = end;
     }
 
-    /// Makes the server state a limit, or none any more.
+    /// Makes the server state a limit, or none.
     pub(crate) fn set_limit(&mut self, limit: Option<f64>) {
         self.stated.limit = limit;
         self.limit_checker.record_limit(limit, self.now);
     }
 
-    /// Whether a node regards the server as limited.
+    /// Returns whether a node applies a limit of the server.
     pub(crate) fn knows_limit(&self, index: usize) -> bool {
         self.nodes[index]
             .statements
@@ -214,7 +215,7 @@
             .is_some()
     }
 
-    /// Whether a node knows that the server leaves.
+    /// Returns whether a node knows that the server leaves.
     pub(crate) fn knows_leaving(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         let notices = &node.statements.notices;
@@ -236,7 +237,8 @@
             .push(Reverse((at, self.event_count, UnorderedEvent(event))));
     }
 
-    fn next_caller(&mut self) {
+    /// Schedules the next request of a caller.
+    fn schedule_caller(&mut self) {
         if self.shape.demand <= 0.0 {
             return;
         }
@@ -269,7 +271,7 @@
             FleetEvent::Packet(from, to, bytes) => self.receive(from, to, &bytes),
             FleetEvent::Caller => {
                 let index = self.rng.usize(0..self.nodes.len());
-                self.next_caller();
+                self.schedule_caller();
                 self.on_call(index);
             }
             FleetEvent::Send(index, incarnation, request) => self.send(index, incarnation, request),
@@ -294,7 +296,7 @@
                 self.give_up(index, incarnation, request_id)
             }
             FleetEvent::Resume(index) => self.resume(index),
-            FleetEvent::Start(index) => self.start_again(index),
+            FleetEvent::Start(index) => self.restart_node(index),
         }
     }
 
@@ -361,9 +363,9 @@
                 let packets = self.nodes[index].take_requests(now);
                 self.send_all(index, packets);
                 let incarnation = self.nodes[index].incarnation;
-                for again in [35_000, 70_000] {
+                for delay in [35_000, 70_000] {
                     self.schedule(
-                        now + again,
+                        now + delay,
                         FleetEvent::ResendPermitRequest(index, incarnation, request_id),
                     );
                 }
@@ -376,7 +378,7 @@
         }
     }
 
-    /// Opens a connection; the request is sent after that.
+    /// Opens a connection, over which the request is then sent.
     fn connect(&mut self, index: usize, request: node::PermittedRequest) {
         let pause = if self.rng.f64() < 0.1 {
             self.rng.u64(1_000..200_000)
@@ -443,7 +445,7 @@
     }
 }
 
-/// Converts a time to microseconds.
+/// Converts a duration to microseconds.
 pub(crate) fn micros(time: Duration) -> Micros {
-    u64::try_from(time.as_micros()).expect("a short time")
+    u64::try_from(time.as_micros()).expect("a short duration")
 }
--- a/crates/plumgate/tests/limit_fleet/node.rs
+++ b/crates/plumgate/tests/limit_fleet/node.rs
@@ -1,4 +1,4 @@
-//! One node of the fleet: its decision states and its clocks.
+//! One node of the fleet: its state about the server and its clocks.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,8 +11,8 @@
 
 use super::{FleetEvent, Micros, UNIX_START_MS};
 
-/// How long a server serves on once it has stated that it leaves.
-const DRAIN: Duration = Duration::from_secs(2);
+/// Time for which a server still serves after it stated that it leaves.
+const DRAIN_TIME: Duration = Duration::from_secs(2);
 
 /// An answer of the server.
 #[derive(Clone, Debug)]
@@ -32,14 +32,14 @@
     permit: Option<SendPermit>,
 }
 
-/// The decision on a caller's request.
+/// The decision about a caller's request.
 pub(crate) enum RequestDecision {
     Send(PermittedRequest),
     Wait(u64),
     Refused,
 }
 
-/// One node with its decision states.
+/// One node of the fleet.
 pub(crate) struct FleetNode {
     pub(crate) statements: ServerStatements,
     /// The server, as this node knows it.
@@ -50,9 +50,9 @@
     pub(crate) is_down: bool,
     pub(crate) is_cut_off: bool,
     pub(crate) is_suspended: bool,
-    /// Events that arrived while it was suspended.
+    /// Events that arrived while the node was suspended.
     pub(crate) deferred_events: Vec<FleetEvent>,
-    /// How long its steady clock was stopped.
+    /// How long the node's monotonic clock was stopped.
     pub(crate) stopped_time: Duration,
     exchange: LoadExchange,
     sync_state: SyncState,
@@ -69,7 +69,7 @@
     ) -> Self {
         let mut exchange = LoadExchange::new(own.clone());
         exchange.set_nodes(entries.to_vec());
-        let mut statements = ServerStatements::new(true, seed, DRAIN);
+        let mut statements = ServerStatements::new(true, seed, DRAIN_TIME);
         statements.set_config(&GatewayConfig::default());
         Self {
             statements,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The clock that includes suspension.
+    /// Returns the time of the clock that includes suspension.
     pub(crate) fn boot(&self, now: Micros) -> Duration {
         self.offset + Duration::from_micros(now)
     }
@@ -154,7 +154,7 @@
         self.statements.limits.take_requests(&self.exchange, moment)
     }
 
-    /// Takes the requests whose permit requests were answered and which may be sent.
+    /// Returns the requests whose permit requests were answered and which may be sent.
     pub(crate) fn take_permitted(&mut self, now: Micros) -> Vec<PermittedRequest> {
         let boot = self.boot(now);
         let mut requests = Vec::new();
@@ -183,18 +183,18 @@
         }
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent now; returns its permit to the table if not.
     pub(crate) fn may_send(&mut self, request: PermittedRequest, now: Micros) -> bool {
         let send = SendContext {
             now: self.boot(now),
             permit: request.permit.as_ref(),
             is_last_resort: false,
         };
-        let may = self.statements.check(&self.server, send).is_ok();
-        if let Some(permit) = request.permit.filter(|_| !may) {
+        let is_allowed = self.statements.check(&self.server, send).is_ok();
+        if let Some(permit) = request.permit.filter(|_| !is_allowed) {
             self.statements.limits.return_permit(permit);
         }
-        may
+        is_allowed
     }
 
     /// Handles the head of an answer.
--- a/crates/plumgate/tests/limit_fleet/notice_checker.rs
+++ b/crates/plumgate/tests/limit_fleet/notice_checker.rs
@@ -1,4 +1,4 @@
-//! Checks what a node sends to the server after the server stated to it that it leaves or wants a rest.
+//! Checks the requests that a node sends after the server stated to it that it leaves or wants a rest.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,24 @@
 use super::node::FleetAnswer;
 use super::{Micros, micros};
 
-/// What one incarnation of the server stated to one node.
+/// Notices of one incarnation of the server to one node.
 #[derive(Debug, Default)]
 struct NodeNotices {
     leaves_since: Option<Micros>,
     rests_until: Option<Micros>,
 }
 
-/// What the server stated to each node, and the requests that arrived all the same.
+/// Notices of the server to each node, and the requests that violated them.
 #[derive(Debug, Default)]
 pub(crate) struct NoticeChecker {
     stated: BTreeMap<(usize, Option<StartTime>), NodeNotices>,
-    /// When some node first received that the server leaves.
+    /// When a node first received an answer which states that the server leaves.
     first_stated: Option<Micros>,
     /// When a request last arrived at the server.
     last_sent: Option<Micros>,
-    /// Answers that asked a node for a rest, and those that stated that the server leaves.
+    /// Number of answers that asked a node for a rest.
     pub(crate) rests: u64,
+    /// Number of answers that stated that the server leaves.
     pub(crate) leaves: u64,
     pub(crate) violations: Vec<String>,
 }
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Forgets what was stated to a node that restarted and knows nothing.
+    /// Removes the notices to a node that restarted, which has lost its state.
     pub(crate) fn forget(&mut self, index: usize) {
         self.stated.retain(|(node, _), _| *node != index);
     }
--- a/crates/plumgate/tests/server_limits.rs
+++ b/crates/plumgate/tests/server_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that servers state, kept by fleets of many sizes without a network.
+//! Simulated fleets of many sizes keep to the limits that servers state.
 
 mod entries;
 mod limit_fleet;
@@ -14,8 +14,8 @@
     Duration::from_secs_f64(count)
 }
 
-/// Fails if a window holds more than the limit and five.
-fn assert_kept(fleet: &LimitFleet, situation: &str) {
+/// Panics if a window holds more than five requests beyond the limit.
+fn assert_within_limit(fleet: &LimitFleet, situation: &str) {
     if let Some((over, from, count)) = fleet.limit_checker.worst_window() {
         assert!(
             over <= 0.0,
@@ -37,7 +37,7 @@
     let time = (20.0 / rate.max(0.1)).clamp(20.0, 60.0);
     fleet.run(seconds(time));
     let situation = format!("{rate} a second, {} nodes", fleet.node_count());
-    assert_kept(&fleet, &situation);
+    assert_within_limit(&fleet, &situation);
     fleet.limit_checker.rate(from, fleet.now) / rate
 }
 
@@ -59,8 +59,8 @@
     }
 }
 
-/// A fleet of two nodes in each of three data centres whose server has stated a limit for a while.
-fn limited(rate: f64, seed: u64) -> LimitFleet {
+/// Returns a fleet of two nodes in each of three data centres whose server has stated a limit for 6 s.
+fn limited_fleet(rate: f64, seed: u64) -> LimitFleet {
     let mut shape = FleetShape::new(3, 2, (rate * 4.0).max(6.0));
     shape.seed = seed;
     let mut fleet = LimitFleet::new(shape);
@@ -70,7 +70,7 @@
     fleet
 }
 
-/// Returns the share of a limit that is used in the next seconds.
+/// Returns the share of a limit that is used in the next `time` seconds.
 fn used_share(fleet: &mut LimitFleet, rate: f64, time: f64) -> f64 {
     let from = fleet.now;
     fleet.run(seconds(time));
@@ -81,16 +81,16 @@
 #[test]
 fn nodes_that_are_cut_off_take_no_share_of_the_others() {
     for index in 0..6 {
-        let mut fleet = limited(5.0, 20 + index as u64);
+        let mut fleet = limited_fleet(5.0, 20 + index as u64);
         fleet.cut(&[index]);
         let share = used_share(&mut fleet, 5.0, 14.0);
-        assert_kept(&fleet, &format!("node {index} is cut off"));
+        assert_within_limit(&fleet, &format!("node {index} is cut off"));
         // The node that issued the permits is replaced within seconds.
         assert!(share >= 0.6, "node {index} is cut off: {share} used");
         fleet.heal();
         fleet.run(seconds(4.0));
         let share = used_share(&mut fleet, 5.0, 12.0);
-        assert_kept(&fleet, &format!("node {index} was cut off"));
+        assert_within_limit(&fleet, &format!("node {index} was cut off"));
         assert!(share >= MIN_USED_SHARE, "after the cut: {share} used");
     }
 }
@@ -99,25 +99,25 @@
 /// others.
 #[test]
 fn data_centre_that_is_cut_off_goes_on_using_its_servers() {
-    let mut fleet = limited(5.0, 30);
+    let mut fleet = limited_fleet(5.0, 30);
     fleet.cut(&[0, 3]);
     fleet.run(seconds(3.0));
     let share = used_share(&mut fleet, 5.0, 12.0);
-    assert_kept(&fleet, "the server's data centre is cut off");
+    assert_within_limit(&fleet, "the server's data centre is cut off");
     assert!(share >= MIN_USED_SHARE, "{share} used");
 }
 
-/// Guards against a node that is suspended, saves up permits and sends all of it at once when it resumes.
+/// Guards against a suspended node that accumulates permits and uses them all at once when it resumes.
 #[test]
-fn suspended_node_sends_nothing_that_was_saved_up() {
+fn suspended_node_sends_no_burst_when_it_resumes() {
     for index in 0..6 {
         for stops_clock in [false, true] {
-            let mut fleet = limited(5.0, 40 + index as u64);
+            let mut fleet = limited_fleet(5.0, 40 + index as u64);
             for _ in 0..4 {
                 fleet.suspend(index, seconds(3.0), stops_clock);
                 fleet.run(seconds(6.0));
             }
-            assert_kept(
+            assert_within_limit(
                 &fleet,
                 &format!("node {index} was suspended, stops_clock {stops_clock}"),
             );
@@ -125,60 +125,63 @@
     }
 }
 
-/// Guards against a share, or the issuer's role, that stays unused after its node ended.
+/// Guards against a node that stops and whose share of the limit, or role as the issuer, no other takes over.
 #[test]
-fn limit_is_used_again_soon_after_a_node_ended() {
+fn limit_is_used_again_soon_after_a_node_stopped() {
     for index in 0..6 {
-        let mut fleet = limited(5.0, 50 + index as u64);
-        fleet.end(index);
+        let mut fleet = limited_fleet(5.0, 50 + index as u64);
+        fleet.stop(index);
         fleet.run(seconds(5.0));
         let share = used_share(&mut fleet, 5.0, 12.0);
-        assert_kept(&fleet, &format!("node {index} has ended"));
+        assert_within_limit(&fleet, &format!("node {index} has stopped"));
         assert!(
             share >= MIN_USED_SHARE,
-            "node {index} has ended: {share} used"
+            "node {index} has stopped: {share} used"
         );
     }
 }
 
-/// Guards against a flood when all nodes restart, none knows of the limit, and each learns it at the
-/// server's cost.
+/// Guards against a flood when all nodes restart: none knows of the limit, and each learns it only from the
+/// answers to its own requests.
 #[test]
-fn nodes_that_all_start_again_learn_the_limit_from_first_answers() {
-    let mut fleet = limited(5.0, 60);
+fn restarted_nodes_learn_the_limit_from_their_first_answers() {
+    let mut fleet = limited_fleet(5.0, 60);
     for index in 0..6 {
         fleet.restart(index, seconds(1.0));
     }
     fleet.run(seconds(4.0));
     let share = used_share(&mut fleet, 5.0, 12.0);
-    assert_kept(&fleet, "all nodes restarted");
+    assert_within_limit(&fleet, "all nodes restarted");
     assert!(share >= MIN_USED_SHARE, "{share} used");
 }
 
-/// Guards against a server that takes nothing and is then tried by all nodes, or never again.
+/// Guards against a server with a limit of zero that all nodes probe at once, or that none probes again.
 #[test]
-fn end_of_a_limit_of_zero_is_found_without_a_crowd() {
-    let mut fleet = limited(0.0, 70);
+fn end_of_a_limit_of_zero_is_detected_without_a_flood() {
+    let mut fleet = limited_fleet(0.0, 70);
     fleet.run(seconds(30.0));
-    assert_kept(&fleet, "a limit of zero");
+    assert_within_limit(&fleet, "a limit of zero");
     fleet.set_limit(None);
     fleet.run(seconds(12.0));
     let from = fleet.now;
     fleet.run(seconds(10.0));
     let share = fleet.limit_checker.served_share(from, fleet.now);
-    assert!(share > 0.95, "{share} of the demand goes there again");
+    assert!(
+        share > 0.95,
+        "{share} of the demand is served after the limit"
+    );
     assert!((0..6).all(|index| !fleet.knows_limit(index)));
 }
 
-/// Guards against keeping to the old limit after it fell, rose or ended.
+/// Guards against applying the old limit after it was lowered, raised or ended.
 #[test]
-fn limits_that_change_are_followed() {
-    let mut fleet = limited(20.0, 80);
+fn changed_limits_are_applied() {
+    let mut fleet = limited_fleet(20.0, 80);
     for rate in [2.0, 0.3, 10.0, 1.0, 20.0] {
         fleet.set_limit(Some(rate));
         fleet.run(seconds(6.0));
         let share = used_share(&mut fleet, rate, (10.0 / rate).max(12.0));
-        assert_kept(&fleet, &format!("now {rate} a second"));
+        assert_within_limit(&fleet, &format!("now {rate} a second"));
         assert!(share >= MIN_USED_SHARE, "now {rate} a second: {share} used");
     }
     fleet.set_limit(None);
@@ -186,11 +189,11 @@
     assert!((0..6).all(|index| !fleet.knows_limit(index)));
 }
 
-/// Guards against a limit that is stated and ended repeatedly, and then stays for good or floods its server
-/// each time.
+/// Guards against a limit that is stated and ended repeatedly, and then never ends or lets the nodes flood
+/// the server each time.
 #[test]
-fn limit_that_comes_and_goes_every_second_ends_in_the_end() {
-    let mut fleet = limited(2.0, 90);
+fn limit_that_flaps_every_second_ends_after_its_last_statement() {
+    let mut fleet = limited_fleet(2.0, 90);
     for _ in 0..10 {
         fleet.set_limit(None);
         fleet.run(seconds(1.0));
@@ -198,7 +201,7 @@
         fleet.run(seconds(1.0));
     }
     fleet.run(seconds(12.0));
-    assert_kept(&fleet, "the limit was stated and ended repeatedly");
+    assert_within_limit(&fleet, "the limit was stated and ended repeatedly");
     fleet.set_limit(None);
     fleet.run(seconds(8.0));
     assert!((0..6).all(|index| !fleet.knows_limit(index)));
@@ -206,7 +209,7 @@
 
 /// Guards against two nodes that issue the permits of one server at once.
 #[test]
-fn messages_that_are_lost_late_and_repeated_break_no_limit() {
+fn lost_late_and_repeated_messages_break_no_limit() {
     for seed in 0..6 {
         let mut shape = FleetShape::new(3, 2, 20.0);
         shape.seed = seed;
@@ -216,14 +219,14 @@
         fleet.set_limit(Some(5.0));
         fleet.run(seconds(6.0));
         let share = used_share(&mut fleet, 5.0, 15.0);
-        assert_kept(&fleet, &format!("seed {seed}"));
+        assert_within_limit(&fleet, &format!("seed {seed}"));
         assert!(share >= MIN_USED_SHARE, "seed {seed}: {share} used");
     }
 }
 
 /// Guards against a message that arrives twice and takes, or grants, two permits.
 #[test]
-fn messages_that_all_come_twice_break_no_limit() {
+fn duplicated_messages_break_no_limit() {
     let mut shape = FleetShape::new(3, 2, 40.0);
     shape.repeated = 1.0;
     let mut fleet = LimitFleet::new(shape);
@@ -231,13 +234,13 @@
     fleet.set_limit(Some(5.0));
     fleet.run(seconds(6.0));
     let share = used_share(&mut fleet, 5.0, 12.0);
-    assert_kept(&fleet, "all messages arrive twice");
+    assert_within_limit(&fleet, "all messages arrive twice");
     assert!(share >= MIN_USED_SHARE, "{share} used");
 }
 
 /// Guards against nodes that go on reporting a limit to each other which ended long ago.
 #[test]
-fn nothing_is_sent_before_and_long_after_a_limit() {
+fn no_reports_are_sent_before_and_long_after_a_limit() {
     let bytes = |fleet: &mut LimitFleet| {
         let before = fleet.bytes;
         fleet.run(seconds(2.0));
@@ -262,7 +265,7 @@
 /// Guards against two issuers: a node whose partition has healed became the issuer at once, while the
 /// previous one did not receive its messages and continued.
 #[test]
-fn new_issuer_waits_until_the_one_before_can_act_no_more() {
+fn new_issuer_waits_until_the_previous_one_can_no_longer_issue() {
     for index in 0..5 {
         let mut shape = FleetShape::new(1, 5, 160.0);
         shape.seed = 100 + index as u64;
@@ -279,8 +282,11 @@
         for _ in 0..80 {
             fleet.run(seconds(0.1));
             let issuers = fleet.issuers();
-            assert!(issuers.len() <= 1, "{issuers:?} issue, {index} was cut off");
+            assert!(
+                issuers.len() <= 1,
+                "nodes {issuers:?} issue permits, node {index} was cut off"
+            );
         }
-        assert_kept(&fleet, &format!("node {index} was cut off"));
+        assert_within_limit(&fleet, &format!("node {index} was cut off"));
     }
 }
--- a/crates/plumgate/tests/server_limits_random.rs
+++ b/crates/plumgate/tests/server_limits_random.rs
@@ -1,5 +1,5 @@
-//! Random schedules of faults over a fleet before a server that states limits: what the server gets is
-//! checked as the server would.
+//! Random schedules of faults in a simulated fleet whose server states limits: the requests that arrive at the
+//! server are checked.
 
 mod entries;
 mod limit_fleet;
@@ -10,13 +10,15 @@
 
 /// Schedules that are run; `PLUMGATE_SCHEDULES` sets another number.
 const SCHEDULES: u64 = 40;
+/// The same for long schedules.
 const LONG_SCHEDULES: u64 = 8;
 /// Steps of a schedule.
 const STEPS: u32 = 12;
 /// The first seed; `PLUMGATE_SEED` sets another one.
 const FIRST_SEED: u64 = 1;
+/// Limits that the server states, in requests a second.
 const RATES: [f64; 7] = [0.0, 0.3, 1.0, 2.5, 5.0, 20.0, 40.0];
-/// Data centres, and nodes in each.
+/// Fleets: data centres, and nodes in each.
 const SHAPES: [(usize, usize); 5] = [(1, 2), (1, 3), (3, 2), (2, 4), (4, 5)];
 
 fn from_environment(name: &str, default: u64) -> u64 {
@@ -42,7 +44,7 @@
     steps: 25,
 };
 
-/// Runs one short schedule; an error says how the limit was exceeded.
+/// Runs one short schedule; an error describes by how much the limit was exceeded.
 fn run_schedule(seed: u64) -> Result<(), String> {
     run_schedule_of(SHORT, seed)
 }
@@ -157,9 +159,10 @@
     assert_eq!(run_schedule(188), Ok(()));
 }
 
-// Guards against a node that takes two others of its data centre for gone while they are suspended in turn.
+// Guards against a node that no longer counts two others of its data centre as alive while they are suspended
+// in turn.
 #[test]
-fn seed_297_with_one_node_cut_off_from_two_that_stand_still() {
+fn seed_297_with_one_node_cut_off_from_two_suspended_ones() {
     assert_eq!(run_schedule(297), Ok(()));
 }
 
@@ -169,17 +172,17 @@
     assert_eq!(run_schedule(192), Ok(()));
 }
 
-// Guards against a new collector that takes nodes for gone which had never sent it anything, as they
-// followed another collector, and issues permits beside that one.
+// Guards against a new collector that issues permits beside another: it does not count nodes as alive that
+// have never sent it anything, since they follow the other collector.
 #[test]
-fn long_seeds_920493_910284_and_930206_with_a_collector_that_is_new() {
+fn long_seeds_920493_910284_and_930206_with_a_new_collector() {
     for seed in [920_493, 910_284, 930_206] {
         assert_eq!(run_schedule_of(LONG, seed), Ok(()));
     }
 }
 
-// Nodes from which nothing was received for 15 s before a partition count as gone behind it; limits fall to
-// nearly nothing.
+// Nodes from which nothing was received for 15 s before a partition do not count as alive on its other side;
+// limits fall to nearly zero.
 #[test]
 fn long_seeds_900223_910286_920048_and_930032() {
     for seed in [900_223, 910_286, 920_048, 930_032] {
--- a/crates/plumgate/tests/server_notices_random.rs
+++ b/crates/plumgate/tests/server_notices_random.rs
@@ -1,5 +1,5 @@
-//! Random schedules of faults over a fleet before a server that leaves, asks for rests, states limits and
-//! restarts: what the server gets is checked as the server would.
+//! Random schedules of faults in a simulated fleet whose server leaves, asks for rests, states limits and
+//! restarts: the requests that arrive at the server are checked.
 
 mod entries;
 mod limit_fleet;
@@ -14,20 +14,20 @@
 const STEPS: u32 = 14;
 /// The first seed; `PLUMGATE_SEED` sets another one.
 const FIRST_SEED: u64 = 1;
-/// Data centres, and nodes in each.
+/// Fleets: data centres, and nodes in each.
 const SHAPES: [(usize, usize); 5] = [(1, 2), (1, 3), (3, 2), (2, 4), (4, 5)];
-/// Requests a second of each node where the time is measured until nodes receive a notice: by its own
-/// answers a node would learn that a server leaves after a second or later.
-const PER_NODE: f64 = 1.0;
-/// Time within which nodes that receive each other's messages know that a server leaves.
-const KNOWN_WITHIN: Duration = Duration::from_secs(1);
+/// Requests a second of each node where the time until nodes receive a notice is measured: from the answers
+/// to its own requests a node would learn of a leaving server only after a second or later.
+const REQUESTS_PER_NODE: f64 = 1.0;
+/// Maximum time until nodes that receive each other's messages know that a server leaves.
+const MAX_NOTICE_DELAY: Duration = Duration::from_secs(1);
 
 fn from_environment(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Runs one schedule; returns the number of notices that nodes got, and each violation.
+/// Runs one schedule; returns the number of notices that nodes received, and all violations.
 fn run_schedule(seed: u64) -> (u64, Vec<String>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (data_centres, nodes_each) = SHAPES[rng.usize(0..SHAPES.len())];
@@ -94,8 +94,8 @@
     }
 }
 
-/// Guards against a node that sends to a server which stated to it that it leaves or rests, when faults
-/// overlap.
+/// Guards against a node that sends to a server after receiving its notice that it leaves or rests, when
+/// faults overlap.
 #[test]
 fn no_schedule_of_faults_breaks_a_notice() {
     let first = from_environment("PLUMGATE_SEED", FIRST_SEED);
@@ -103,8 +103,8 @@
     let mut notices = 0;
     let mut violations = Vec::new();
     for seed in first..first + count {
-        let (stated, new_violations) = run_schedule(seed);
-        notices += stated;
+        let (received, new_violations) = run_schedule(seed);
+        notices += received;
         violations.extend(new_violations);
     }
     assert!(notices >= count, "{notices} notices in {count} schedules");
@@ -130,15 +130,15 @@
     Duration::from_micros(delay)
 }
 
-/// Guards against a notice that stays with the node that got the answer, or that reaches large fleets late.
+/// Guards against a notice that only the node with the answer knows, or that spreads slowly in large fleets.
 #[test]
 fn all_connected_nodes_know_a_leaving_server_within_a_second() {
     for (data_centres, nodes_each) in [(1, 2), (3, 2), (4, 5), (15, 13)] {
-        let demand = PER_NODE * (data_centres * nodes_each) as f64;
+        let demand = REQUESTS_PER_NODE * (data_centres * nodes_each) as f64;
         let shape = FleetShape::new(data_centres, nodes_each, demand);
         let delay = last_request_delay(shape, 0.0);
         assert!(
-            delay <= KNOWN_WITHIN,
+            delay <= MAX_NOTICE_DELAY,
             "{data_centres} x {nodes_each}: {delay:?}"
         );
     }
@@ -148,17 +148,17 @@
 #[test]
 fn lost_messages_delay_a_notice_by_rounds_only() {
     for seed in 1..=10 {
-        let mut shape = FleetShape::new(3, 4, 12.0 * PER_NODE);
+        let mut shape = FleetShape::new(3, 4, 12.0 * REQUESTS_PER_NODE);
         shape.seed = seed;
         let delay = last_request_delay(shape, 0.1);
-        assert!(delay <= KNOWN_WITHIN, "seed {seed}: {delay:?}");
+        assert!(delay <= MAX_NOTICE_DELAY, "seed {seed}: {delay:?}");
     }
 }
 
-/// Guards against a node that restarts, reads the store by itself, and gets a notice only with the others'
-/// next report, up to half a minute later.
+/// Guards against a node that restarts, reads the store by itself, and receives a notice only with the next
+/// report of the others, up to half a minute later.
 #[test]
-fn node_that_started_again_asks_the_others() {
+fn restarted_node_requests_reports_from_the_others() {
     for seed in 1..=10 {
         let mut shape = FleetShape::new(3, 2, 12.0);
         shape.seed = seed;
