--- a/crates/plumgate/tests/duty_model/mod.rs
+++ b/crates/plumgate/tests/duty_model/mod.rs
@@ -18,18 +18,18 @@
 const START: u64 = 1_767_225_600_000;
 /// Duration of the lease in milliseconds, and of the span in which a former holder must not return.
 pub(crate) const LEASE: u64 = 3_000;
-/// Longest call of the duty API in milliseconds.
+/// Maximum duration of a call of the duty API in milliseconds.
 pub(crate) const MAX_CALL_TIME: u64 = 800;
 /// Length of a window in milliseconds.
 pub(crate) const WINDOW: u64 = 5_000;
 /// A window length that makes calls frequent, in milliseconds.
 pub(crate) const SHORT_WINDOW: u64 = 1_000;
-/// How late a report may come, in milliseconds.
+/// Maximum delay of a report after the end of its window, in milliseconds.
 pub(crate) const LATE: u64 = 10_000;
-/// Share of the steps in which a holder gives an order.
+/// Share of the steps in which a holder sends an order to the duty API.
 const ORDER_SHARE: f64 = 0.5;
-/// How long after a resumption a call is excused, in milliseconds.
-const RESUME_SLACK: u64 = 300;
+/// Time after a node resumes in which its calls are exempt from the checks, in milliseconds.
+const RESUME_EXEMPTION: u64 = 300;
 
 /// Probabilities of faults, each per second.
 #[derive(Clone, Copy, Debug, Default)]
@@ -43,7 +43,7 @@
     pub(crate) slow_duty_api: f64,
     pub(crate) restore: f64,
     pub(crate) change_wanted: f64,
-    /// Whether all nodes want the duties all the time.
+    /// Whether all nodes are wanted as holders all the time.
     pub(crate) all_want: bool,
 }
 
@@ -65,12 +65,14 @@
     }
 }
 
+/// State of the store at one time.
 #[derive(Clone, Debug, Default)]
 struct StoreImage {
     version: u64,
     row: Option<(DutyRow, u64)>,
 }
 
+/// The simulated store, with its earlier states.
 #[derive(Debug, Default)]
 struct ModelStore {
     era: StoreEra,
@@ -91,8 +93,8 @@
 
     fn write(&mut self, write: &DutyWrite, now: u64) -> DutyAnswer {
         let version = self.image.row.as_ref().map_or(0, |(_, version)| *version);
-        let holds = version == write.expected_version;
-        if !holds {
+        let is_current = version == write.expected_version;
+        if !is_current {
             return DutyAnswer::Conflict(self.era);
         }
         self.history.push((now, self.image.clone()));
@@ -113,6 +115,7 @@
     }
 }
 
+/// A call of the store in flight.
 struct StoreCallState {
     call: DutyCall,
     executed_at: u64,
@@ -120,16 +123,18 @@
     answer: Option<DutyAnswer>,
 }
 
+/// A call of the duty API in flight.
 struct ApiCallState {
     credential: DutyCredential,
     /// The report; none for an order.
     report: Option<UsageReport>,
     arrives_at: u64,
     answered_at: Option<u64>,
-    is_excused: bool,
+    is_exempt: bool,
     arrived: bool,
 }
 
+/// A simulated node.
 struct ModelNode {
     machine: usize,
     coordinator: DutyCoordinator,
@@ -150,7 +155,7 @@
     numbers: HashMap<u64, usize>,
     highest: u64,
     calls: Vec<(u64, usize)>,
-    /// Rules that were broken.
+    /// Violations of the rules.
     pub(crate) violations: Vec<String>,
 }
 
@@ -166,7 +171,7 @@
                 "{now}: number {number} used by {owner} and {machine}"
             ));
         }
-        if call.is_excused {
+        if call.is_exempt {
             return;
         }
         if number < self.highest {
@@ -180,14 +185,14 @@
             .iter()
             .rev()
             .take_while(|(at, _)| now - at < LEASE);
-        let mut between = false;
+        let mut has_other = false;
         for (_, other) in recent {
-            if *other == machine && between {
+            if *other == machine && has_other {
                 self.violations
                     .push(format!("{now}: {machine} acts again after another holder"));
                 break;
             }
-            between |= *other != machine;
+            has_other |= *other != machine;
         }
         self.calls.push((now, machine));
     }
@@ -243,12 +248,12 @@
 }
 
 impl DutyFleet {
-    /// Creates a fleet of some nodes, of which the first is wanted.
+    /// Creates a fleet, of which the first node is wanted as the holder.
     pub(crate) fn new(seed: u64, nodes: usize, rates: FaultRates) -> Self {
         Self::with_window(seed, nodes, rates, WINDOW)
     }
 
-    /// Creates a fleet with windows of some length.
+    /// Creates a fleet with windows of `window` milliseconds.
     pub(crate) fn with_window(seed: u64, nodes: usize, rates: FaultRates, window: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = (0..nodes).map(|machine| ModelNode {
@@ -292,14 +297,14 @@
         }
     }
 
-    /// Makes one node wanted, and the others not.
+    /// Makes one node wanted as the holder, and the others not.
     pub(crate) fn want(&mut self, wanted: usize) {
         for (at, node) in self.nodes.iter_mut().enumerate() {
             node.wanted = at == wanted;
         }
     }
 
-    /// Ends a node for a time in milliseconds.
+    /// Crashes a node, which starts again after `time` milliseconds.
     pub(crate) fn kill(&mut self, node: usize, time: u64) {
         let incarnation = self.rng.u64(..);
         let node = &mut self.nodes[node];
@@ -309,19 +314,20 @@
         node.api_call = None;
     }
 
-    /// Suspends a node for a time in milliseconds.
+    /// Suspends a node for `time` milliseconds.
     pub(crate) fn suspend(&mut self, node: usize, time: u64) {
         let until = self.now + time;
         self.nodes[node].suspended_until = until;
         self.nodes[node].resumed_at = until;
     }
 
-    /// Restores the store to its state of so many milliseconds ago.
+    /// Restores the store to its state of `age` milliseconds ago.
     pub(crate) fn restore(&mut self, age: u64) {
         self.store.restore(self.now.saturating_sub(age));
         self.restores += 1;
     }
 
+    /// Returns at random whether an event with this rate happens in the current step.
     fn chance(&mut self, per_second: f64) -> bool {
         self.rng.f64() < per_second * STEP as f64 / 1_000.0
     }
@@ -376,11 +382,11 @@
             }
         }
         // An answer that arrives while a node is suspended waits for it.
-        let is_over = |at: Option<u64>| at.is_none_or(|at| now > at + 20_000);
+        let is_expired = |at: Option<u64>| at.is_none_or(|at| now > at + 20_000);
         self.store_calls
-            .retain(|_, call| call.answer.is_none() || !is_over(call.answered_at));
+            .retain(|_, call| call.answer.is_none() || !is_expired(call.answered_at));
         self.api_calls
-            .retain(|_, (_, call)| !call.arrived || !is_over(call.answered_at));
+            .retain(|_, (_, call)| !call.arrived || !is_expired(call.answered_at));
     }
 
     fn run_node(&mut self, at: usize) {
@@ -451,8 +457,8 @@
             return;
         };
         let call = id.and_then(|id| self.store_calls.get(&id));
-        let came = call.filter(|call| call.answered_at.is_some_and(|at| now >= at));
-        let answer = came.and_then(|call| call.answer.clone());
+        let arrived = call.filter(|call| call.answered_at.is_some_and(|at| now >= at));
+        let answer = arrived.and_then(|call| call.answer.clone());
         let answer = match answer {
             Some(answer) => answer,
             None if now >= give_up_at => DutyAnswer::Unanswered,
@@ -476,19 +482,19 @@
         let node = &self.nodes[at];
         let mut arrives_at = now + self.rng.u64(0..3) * STEP;
         let mut answered_at = Some(arrives_at + STEP);
-        let mut is_excused = now < node.resumed_at + RESUME_SLACK;
+        let mut is_exempt = now < node.resumed_at + RESUME_EXEMPTION;
         if now < node.no_api_until {
             self.nodes[at].api_call = Some((now + MAX_CALL_TIME, window, u64::MAX));
             return;
         }
         if self.rng.f64() < self.rates.slow_duty_api {
-            // Within the time that a call may take, nothing is excused.
+            // The call stays within its maximum duration and is not exempt.
             arrives_at = now + MAX_CALL_TIME - STEP - self.rng.u64(0..MAX_CALL_TIME / 4);
             answered_at = Some(arrives_at + STEP);
         } else if self.rng.f64() < self.rates.slow_duty_api {
             arrives_at = now + self.rng.u64(0..5_000);
             answered_at = Some(arrives_at + STEP);
-            is_excused = true;
+            is_exempt = true;
         } else if self.rng.f64() < self.rates.lose_answer {
             answered_at = None;
         }
@@ -498,14 +504,14 @@
             self.suspend(at, pause);
             arrives_at += pause;
             answered_at = answered_at.map(|at| at + pause);
-            is_excused = true;
+            is_exempt = true;
         }
         let call = ApiCallState {
             credential,
             report,
             arrives_at,
             answered_at,
-            is_excused,
+            is_exempt,
             arrived: false,
         };
         let machine = self.nodes[at].machine;
@@ -538,7 +544,7 @@
     }
 }
 
-/// The window that a time of a run is in.
+/// Returns the window that contains a time of a run.
 pub(crate) fn window_at(now: u64) -> WindowId {
     (START + now) / WINDOW
 }
--- a/crates/plumgate/tests/notices/mod.rs
+++ b/crates/plumgate/tests/notices/mod.rs
@@ -1,4 +1,4 @@
-//! One node before servers that state that they leave or ask for a rest.
+//! Test bench with one node and servers that state that they leave or ask for a rest.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::time::{Duration, Instant};
@@ -11,8 +11,8 @@
 };
 use plumgate::ids::{PoolId, ServerId};
 
-/// How long a server serves on once it has stated that it leaves.
-pub(crate) const DRAIN: Duration = Duration::from_secs(2);
+/// Time for which a server still serves after it stated that it leaves.
+pub(crate) const DRAIN_TIME: Duration = Duration::from_secs(2);
 /// Milliseconds of the Unix epoch at the start.
 const UNIX_MS: u64 = 1_790_000_000_000;
 
@@ -23,19 +23,19 @@
     ticket: WorkTicket,
 }
 
-/// The state of a node, and the time by both of its clocks.
+/// State of a node, and the time by both of its clocks.
 pub(crate) struct NoticeBench {
     pub(crate) table: LoadTable,
     pub(crate) statements: ServerStatements,
     start: Instant,
-    /// Time that passed while the VM ran.
+    /// Time that passed since the start while the VM ran.
     running_time: Duration,
-    /// Time that passed, suspension included.
+    /// Time since the VM booted, suspension included.
     pub(crate) boot: Duration,
     pool: PoolId,
 }
 
-/// The statement of an answer whose server leaves.
+/// Returns the statement of an answer whose server leaves.
 pub(crate) fn leaving() -> ServerStatement {
     ServerStatement {
         leaving: LeaveStatement::Leaves,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The statement of a refusal that asks for a rest.
+/// Returns the statement of a refusal that asks for a rest.
 pub(crate) fn resting(rest: Duration) -> ServerStatement {
     ServerStatement {
         rest: RestStatement::For(rest),
@@ -56,7 +56,7 @@
     pub(crate) fn new(entries: impl IntoIterator<Item = ServerEntry>) -> Self {
         let mut bench = Self {
             table: LoadTable::new(PlacementOptions::new("hall-a").with_seed(3)),
-            statements: ServerStatements::new(false, 3, DRAIN),
+            statements: ServerStatements::new(false, 3, DRAIN_TIME),
             start: Instant::now(),
             running_time: Duration::ZERO,
             boot: Duration::from_secs(100),
@@ -107,7 +107,7 @@
         self.table.set_availability(entry, availability, now);
     }
 
-    /// Applies the statement of an answer that its server sends now.
+    /// Applies the statement of an answer that its server sends now, and returns what changed.
     pub(crate) fn receive(
         &mut self,
         server: &ServerEntry,
@@ -123,7 +123,7 @@
         changes
     }
 
-    /// The parameters for placing a request without a prompt.
+    /// Returns the parameters for placing a request without a prompt.
     pub(crate) fn request<'a>(
         pool: &'a PoolId,
         urgency: u8,
@@ -146,7 +146,7 @@
         self.table.pick(&request, now)
     }
 
-    /// Whether a request may be sent to the server that was chosen for it.
+    /// Checks whether a request may be sent to the server that was chosen for it.
     pub(crate) fn check(&self, pick: &ServerPick) -> Result<(), SendRefusal> {
         let send = SendContext {
             now: self.boot,
@@ -182,12 +182,12 @@
         names
     }
 
-    /// Ends a request.
-    pub(crate) fn finish(&mut self, mut sent: SentRequest, end: WorkOutcome) {
+    /// Finishes a request with the given outcome.
+    pub(crate) fn finish(&mut self, mut sent: SentRequest, outcome: WorkOutcome) {
         let now = self.now();
-        if end == WorkOutcome::Answered {
+        if outcome == WorkOutcome::Answered {
             self.table.record_first_byte(&mut sent.ticket, now);
         }
-        self.table.finish(sent.ticket, end, now);
+        self.table.finish(sent.ticket, outcome, now);
     }
 }
--- a/crates/plumgate/tests/server_notices.rs
+++ b/crates/plumgate/tests/server_notices.rs
@@ -1,4 +1,4 @@
-//! What one node does about servers that state in their answers that they leave, or ask for a rest.
+//! Handling, by one node, of servers that state in their answers that they leave, or ask for a rest.
 
 mod entries;
 mod notices;
@@ -9,11 +9,11 @@
 use plumgate::gateway::{NoticeChange, SendRefusal, ServerState, ServerStatement};
 
 use entries::{entry_with_start_time, server_entry};
-use notices::{DRAIN, NoticeBench, leaving, resting};
+use notices::{DRAIN_TIME, NoticeBench, leaving, resting};
 
 /// Guards against requests to a server that stated that it leaves.
 #[test]
-fn leaving_server_gets_nothing_while_another_takes_the_work() {
+fn leaving_server_gets_no_requests_while_another_is_available() {
     let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
     assert_eq!(
         bench.receive(&server_entry("a"), leaving()),
@@ -25,9 +25,9 @@
     assert!(bench.receive(&server_entry("a"), leaving()).is_empty());
 }
 
-/// Guards against sending to a server that was chosen before it stated that it leaves.
+/// Guards against sending to a server that was chosen before its notice that it leaves arrived.
 #[test]
-fn choice_from_before_the_notice_is_not_sent() {
+fn server_chosen_before_its_notice_gets_no_request() {
     let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
     let pick = bench.pick(&["b".into()]).expect("a server");
     assert_eq!(bench.check(&pick), Ok(()));
@@ -37,7 +37,7 @@
 
 /// Guards against an older row, or one that is read again, that cancels a server's notice.
 #[test]
-fn rows_do_not_take_back_that_a_server_leaves() {
+fn store_rows_do_not_cancel_the_notice_of_a_leaving_server() {
     let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
     bench.receive(&server_entry("a"), leaving());
     let mut ready = server_entry("a");
@@ -49,7 +49,7 @@
     assert!(bench.servers_of(20).iter().all(|id| **id == *"b"));
 }
 
-/// Guards against taking a server that restarted under its id for the incarnation that left.
+/// Guards against applying the notice of a server that left to its next incarnation under the same id.
 #[test]
 fn another_incarnation_of_a_server_has_no_notices() {
     let mut bench =
@@ -64,17 +64,17 @@
     assert!(bench.servers_of(40).iter().all(|id| **id == *"b"));
 }
 
-/// Guards against a pool whose servers all leave and that refuses its callers at once, or sends after the
-/// drain time.
+/// Guards against refusing all requests of a pool as soon as all its servers leave, and against sending to
+/// them after the drain time.
 #[test]
-fn leaving_pool_serves_for_the_promised_time_and_no_longer() {
+fn leaving_pool_serves_for_the_drain_time_and_no_longer() {
     let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
     bench.receive(&server_entry("a"), leaving());
     bench.receive(&server_entry("b"), leaving());
     assert_eq!(bench.servers_of(10).len(), 10);
     let pick = bench.pick(&[]).expect("a server");
     assert!(pick.is_last_resort);
-    bench.advance(DRAIN);
+    bench.advance(DRAIN_TIME);
     assert_eq!(bench.servers_of(10).len(), 0);
     assert_eq!(bench.check(&pick), Err(SendRefusal::Leaving));
     assert!(bench.table.has_only_leaving(&"models".into()));
@@ -82,9 +82,9 @@
     assert!(bench.servers_of(10).iter().all(|id| **id == *"c"));
 }
 
-/// Guards against using a server whose row says that it drains as a last resort.
+/// Guards against using a server as a last resort whose row in the store has the state `Draining`.
 #[test]
-fn draining_row_is_no_last_resort() {
+fn draining_server_is_no_last_resort() {
     let mut draining = server_entry("a");
     draining.state = ServerState::Draining;
     let mut bench = NoticeBench::new([server_entry("a")]);
@@ -93,20 +93,21 @@
     assert!(bench.pick(&[]).is_none());
 }
 
-/// Guards against a VM that resumes from suspension and sends as if no time had passed.
+/// Guards against a drain time that does not include suspension of the VM: the node resumes and sends as if no
+/// time had passed.
 #[test]
-fn time_of_a_leaving_pool_runs_while_the_vm_is_suspended() {
+fn drain_time_includes_suspension_of_the_vm() {
     let mut bench = NoticeBench::new([server_entry("a")]);
     bench.receive(&server_entry("a"), leaving());
     let pick = bench.pick(&[]).expect("a server");
-    bench.suspend(DRAIN);
+    bench.suspend(DRAIN_TIME);
     assert_eq!(bench.check(&pick), Err(SendRefusal::Leaving));
     assert!(bench.pick(&[]).is_none());
 }
 
-/// Guards against forgetting a server's notice while its row is still in the store.
+/// Guards against dropping a server's notice while its row is still in the store.
 #[test]
-fn notice_is_remembered_while_the_row_is_stored() {
+fn notice_is_retained_while_the_row_is_stored() {
     let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
     bench.receive(&server_entry("a"), leaving());
     let incarnation = server_entry("a").incarnation_id();
@@ -121,7 +122,7 @@
 
 /// Guards against orders of servers that count a leaving one as capacity.
 #[test]
-fn orders_count_a_leaving_server_as_gone() {
+fn leaving_server_does_not_count_as_capacity_in_orders() {
     let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
     bench.receive(&server_entry("a"), leaving());
     let now = bench.now();
@@ -134,10 +135,10 @@
     assert_eq!(lasting, 1);
 }
 
-/// Guards against requests to a server before the end of the rest that it asked for, and against none after
-/// it.
+/// Guards against requests to a server during the rest that it asked for, and against a server that gets none
+/// after it.
 #[test]
-fn resting_server_gets_nothing_until_its_rest_is_over() {
+fn resting_server_gets_no_requests_until_its_rest_ends() {
     let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
     let rest = Duration::from_secs(3);
     bench.receive(&server_entry("a"), resting(rest));
@@ -149,9 +150,10 @@
     assert!(bench.servers_of(40).iter().any(|id| **id == *"a"));
 }
 
-/// Guards against a choice from before the refusal, or a queued request, that is sent during the rest.
+/// Guards against a request that is sent during the rest because its server was chosen before the refusal,
+/// or because it was queued.
 #[test]
-fn choice_from_before_a_rest_is_not_carried_out() {
+fn server_chosen_before_its_rest_gets_no_request() {
     let mut bench = NoticeBench::new([server_entry("a")]);
     let pick = bench.pick(&[]).expect("a server");
     bench.receive(&server_entry("a"), resting(Duration::from_secs(1)));
@@ -163,7 +165,7 @@
 
 /// Guards against a shorter rest that follows a longer one and ends it.
 #[test]
-fn longest_rest_holds() {
+fn longest_rest_applies() {
     let mut bench = NoticeBench::new([server_entry("a")]);
     let pick = bench.pick(&[]).expect("a server");
     bench.receive(&server_entry("a"), resting(Duration::from_secs(5)));
@@ -177,9 +179,9 @@
     assert_eq!(bench.check(&pick), Ok(()));
 }
 
-/// Guards against a panic on a rest too long for any clock.
+/// Guards against an overflow, and so a panic, on a rest that no clock can represent.
 #[test]
-fn endless_rests_are_kept_without_overflow() {
+fn longest_possible_rests_are_recorded_without_overflow() {
     for rest in [Duration::from_secs(1_000_000_000_000), Duration::MAX] {
         let mut bench = NoticeBench::new([server_entry("a"), server_entry("b")]);
         bench.receive(&server_entry("a"), resting(rest));
@@ -191,10 +193,10 @@
     }
 }
 
-/// Guards against a rest that is forgotten when the server's row lapses, or that applies to its next
+/// Guards against a rest that is dropped when the server's row lapses, or that applies to its next
 /// incarnation.
 #[test]
-fn rest_outlives_the_row_but_not_the_incarnation() {
+fn rest_survives_a_lapsed_row_but_not_a_restart() {
     let mut bench =
         NoticeBench::new([entry_with_start_time("a", 7), entry_with_start_time("b", 7)]);
     bench.receive(
@@ -208,16 +210,16 @@
     assert!(bench.servers_of(40).iter().any(|id| **id == *"a"));
 }
 
-/// Guards against a rest that counts only the time in which the VM runs, after a suspension.
+/// Guards against a rest that does not include suspension of the VM.
 #[test]
-fn rest_runs_while_the_vm_is_suspended() {
+fn rest_includes_suspension_of_the_vm() {
     let mut bench = NoticeBench::new([server_entry("a")]);
     bench.receive(&server_entry("a"), resting(Duration::from_secs(5)));
     bench.suspend(Duration::from_secs(6));
     assert_eq!(bench.servers_of(3).len(), 3);
 }
 
-/// Where limit, rest and leaving hold at once, the strictest applies.
+/// If a limit, a rest and a notice of leaving apply at once, the strictest decides.
 #[test]
 fn leaving_server_that_rests_is_no_last_resort() {
     let mut bench = NoticeBench::new([server_entry("a")]);
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet without a network: nodes that decide and exchange notices, servers that crash under
-//! requests, and the results of callers.
+//! Simulation of a fleet without a network: nodes that exchange notices and block requests, servers that crash
+//! because of poison requests, and the results of callers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,13 +18,13 @@
 const ROUND: Duration = Duration::from_millis(100);
 /// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(20);
-/// Time that a poison request runs until it crashes its server.
-const POISON_RUN: Duration = Duration::from_millis(160);
-/// Time that any other request runs.
-const USUAL_RUN: Duration = Duration::from_millis(60);
-/// Time until a crashed server is back.
+/// Time for which a poison request runs until it crashes its server.
+const POISON_RUN_TIME: Duration = Duration::from_millis(160);
+/// Time for which any other request runs.
+const NORMAL_RUN_TIME: Duration = Duration::from_millis(60);
+/// Time until a crashed server is available again.
 pub(crate) const RESTART_TIME: Duration = Duration::from_secs(3);
-/// Time of day when a test begins, in milliseconds of the Unix epoch.
+/// Wall-clock time at the start of a test, in milliseconds since the Unix epoch.
 const START_MS: u64 = 1_767_225_600_000;
 
 /// Returns the identity of a request by its workspace and text.
@@ -62,7 +62,7 @@
 /// A simulated server.
 struct SimServer {
     entry: ServerEntry,
-    /// Time of the crash of a server that is not back yet.
+    /// Time of the crash; none while the server runs.
     crashed_at: Option<Instant>,
     restarts: u32,
 }
@@ -82,7 +82,7 @@
     pub(crate) answered: u32,
     pub(crate) broken: u32,
     pub(crate) blocked: u32,
-    /// Requests for which no server was available.
+    /// Number of requests for which no server was available.
     pub(crate) unserved: u32,
 }
 
@@ -93,7 +93,7 @@
     runs: Vec<SimRun>,
     /// Requests that crash servers.
     pub(crate) poison: BTreeSet<RequestIdentity>,
-    /// Crashes of servers under each poison request, in their order.
+    /// Crashes caused by each poison request, in their order.
     pub(crate) crashes: Vec<(RequestIdentity, Instant)>,
     /// Times at which poison requests were sent to a server.
     pub(crate) sent: Vec<(RequestIdentity, Instant)>,
@@ -101,6 +101,7 @@
     /// Whether the data centres are cut off from each other.
     pub(crate) is_cut: bool,
     data_centres: usize,
+    /// Bytes of all messages between nodes.
     pub(crate) bytes: usize,
     rng: fastrand::Rng,
     pub(crate) now: Instant,
@@ -134,7 +135,7 @@
         fleet
     }
 
-    /// Returns the time of day, in milliseconds of the Unix epoch.
+    /// Returns the wall-clock time, in milliseconds since the Unix epoch.
     pub(crate) fn unix_ms(&self) -> u64 {
         START_MS + u64::try_from((self.now - self.start).as_millis()).expect("a short test")
     }
@@ -208,10 +209,10 @@
     ) -> Option<BlockedRequest> {
         let now = self.now;
         let entry = self.servers[server].entry.clone();
-        let begun = self.nodes[node]
+        let run = self.nodes[node]
             .table
             .begin(identity, &entry, ConnectionKind::New, now);
-        let ticket = match begun {
+        let ticket = match run {
             Ok(ticket) => ticket,
             Err(blocked) => {
                 self.result(identity).blocked += 1;
@@ -222,7 +223,11 @@
         if is_poison {
             self.sent.push((identity, now));
         }
-        let duration = if is_poison { POISON_RUN } else { USUAL_RUN };
+        let duration = if is_poison {
+            POISON_RUN_TIME
+        } else {
+            NORMAL_RUN_TIME
+        };
         self.runs.push(SimRun {
             node,
             server,
@@ -233,7 +238,7 @@
         None
     }
 
-    /// Returns the results of a request's callers.
+    /// Returns the results of a request's callers, which are empty at first.
     pub(crate) fn result(&mut self, identity: RequestIdentity) -> &mut SimResult {
         let at = self
             .results
@@ -315,17 +320,17 @@
         self.nodes[index] = node(&entries, index);
     }
 
-    /// Passes a sealed notice to a node as if it had come by the network; returns how many were refused.
+    /// Passes a sealed notice to a node as if it had arrived over the network; returns how many were refused.
     pub(crate) fn receive_notice(&mut self, index: usize, notice: &[u8]) -> u64 {
         let (now, unix_ms) = (self.now, self.unix_ms());
         self.nodes[index].receive_notice_at(notice, now, unix_ms)
     }
 
-    /// Returns a node's state of a request.
+    /// Returns the state of a request at a node.
     pub(crate) fn state(&self, node: usize, identity: RequestIdentity) -> SuspectState {
         let suspects = self.nodes[node].table.suspects();
-        let mut of_request = suspects.filter(|(known, ..)| *known == identity);
-        of_request
+        let mut matching = suspects.filter(|(known, ..)| *known == identity);
+        matching
             .next()
             .map_or(SuspectState::Free, |(_, state, _)| state)
     }
@@ -337,11 +342,14 @@
 
     /// Counts how often a request was sent later than `contact` after the crash of its third server.
     pub(crate) fn sent_after_third(&self, identity: RequestIdentity, contact: Duration) -> usize {
-        let crashes = self.crashes.iter().filter(|(of, _)| *of == identity);
+        let crashes = self
+            .crashes
+            .iter()
+            .filter(|(request, _)| *request == identity);
         let Some((_, third)) = crashes.clone().nth(2) else {
             return 0;
         };
-        let sent = self.sent.iter().filter(|(of, _)| *of == identity);
+        let sent = self.sent.iter().filter(|(request, _)| *request == identity);
         sent.filter(|(_, at)| *at > *third + contact).count()
     }
 }
@@ -354,8 +362,8 @@
         exchange.outgoing_notices().to_vec()
     }
 
-    /// Passes a sealed notice to the node as if it had come at the given time of day; returns how many were
-    /// refused.
+    /// Passes a sealed notice to the node as if it had arrived at the given wall-clock time; returns how many
+    /// were refused.
     pub(crate) fn receive_notice_at(&mut self, notice: &[u8], now: Instant, unix_ms: u64) -> u64 {
         let mut exchange = LoadExchange::new(node_entries(1, 1).remove(0));
         exchange.receive_notices([notice.to_vec()], now);
--- a/crates/plumgate/tests/wire.rs
+++ b/crates/plumgate/tests/wire.rs
@@ -25,15 +25,19 @@
 
 #[test]
 fn sealed_message_opens_with_the_same_key_only() {
-    let bytes = key().seal(&envelope(1)).expect("packs");
+    let bytes = key()
+        .seal(&envelope(1))
+        .expect("a message within the size limit");
     assert_eq!(key().open(&bytes), Ok(envelope(1)));
     let other = PeerKey::new(b"another secret here");
     assert_eq!(other.open(&bytes), Err(Error::ForgedMessage));
 }
 
 #[test]
-fn every_changed_or_missing_byte_is_found() {
-    let bytes = key().seal(&envelope(1)).expect("packs");
+fn every_changed_or_missing_byte_is_detected() {
+    let bytes = key()
+        .seal(&envelope(1))
+        .expect("a message within the size limit");
     for position in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[position] ^= 1;
@@ -48,7 +52,7 @@
 
 // Guards against a recorded message that is replayed, or arrives twice, and restores old load.
 #[test]
-fn message_counts_once_even_out_of_order() {
+fn message_is_accepted_once_even_out_of_order() {
     let mut guard = ReplayGuard::new();
     for sequence in [3, 1, 2, 100, 99] {
         assert_eq!(
@@ -66,10 +70,10 @@
     }
 }
 
-// Guards against messages of an old incarnation that are still in transit after a node was replaced and
-// started over with a new one.
+// Guards against accepting messages of an old incarnation that are still in transit after the node was
+// replaced and started with a new one.
 #[test]
-fn new_incarnation_ends_the_old_one() {
+fn new_incarnation_invalidates_messages_of_the_old_one() {
     let mut guard = ReplayGuard::new();
     guard.check(&envelope(9), 1_000_000).expect("the first");
     let newer = PeerEnvelope {
@@ -84,7 +88,7 @@
 }
 
 #[test]
-fn message_far_from_this_nodes_time_does_not_count() {
+fn message_with_a_distant_timestamp_is_rejected() {
     let mut guard = ReplayGuard::new();
     assert_eq!(
         guard.check(&envelope(1), 1_030_001),
@@ -94,7 +98,7 @@
 }
 
 quickcheck! {
-    fn arbitrary_bytes_are_refused_without_a_panic(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_are_rejected_without_a_panic(bytes: Vec<u8>) -> bool {
         key().open(&bytes).is_err()
     }
 
