--- a/crates/plumgate/examples/limit_ways.rs
+++ b/crates/plumgate/examples/limit_ways.rs
@@ -95,9 +95,9 @@
 
 /// Prints the excess in the worst window and the used share of the rate.
 fn print(way: &str, nodes: usize, rate: f64, checker: &LimitChecker, from: Micros, to: Micros) {
-    let over = checker.worst_window().map_or(0.0, |(over, _, _)| over);
+    let excess = checker.worst_window().map_or(0.0, |(excess, _, _)| excess);
     let used = checker.rate(from, to) / rate;
-    println!("way={way} nodes={nodes} rate={rate} over={over:.1} used={used:.2}");
+    println!("way={way} nodes={nodes} rate={rate} over={excess:.1} used={used:.2}");
 }
 
 fn main() {
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -190,7 +190,7 @@
         dispatcher.set_config(config.clone(), now);
         dispatcher.set_nodes(group(113), Duration::from_secs(60));
         let mut running = std::collections::VecDeque::new();
-        let mut started = Duration::ZERO;
+        let mut spent = Duration::ZERO;
         let mut now = now;
         for number in 0..IN_FLIGHT + REQUESTS {
             now += Duration::from_millis(38);
@@ -211,11 +211,11 @@
                 dispatcher.finish(&id, end, now);
             }
             if number >= IN_FLIGHT {
-                started += begin.elapsed();
+                spent += begin.elapsed();
             }
         }
         assert_eq!(running.len() as u64, IN_FLIGHT, "nothing was refused");
-        started / REQUESTS as u32
+        spent / REQUESTS as u32
     });
     println!(
         "dispatch: {} servers: {:.1} us a request, start to end",
@@ -305,7 +305,7 @@
     let settle = SECONDS / 2;
     for step in 0..SECONDS * 20 {
         now += Duration::from_millis(50);
-        let counted = step / 20 >= settle;
+        let is_measured = step / 20 >= settle;
         if all_known.is_none() && tables.iter().all(|table| table.live_count() == nodes) {
             all_known = Some(step as f64 / 20.0);
         }
@@ -313,7 +313,7 @@
             let begin = Instant::now();
             tables[from].tick(now);
             let Some(round) = tables[from].gossip(now) else {
-                if counted {
+                if is_measured {
                     spent += begin.elapsed();
                 }
                 continue;
@@ -345,12 +345,12 @@
                     tables[to].apply(digests, now);
                     tables[from].apply(known.unwrap_or_default(), now);
                 }
-                if counted {
+                if is_measured {
                     bytes += sealed.len() as u64;
                     messages += 1;
                 }
             }
-            if counted {
+            if is_measured {
                 spent += begin.elapsed();
             }
         }
--- a/crates/plumgate/tests/duty_model/mod.rs
+++ b/crates/plumgate/tests/duty_model/mod.rs
@@ -136,7 +136,7 @@
 
 /// A simulated node.
 struct ModelNode {
-    machine: usize,
+    node_index: usize,
     coordinator: DutyCoordinator,
     wanted: bool,
     down_until: u64,
@@ -160,15 +160,15 @@
 }
 
 impl DutyApiChecker {
-    fn record_call(&mut self, call: &ApiCallState, machine: usize, now: u64) {
+    fn record_call(&mut self, call: &ApiCallState, node_index: usize, now: u64) {
         if let Some(report) = &call.report {
             self.record_report(report, now);
         }
         let number = call.credential.number;
-        let owner = *self.numbers.entry(number).or_insert(machine);
-        if owner != machine {
+        let owner = *self.numbers.entry(number).or_insert(node_index);
+        if owner != node_index {
             self.violations.push(format!(
-                "{now}: number {number} used by {owner} and {machine}"
+                "{now}: fencing number {number} used by nodes {owner} and {node_index}"
             ));
         }
         if call.is_exempt {
@@ -177,7 +177,7 @@
         if number < self.highest {
             let highest = self.highest;
             self.violations
-                .push(format!("{now}: number {number} after {highest}"));
+                .push(format!("{now}: fencing number {number} after {highest}"));
         }
         self.highest = self.highest.max(number);
         let recent = self
@@ -187,14 +187,15 @@
             .take_while(|(at, _)| now - at < LEASE);
         let mut has_other = false;
         for (_, other) in recent {
-            if *other == machine && has_other {
-                self.violations
-                    .push(format!("{now}: {machine} acts again after another holder"));
+            if *other == node_index && has_other {
+                self.violations.push(format!(
+                    "{now}: node {node_index} acts again after another holder"
+                ));
                 break;
             }
-            has_other |= *other != machine;
+            has_other |= *other != node_index;
         }
-        self.calls.push((now, machine));
+        self.calls.push((now, node_index));
     }
 
     fn record_report(&mut self, report: &UsageReport, now: u64) {
@@ -230,10 +231,10 @@
     pub(crate) restores: u32,
 }
 
-fn coordinator(machine: usize, incarnation: u64, window: u64) -> DutyCoordinator {
+fn coordinator(node_index: usize, incarnation: u64, window: u64) -> DutyCoordinator {
     DutyCoordinator::new(CoordinatorOptions {
         own: DutyIdentity {
-            node: format!("node-{machine}").as_str().into(),
+            node: format!("node-{node_index}").as_str().into(),
             incarnation,
         },
         lease: DutyTimes::new(
@@ -256,10 +257,10 @@
     /// Creates a fleet with windows of `window` milliseconds.
     pub(crate) fn with_window(seed: u64, nodes: usize, rates: FaultRates, window: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let nodes = (0..nodes).map(|machine| ModelNode {
-            machine,
-            coordinator: coordinator(machine, rng.u64(..), window),
-            wanted: machine == 0 || rates.all_want,
+        let nodes = (0..nodes).map(|node_index| ModelNode {
+            node_index,
+            coordinator: coordinator(node_index, rng.u64(..), window),
+            wanted: node_index == 0 || rates.all_want,
             down_until: 0,
             suspended_until: 0,
             resumed_at: 0,
@@ -299,8 +300,8 @@
 
     /// Makes one node wanted as the holder, and the others not.
     pub(crate) fn want(&mut self, wanted: usize) {
-        for (at, node) in self.nodes.iter_mut().enumerate() {
-            node.wanted = at == wanted;
+        for (index, node) in self.nodes.iter_mut().enumerate() {
+            node.wanted = index == wanted;
         }
     }
 
@@ -308,7 +309,7 @@
     pub(crate) fn kill(&mut self, node: usize, time: u64) {
         let incarnation = self.rng.u64(..);
         let node = &mut self.nodes[node];
-        node.coordinator = coordinator(node.machine, incarnation, self.window);
+        node.coordinator = coordinator(node.node_index, incarnation, self.window);
         node.down_until = self.now + time;
         node.store_call = None;
         node.api_call = None;
@@ -375,10 +376,10 @@
                 call.answer = Some(self.store.execute(&call.call, now));
             }
         }
-        for (machine, call) in self.api_calls.values_mut() {
+        for (node_index, call) in self.api_calls.values_mut() {
             if !call.arrived && now >= call.arrives_at {
                 call.arrived = true;
-                self.checker.record_call(call, *machine, now);
+                self.checker.record_call(call, *node_index, now);
             }
         }
         // An answer that arrives while a node is suspended waits for it.
@@ -389,49 +390,49 @@
             .retain(|_, (_, call)| !call.arrived || !is_expired(call.answered_at));
     }
 
-    fn run_node(&mut self, at: usize) {
+    fn run_node(&mut self, index: usize) {
         let now = self.now;
-        let node = &self.nodes[at];
+        let node = &self.nodes[index];
         if now < node.down_until || now < node.suspended_until {
             return;
         }
-        self.take_store_answer(at);
-        self.take_api_answer(at);
-        if !self.nodes[at].wanted {
+        self.take_store_answer(index);
+        self.take_api_answer(index);
+        if !self.nodes[index].wanted {
             return;
         }
         let moment = moment(now);
         let counts = self.rng.u64(1..1_000_000);
         let is_complete = self.rng.f64() < 0.5;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         if node.store_call.is_none() {
             let counts = |_| (UsageCounts::from([("lab".to_owned(), counts)]), is_complete);
             if let Some(call) = node.coordinator.tick(counts, moment) {
-                self.send_store_call(at, call);
+                self.send_store_call(index, call);
             }
         }
-        if self.nodes[at].api_call.is_some() {
+        if self.nodes[index].api_call.is_some() {
             return;
         }
-        if let Some((credential, report)) = self.nodes[at].coordinator.next_report(moment) {
-            self.send_api_call(at, credential, Some(report));
+        if let Some((credential, report)) = self.nodes[index].coordinator.next_report(moment) {
+            self.send_api_call(index, credential, Some(report));
         } else if self.rng.f64() < ORDER_SHARE
-            && let Some(credential) = self.nodes[at].coordinator.credential(moment.boot)
+            && let Some(credential) = self.nodes[index].coordinator.credential(moment.boot)
         {
-            self.send_api_call(at, credential, None);
+            self.send_api_call(index, credential, None);
         }
     }
 
-    fn send_store_call(&mut self, at: usize, call: DutyCall) {
+    fn send_store_call(&mut self, index: usize, call: DutyCall) {
         let now = self.now;
-        let node = &self.nodes[at];
+        let node = &self.nodes[index];
         let id = self.next_call;
         self.next_call += 1;
         let mut executed_at = now + self.rng.u64(0..3) * STEP;
         let mut answered_at = Some(executed_at + self.rng.u64(0..2) * STEP);
         let is_cut = now < node.no_store_until;
         if is_cut {
-            self.nodes[at].store_call = Some((now + 400, None));
+            self.nodes[index].store_call = Some((now + 400, None));
             return;
         }
         let is_write = matches!(call, DutyCall::Write(_));
@@ -448,12 +449,12 @@
             answer: None,
         };
         self.store_calls.insert(id, state);
-        self.nodes[at].store_call = Some((now + 400, Some(id)));
+        self.nodes[index].store_call = Some((now + 400, Some(id)));
     }
 
-    fn take_store_answer(&mut self, at: usize) {
+    fn take_store_answer(&mut self, index: usize) {
         let now = self.now;
-        let Some((give_up_at, id)) = self.nodes[at].store_call else {
+        let Some((give_up_at, id)) = self.nodes[index].store_call else {
             return;
         };
         let call = id.and_then(|id| self.store_calls.get(&id));
@@ -464,14 +465,14 @@
             None if now >= give_up_at => DutyAnswer::Unanswered,
             None => return,
         };
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         node.store_call = None;
         node.coordinator.apply(answer, Duration::from_millis(now));
     }
 
     fn send_api_call(
         &mut self,
-        at: usize,
+        index: usize,
         credential: DutyCredential,
         report: Option<UsageReport>,
     ) {
@@ -479,12 +480,12 @@
         let id = self.next_call;
         self.next_call += 1;
         let window = report.as_ref().map(|report| report.window);
-        let node = &self.nodes[at];
+        let node = &self.nodes[index];
         let mut arrives_at = now + self.rng.u64(0..3) * STEP;
         let mut answered_at = Some(arrives_at + STEP);
         let mut is_exempt = now < node.resumed_at + RESUME_EXEMPTION;
         if now < node.no_api_until {
-            self.nodes[at].api_call = Some((now + MAX_CALL_TIME, window, u64::MAX));
+            self.nodes[index].api_call = Some((now + MAX_CALL_TIME, window, u64::MAX));
             return;
         }
         if self.rng.f64() < self.rates.slow_duty_api {
@@ -501,7 +502,7 @@
         let pause = self.rng.u64(0..6_000);
         if self.rng.f64() < self.rates.suspend {
             // The node is suspended after it has checked its lease, and sends when it resumes.
-            self.suspend(at, pause);
+            self.suspend(index, pause);
             arrives_at += pause;
             answered_at = answered_at.map(|at| at + pause);
             is_exempt = true;
@@ -514,20 +515,20 @@
             is_exempt,
             arrived: false,
         };
-        let machine = self.nodes[at].machine;
-        self.api_calls.insert(id, (machine, call));
-        self.nodes[at].api_call = Some((now + MAX_CALL_TIME, window, id));
+        let node_index = self.nodes[index].node_index;
+        self.api_calls.insert(id, (node_index, call));
+        self.nodes[index].api_call = Some((now + MAX_CALL_TIME, window, id));
     }
 
-    fn take_api_answer(&mut self, at: usize) {
+    fn take_api_answer(&mut self, index: usize) {
         let now = self.now;
-        let Some((give_up_at, window, id)) = self.nodes[at].api_call else {
+        let Some((give_up_at, window, id)) = self.nodes[index].api_call else {
             return;
         };
         let call = self.api_calls.get(&id);
         let is_answered = call
             .is_some_and(|(_, call)| call.arrived && call.answered_at.is_some_and(|at| now >= at));
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         if let Some(window) = window.filter(|_| is_answered) {
             node.coordinator.record_sent(window, moment(now).unix);
         }
--- a/crates/plumgate/tests/limit_fleet/limit_checker.rs
+++ b/crates/plumgate/tests/limit_fleet/limit_checker.rs
@@ -80,9 +80,9 @@
                 first += 1;
             }
             let count = last + 1 - first;
-            let over = count as f64 - allowed;
-            if worst.is_none_or(|(most, _, _)| over > most) {
-                worst = Some((over, times[first], count));
+            let excess = count as f64 - allowed;
+            if worst.is_none_or(|(highest, _, _)| excess > highest) {
+                worst = Some((excess, times[first], count));
             }
         }
         worst
--- a/crates/plumgate/tests/limit_fleet/mod.rs
+++ b/crates/plumgate/tests/limit_fleet/mod.rs
@@ -72,7 +72,7 @@
 enum FleetEvent {
     /// A node's round.
     Round(usize),
-    /// A message arrives.
+    /// A message arrives; its sender and receiver come first.
     Packet(SocketAddr, SocketAddr, Vec<u8>),
     /// A caller's request arrives at some node.
     Caller,
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -71,8 +71,8 @@
     );
 }
 
-/// Guards against releasing servers, or ordering none, while limits leave some of the present ones almost
-/// unused.
+/// Guards against releasing servers, or ordering none, while some of the present ones are almost unused
+/// because of their limits.
 #[test]
 fn servers_are_ordered_to_replace_limited_capacity() {
     let ordered = |limited: f64| {
--- a/crates/plumgate/tests/membership.rs
+++ b/crates/plumgate/tests/membership.rs
@@ -296,8 +296,8 @@
     assert_eq!(net.versions(), [2; 9]);
 }
 
-// A data centre is cut off from everything while a change is applied. It continues with the old version, and
-// adopts the new one once it is connected again.
+// A data centre is cut off from all others and from the platform while a change is applied. It continues with
+// the old version, and adopts the new one once it is connected again.
 #[test]
 fn isolated_data_centre_keeps_its_version_and_catches_up() {
     let mut net = FakeNet::new(9);
--- a/crates/plumgate/tests/route.rs
+++ b/crates/plumgate/tests/route.rs
@@ -233,14 +233,14 @@
 #[test]
 fn slot_is_released_after_every_outcome() {
     let mut bench = Bench::new(1, 1);
-    for end in [
+    for outcome in [
         AttemptOutcome::Abandoned,
         AttemptOutcome::Refused { leaving: false },
         AttemptOutcome::ConnectionFailed,
     ] {
         let (id, actions) = bench.submit("caption");
-        assert_eq!(started(&actions).len(), 1, "{end:?}");
-        bench.dispatcher.finish(&id, end, bench.now);
+        assert_eq!(started(&actions).len(), 1, "{outcome:?}");
+        bench.dispatcher.finish(&id, outcome, bench.now);
     }
     assert!(bench.dispatcher.is_idle());
 }
--- a/crates/plumgate/tests/server_limits.rs
+++ b/crates/plumgate/tests/server_limits.rs
@@ -16,10 +16,10 @@
 
 /// Panics if a window holds more than five requests beyond the limit.
 fn assert_within_limit(fleet: &LimitFleet, situation: &str) {
-    if let Some((over, from, count)) = fleet.limit_checker.worst_window() {
+    if let Some((excess, from, count)) = fleet.limit_checker.worst_window() {
         assert!(
-            over <= 0.0,
-            "{situation}: {count} requests in 4 s from {:.3} s on, {over} too many",
+            excess <= 0.0,
+            "{situation}: {count} requests in 4 s from {:.3} s on, {excess} too many",
             from as f64 / 1e6
         );
     }
--- a/crates/plumgate/tests/server_limits_random.rs
+++ b/crates/plumgate/tests/server_limits_random.rs
@@ -69,8 +69,8 @@
     fleet.heal();
     fleet.run(Duration::from_secs(6));
     match fleet.limit_checker.worst_window() {
-        Some((over, from, count)) if over > 0.0 => Err(format!(
-            "seed {seed}, {data_centres} x {nodes_each} nodes: {count} requests in 4 s from {:.3} s on, {over:.1} too many; {steps:?}",
+        Some((excess, from, count)) if excess > 0.0 => Err(format!(
+            "seed {seed}, {data_centres} x {nodes_each} nodes: {count} requests in 4 s from {:.3} s on, {excess:.1} too many; {steps:?}",
             from as f64 / 1e6
         )),
         _ => Ok(()),
--- a/crates/plumgate/tests/server_notices_random.rs
+++ b/crates/plumgate/tests/server_notices_random.rs
@@ -165,7 +165,7 @@
         let mut fleet = LimitFleet::new(shape);
         fleet.run(Duration::from_secs(3));
         fleet.stated.is_leaving = true;
-        // The others have sent their reports by then, and send the next ones after a quarter of a minute.
+        // The others have sent several reports by then; the next ones are due 15 s after the first.
         fleet.run(Duration::from_secs(10));
         for index in 0..6 {
             fleet.restart(index, Duration::from_millis(300));
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -240,15 +240,15 @@
 
     /// Returns the results of a request's callers, which are empty at first.
     pub(crate) fn result(&mut self, identity: RequestIdentity) -> &mut SimResult {
-        let at = self
+        let index = self
             .results
             .iter()
             .position(|(known, _)| *known == identity);
-        let at = at.unwrap_or_else(|| {
+        let index = index.unwrap_or_else(|| {
             self.results.push((identity, SimResult::default()));
             self.results.len() - 1
         });
-        &mut self.results[at].1
+        &mut self.results[index].1
     }
 
     fn finish_runs(&mut self) {
