--- a/crates/plumgate/examples/limit_ways.rs
+++ b/crates/plumgate/examples/limit_ways.rs
@@ -1,6 +1,6 @@
-//! Compares ways in which nodes may keep to the rate that a server states: how many requests beyond the rate
-//! and five the server gets in its worst four seconds, and which share of the rate is used. Prints one line
-//! for each way and fleet.
+//! Compares ways in which nodes may keep to the rate that a server states: by how many requests the server's
+//! worst window of four seconds exceeds the rate plus five requests, and which share of the rate is used.
+//! Prints one line for each way and fleet.
 
 #[path = "../tests/entries/mod.rs"]
 mod entries;
--- a/crates/plumgate/tests/duty_model/mod.rs
+++ b/crates/plumgate/tests/duty_model/mod.rs
@@ -25,7 +25,7 @@
 /// A window length that makes calls frequent, in milliseconds.
 pub(crate) const SHORT_WINDOW: u64 = 1_000;
 /// Maximum delay of a report after the end of its window, in milliseconds.
-pub(crate) const LATE: u64 = 10_000;
+pub(crate) const MAX_REPORT_DELAY: u64 = 10_000;
 /// Share of the steps in which a holder sends an order to the duty API.
 const ORDER_SHARE: f64 = 0.5;
 /// Time after a node resumes in which its calls are exempt from the checks, in milliseconds.
@@ -243,7 +243,7 @@
         ),
         reports: ReportTimes {
             window: Duration::from_millis(window),
-            late: Duration::from_millis(LATE),
+            late: Duration::from_millis(MAX_REPORT_DELAY),
         },
     })
 }
--- a/crates/plumgate/tests/limit_decisions.rs
+++ b/crates/plumgate/tests/limit_decisions.rs
@@ -57,7 +57,7 @@
     limits.record_answer(&server, observation);
     assert!(!limits.allows(&server, None, seconds(1.2)));
     let PermitStatus::Granted(permit) = limits.request_permit(&server, 0, seconds(4.0)) else {
-        panic!("the server takes one request a second");
+        panic!("no permit was granted");
     };
     assert!(limits.allows(&server, Some(&permit), seconds(4.1)));
     assert!(
--- a/crates/plumgate/tests/limit_fleet/faults.rs
+++ b/crates/plumgate/tests/limit_fleet/faults.rs
@@ -45,7 +45,7 @@
         self.dropped_pairs = pairs.into_iter().collect();
     }
 
-    /// Ends all partitions.
+    /// Heals all partitions and stops dropping messages.
     pub(crate) fn heal(&mut self) {
         self.dropped_pairs.clear();
         for node in &mut self.nodes {
--- a/crates/plumgate/tests/membership.rs
+++ b/crates/plumgate/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Nodes discover each other, detect unresponsive nodes, and pass on the configuration, over a simulated
-//! network.
+//! Membership and configuration over a simulated network: nodes discover each other, detect unresponsive nodes
+//! and pass on the configuration.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -36,7 +36,7 @@
 }
 
 impl FakeNet {
-    /// Nodes spread over three data centres; each knows the first node of each.
+    /// Creates nodes in three data centres; each knows the first node of each data centre.
     fn new(count: usize) -> Self {
         let nodes = (0..count).map(|index| {
             let own = NodeDigest {
--- a/crates/plumgate/tests/route.rs
+++ b/crates/plumgate/tests/route.rs
@@ -192,7 +192,7 @@
     ticket.avoid = vec!["s1".into()];
     let actions = bench.dispatcher.submit(ticket, bench.now);
     let plumgate::dispatch::DispatchAction::Start(order) = &actions[0] else {
-        panic!("a start")
+        panic!("the first action does not start a request")
     };
     assert_eq!(&*order.choice.server.id, "s2");
 }
@@ -309,7 +309,7 @@
             }
         }
     }
-    let (second, _) = tried_after.expect("it is tried again");
+    let (second, _) = tried_after.expect("the straggler is tried again");
     assert!(
         (5..200).contains(&second),
         "after {second} s, until {later:?}"
--- a/crates/plumgate/tests/server_limits.rs
+++ b/crates/plumgate/tests/server_limits.rs
@@ -125,7 +125,8 @@
     }
 }
 
-/// Guards against a node that stops and whose share of the limit, or role as the issuer, no other takes over.
+/// Guards against a share of the limit that stays unused, or an issuer that is not replaced, after a node
+/// stopped.
 #[test]
 fn limit_is_used_again_soon_after_a_node_stopped() {
     for index in 0..6 {
@@ -168,7 +169,7 @@
     let share = fleet.limit_checker.served_share(from, fleet.now);
     assert!(
         share > 0.95,
-        "{share} of the demand is served after the limit"
+        "{share} of the demand is served after the limit ended"
     );
     assert!((0..6).all(|index| !fleet.knows_limit(index)));
 }
--- a/crates/plumgate/tests/server_limits_random.rs
+++ b/crates/plumgate/tests/server_limits_random.rs
@@ -133,7 +133,7 @@
     assert_none_breaks(SHORT, SCHEDULES);
 }
 
-/// The same with longer schedules and larger fleets.
+/// Guards against the same with longer schedules and larger fleets.
 #[test]
 fn no_long_schedule_of_faults_breaks_a_limit() {
     assert_none_breaks(LONG, LONG_SCHEDULES);
--- a/crates/plumgate/tests/server_notices.rs
+++ b/crates/plumgate/tests/server_notices.rs
@@ -1,4 +1,4 @@
-//! Handling, by one node, of servers that state in their answers that they leave, or ask for a rest.
+//! Handling, at one node, of servers that state in their answers that they leave or that ask for a rest.
 
 mod entries;
 mod notices;
@@ -219,7 +219,8 @@
     assert_eq!(bench.servers_of(3).len(), 3);
 }
 
-/// If a limit, a rest and a notice of leaving apply at once, the strictest decides.
+/// Guards against using a leaving server as a last resort during its rest: if a limit, a rest and a notice of
+/// leaving apply at once, the strictest decides.
 #[test]
 fn leaving_server_that_rests_is_no_last_resort() {
     let mut bench = NoticeBench::new([server_entry("a")]);
