--- a/crates/plumgate-standin/src/engine.rs
+++ b/crates/plumgate-standin/src/engine.rs
@@ -26,11 +26,11 @@
     ConnectionCut, StandinResponse, cut, journal_line, read_body, respond, respond_json, serve,
 };
 
-/// Number of stream chunks that are buffered for a slow reader.
+/// Maximum number of stream chunks that are buffered for a slow reader.
 const MAX_BUFFERED_CHUNKS: usize = 16;
 /// Number of runs that are retained after they finish, so that clients can resume them.
 const MAX_RETAINED_RUNS: usize = 4096;
-/// Number of requests that the journal records; later ones are not recorded.
+/// Maximum number of requests that the journal records; later ones are not recorded.
 const MAX_JOURNAL_LINES: usize = 1000;
 /// Factor on the time to the first token when the prompt's prefix is cached.
 const CACHED_FIRST_TOKEN_FACTOR: f64 = 0.3;
@@ -40,13 +40,16 @@
 /// State of one run of a request.
 #[derive(Debug)]
 struct EngineRun {
+    /// Digest of the prompt, which each token of the answer contains.
     digest: String,
     total: u32,
     produced: u32,
     done: bool,
+    /// Whether the answer is no longer available: the run was lost by a fault, cancelled, or orphaned for too long.
     lost: bool,
     stream: bool,
     listeners: u32,
+    /// Time since which the run has had no listener.
     orphaned_at: Option<Instant>,
 }
 
@@ -75,6 +78,7 @@
     faults: EngineFaults,
     runs: HashMap<String, EngineRun>,
     run_order: VecDeque<String>,
+    /// Runs that wait for a slot, by priority and number of arrival.
     waiting: BTreeMap<(u16, u64), String>,
     running: usize,
     arrivals: u64,
@@ -82,9 +86,12 @@
     tokens: u64,
     cancelled: u64,
     loads: VecDeque<LoadSample>,
+    /// Digests of the cached prefixes, the least recently used first.
     prefixes: VecDeque<u64>,
+    /// Number of each event, digest of its prefix, and whether the prefix was stored (`true`) or evicted.
     cache_events: Vec<(u64, u64, bool)>,
     highest_fencing: u64,
+    /// Whether each model is loaded.
     models: BTreeMap<String, bool>,
     orders: Vec<EngineOrder>,
     refused_orders: u64,
@@ -109,7 +116,8 @@
     #[serde(default)]
     stream: bool,
     max_tokens: Option<u32>,
-    /// Number of tokens that the stand-in generates (default 8); the gateway doesn't evaluate this field.
+    /// Number of tokens that the stand-in generates (default 8). The gateway doesn't read this field, so it doesn't
+    /// know the length of the answer in advance.
     standin_tokens: Option<u32>,
     messages: Option<Value>,
     prompt: Option<Value>,
@@ -314,18 +322,18 @@
         id
     }
 
-    /// Performs one run from waiting for a slot to the last token.
+    /// Executes one run: waits for a slot, then generates tokens until the run is finished.
     async fn generate(self, id: String, queue_key: (u16, u64), prefix: u64) {
         if !self.wait_for_slot(queue_key).await {
             return;
         }
         let cached = self.touch_cached_prefix(prefix);
-        let share = if cached {
+        let factor = if cached {
             CACHED_FIRST_TOKEN_FACTOR
         } else {
             1.0
         };
-        self.sleep_scaled(self.options.first_token.mul_f64(share))
+        self.sleep_scaled(self.options.first_token.mul_f64(factor))
             .await;
         loop {
             self.wait_while_frozen().await;
--- a/crates/plumgate-standin/src/engine/options.rs
+++ b/crates/plumgate-standin/src/engine/options.rs
@@ -76,9 +76,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Refuses new requests as not run.
+    /// Whether new requests are refused as not run.
     pub refuse: bool,
-    /// Refuses new requests as not run, and marks the engine as leaving.
+    /// Whether new requests are refused as not run, and the engine is marked as leaving.
     pub leaving: bool,
     /// Number of requests whose connection is cut before they run.
     pub cut_before_run: u32,
@@ -94,13 +94,13 @@
     pub wrong_ids: u32,
     /// Number of resumed streams that repeat events that were already sent.
     pub repeat_events: u32,
-    /// Exits the process when a run reaches `after_tokens`.
+    /// Whether the process exits when a run reaches `after_tokens`.
     pub crash: bool,
     /// Number of tokens after which the faults of streams and runs take effect.
     pub after_tokens: u32,
     /// Factor on all generation times; 0 means 1.
     pub slow_factor: f64,
-    /// Generates and answers nothing until this is switched off.
+    /// Whether the engine generates no tokens and answers no requests until this is switched off.
     pub frozen: bool,
     /// Delay before an order takes effect, in milliseconds.
     pub order_delay_ms: u64,
--- a/crates/plumgate-standin/src/engine/report.rs
+++ b/crates/plumgate-standin/src/engine/report.rs
@@ -15,17 +15,17 @@
     pub(super) fn touch_cached_prefix(&self, prefix: u64) -> bool {
         let mut state = self.state_mut();
         let cached = state.prefixes.contains(&prefix);
-        state.prefixes.retain(|held| *held != prefix);
+        state.prefixes.retain(|other| *other != prefix);
         state.prefixes.push_back(prefix);
         if !cached {
             let number = state.cache_events.len() as u64 + 1;
             state.cache_events.push((number, prefix, true));
         }
         if state.prefixes.len() > self.options.cached_prefixes
-            && let Some(dropped) = state.prefixes.pop_front()
+            && let Some(evicted) = state.prefixes.pop_front()
         {
             let number = state.cache_events.len() as u64 + 1;
-            state.cache_events.push((number, dropped, false));
+            state.cache_events.push((number, evicted, false));
         }
         cached
     }
--- a/crates/plumgate-standin/src/engine/stream.rs
+++ b/crates/plumgate-standin/src/engine/stream.rs
@@ -71,15 +71,15 @@
             let changed = self.changed.listen();
             let next = self.next_event(&id, sent);
             let Some(next) = next else {
-                let gone = async {
+                let disconnected = async {
                     chunks.closed().await;
                     true
                 };
-                let waited = async {
+                let updated = async {
                     changed.await;
                     false
                 };
-                if future::or(gone, waited).await {
+                if future::or(disconnected, updated).await {
                     break None;
                 }
                 continue;
@@ -107,20 +107,20 @@
                     }
                 }
                 NextEvent::End => {
-                    let mark = format!("id: {}\ndata: [DONE]\n\n", sent + 1);
-                    break Some(Ok(mark.into()));
+                    let end_mark = format!("id: {}\ndata: [DONE]\n\n", sent + 1);
+                    break Some(Ok(end_mark.into()));
                 }
                 NextEvent::Lost => break Some(Err(ConnectionCut)),
             }
         };
         if let Some(last) = end {
-            // The reader may have disconnected; the run is retained so that it can resume.
+            // The reader may have disconnected; the run is retained, so that it can be resumed.
             let _ = chunks.send(last).await;
         }
         self.adjust_listeners(&id, -1);
     }
 
-    /// Takes the fault that applies to a new stream, if any.
+    /// Returns the fault that applies to a new stream, if any, and decrements its counter.
     pub(super) fn stream_fault(&self) -> Option<StreamFault> {
         if self.consume_fault(|faults| &mut faults.cut_streams) {
             return Some(StreamFault::Cut);
--- a/crates/plumgate-standin/src/http.rs
+++ b/crates/plumgate-standin/src/http.rs
@@ -20,7 +20,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use smol_hyper::rt::FuturesIo;
 
-/// Error that makes the server cut the connection.
+/// Error of a handler or body that makes the server cut the connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionCut;
 
@@ -39,7 +39,7 @@
     Complete(Option<Bytes>),
     /// Chunks as they are sent; an error cuts the connection.
     Streamed(Pin<Box<Receiver<Result<Bytes, ConnectionCut>>>>),
-    /// Cuts the connection after all chunks were written.
+    /// State after the last chunk, in which the next poll cuts the connection.
     Cut,
 }
 
@@ -55,7 +55,7 @@
             Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Streamed(chunks) => match chunks.as_mut().poll_next(context) {
                 Poll::Ready(Some(Err(ConnectionCut))) => {
-                    // Yields once, so that the connection writes the chunks before the cut and they arrive.
+                    // Yields once, so that the preceding chunks are written to the socket before the cut.
                     *self = Self::Cut;
                     context.waker().wake_by_ref();
                     Poll::Pending
@@ -149,7 +149,7 @@
             let _ = stream.get_ref().set_nodelay(true);
             let connection =
                 http1::Builder::new().serve_connection(FuturesIo::new(stream), service_fn(handler));
-            // Connection errors show at the client; the server ignores them.
+            // The client detects connection errors itself; the server ignores them.
             let _ = connection.await;
         };
         executor.spawn(connection_task).detach();
--- a/crates/plumgate-standin/src/link.rs
+++ b/crates/plumgate-standin/src/link.rs
@@ -27,7 +27,7 @@
     cut_below: AtomicU64,
     /// Connections with a number below this stay open and forward nothing.
     silent_below: AtomicU64,
-    /// Connections with a number below this forward requests, but lose the answers.
+    /// Connections with a number below this forward requests and discard the answers.
     answers_lost_below: AtomicU64,
     /// Delay of each chunk, in milliseconds.
     delay_ms: AtomicU64,
@@ -74,7 +74,7 @@
         self.state.delay_ms.store(0, Ordering::SeqCst);
     }
 
-    /// Loses the answers of open connections while their requests are still forwarded; new connections work.
+    /// Discards the answers on open connections, but still forwards their requests; new connections work.
     pub fn lose_answers(&self) {
         let accepted = self.state.accepted.load(Ordering::SeqCst);
         self.state
@@ -133,11 +133,11 @@
             break;
         }
         let accepting = async { Some(listener.accept().await) };
-        let changing = async {
+        let notified = async {
             changed.await;
             None
         };
-        let Some(Ok((client, _))) = future::or(changing, accepting).await else {
+        let Some(Ok((client, _))) = future::or(notified, accepting).await else {
             continue;
         };
         if state.flags.load(Ordering::SeqCst) & REFUSING != 0 {
@@ -178,13 +178,14 @@
             changed.await;
         }
     };
-    let carrying = async {
+    let forwarding = async {
         both.await;
     };
-    future::or(cut, carrying).await;
+    future::or(cut, forwarding).await;
 }
 
-/// Forwards one direction of a connection until it ends or is cut; a silenced connection is read and discarded.
+/// Forwards one direction of a connection until it ends or is cut. The data of a silenced connection is read and
+/// discarded.
 async fn forward(
     mut from: &Async<TcpStream>,
     mut to: &Async<TcpStream>,
@@ -203,16 +204,16 @@
         if delay > 0 {
             async_io::Timer::after(Duration::from_millis(delay)).await;
         }
-        let bound = state.cut_after.load(Ordering::SeqCst);
-        let cuts = is_request && bound > 0 && forwarded + count as u64 >= bound;
-        if cuts {
-            count = (bound - forwarded) as usize;
+        let limit = state.cut_after.load(Ordering::SeqCst);
+        let reaches_limit = is_request && limit > 0 && forwarded + count as u64 >= limit;
+        if reaches_limit {
+            count = (limit - forwarded) as usize;
         }
         if to.write_all(&chunk[..count]).await.is_err() {
             break;
         }
         forwarded += count as u64;
-        if cuts {
+        if reaches_limit {
             let _ = from.get_ref().shutdown(std::net::Shutdown::Both);
             break;
         }
--- a/crates/plumgate-standin/src/load/cost.rs
+++ b/crates/plumgate-standin/src/load/cost.rs
@@ -1,4 +1,5 @@
-//! Measures the cost of a node: added latency compared with direct requests, processor time per token, and memory.
+//! Tool that measures the cost of a node: added latency compared with direct requests, processor time per token
+//! and memory.
 
 use std::io;
 use std::net::SocketAddr;
@@ -33,7 +34,7 @@
             .value_parser(value_parser!(u64))
     };
     Command::new("cost")
-        .about("Measures added latency, tokens a second and core, and memory of a node")
+        .about("Measures added latency, tokens per second and core, and memory of a node")
         .arg(address("direct").help("The engine"))
         .arg(address("via").help("The node's address for callers"))
         .arg(
@@ -67,13 +68,13 @@
 
 /// Processor time and resident memory that a process has used.
 #[derive(Clone, Copy, Debug)]
-struct ProcessUse {
+struct ProcessUsage {
     processor: Duration,
     resident_kb: u64,
 }
 
-/// Reads the use of a process from `/proc`.
-fn process_use(pid: u32) -> io::Result<ProcessUse> {
+/// Reads the usage of a process from `/proc`.
+fn process_usage(pid: u32) -> io::Result<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     // The program name is in parentheses and may contain spaces.
     let fields: Vec<&str> = stat
@@ -82,6 +83,7 @@
         .unwrap_or_default()
         .split(' ')
         .collect();
+    // Fields 14 (utime) and 15 (stime) of proc_pid_stat(5); the first two fields were split off.
     let ticks: f64 = [11, 12]
         .iter()
         .filter_map(|index| fields.get(*index)?.parse::<f64>().ok())
@@ -89,7 +91,7 @@
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let resident = resident.and_then(|text| text.split_whitespace().next()?.parse().ok());
-    Ok(ProcessUse {
+    Ok(ProcessUsage {
         processor: Duration::from_secs_f64(ticks / TICKS_PER_SECOND),
         resident_kb: resident.unwrap_or(0),
     })
@@ -107,12 +109,12 @@
     let pid = matches.get_one::<u32>("pid").copied().unwrap_or_default();
     let (direct, via) = (address("direct")?, address("via")?);
     let (key, model) = (text("key"), text("model"));
-    let idle = process_use(pid)?;
+    let idle = process_usage(pid)?;
     println!("resident memory of the idle node: {} KB", idle.resident_kb);
     compare_latency(direct, via, &key, &model, number("requests"))?;
-    let before = process_use(pid)?;
+    let before = process_usage(pid)?;
     let (tokens, elapsed) = stream_tokens(via, &key, &model, number("streams"), number("tokens"))?;
-    let after = process_use(pid)?;
+    let after = process_usage(pid)?;
     let used = (after.processor - before.processor).as_secs_f64();
     println!(
         "{tokens} tokens over {} streams in {:.2} s: {:.0} a second; {used:.2} s of processor time: {:.0} tokens a second and core",
@@ -184,10 +186,11 @@
             let request = request(key, model, tokens, true, &format!("stream {number}"));
             executor.spawn(async move {
                 let mut events = 0_u64;
-                let answer = call_with(via, &request, |piece| {
-                    events += piece.windows(6).filter(|part| *part == b"data: ").count() as u64;
+                let answer = call_with(via, &request, |chunk| {
+                    events += chunk.windows(6).filter(|bytes| *bytes == b"data: ").count() as u64;
                 });
                 let complete = answer.await.is_ok_and(|answer| answer.complete);
+                // The last event is the end mark.
                 (events.saturating_sub(1), complete)
             })
         })
--- a/crates/plumgate-standin/src/load/experiment.rs
+++ b/crates/plumgate-standin/src/load/experiment.rs
@@ -1,4 +1,5 @@
-//! Compares plumgate's routing and queueing policies with baselines, with the same seeds, arrivals and faults.
+//! Experiment that compares plumgate's routing and queueing policies with baselines, with the same seeds, arrivals
+//! and faults.
 //!
 //! Each run starts its own fleet from the inventory and rules of an example: the platform, the engines, and two
 //! nodes in each data centre.
@@ -39,6 +40,7 @@
     queue: &'static str,
 }
 
+/// Policies that can be compared: those of plumgate, and baselines.
 const POLICIES: [PolicyPair; 5] = [
     PolicyPair {
         name: "plumgate",
@@ -207,12 +209,12 @@
     fleet.end_fault(fault)?;
     let measure = load_thread
         .join()
-        .map_err(|_| io::Error::other("the load tool failed"))?;
+        .map_err(|_| io::Error::other("the load thread panicked"))?;
     fleet.print_refusals();
     Ok(measure)
 }
 
-/// Fleet of one run; dropping it ends its processes.
+/// Fleet of one run; dropping it kills its processes.
 struct ExperimentFleet {
     processes: Vec<Child>,
     node_processes: Vec<usize>,
@@ -231,7 +233,7 @@
             let _ = process.kill();
             let _ = process.wait();
         }
-        // The logs are kept if a log level was set, because they are meant to be read then.
+        // The logs are needed after the run if a log level was set.
         if std::env::var_os("PLUMGATE_LOG_LEVEL").is_none() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
@@ -420,7 +422,7 @@
             for line in page
                 .text()
                 .lines()
-                .filter(|line| metrics.iter().any(|c| line.starts_with(c)))
+                .filter(|line| metrics.iter().any(|metric| line.starts_with(metric)))
             {
                 let Some((name, count)) = line.rsplit_once(' ') else {
                     continue;
--- a/crates/plumgate-standin/src/load/measure.rs
+++ b/crates/plumgate-standin/src/load/measure.rs
@@ -100,19 +100,19 @@
     }
 
     /// Records the outcome of one request.
-    pub fn record(&mut self, end: RequestOutcome) {
-        let in_time = end.in_time();
+    pub fn record(&mut self, outcome: RequestOutcome) {
+        let in_time = outcome.in_time();
         let class = self
             .classes
-            .entry(end.class)
+            .entry(outcome.class)
             .or_insert_with(ClassMeasure::new);
         class.sent += 1;
         class.in_time += u64::from(in_time);
-        class.correct += u64::from(end.correct);
-        class.refused += u64::from(end.refused);
-        if end.correct {
-            self.useful_tokens += u64::from(end.tokens);
-            let micros = u64::try_from(end.first.as_micros()).unwrap_or(MAX_TIME_US);
+        class.correct += u64::from(outcome.correct);
+        class.refused += u64::from(outcome.refused);
+        if outcome.correct {
+            self.useful_tokens += u64::from(outcome.tokens);
+            let micros = u64::try_from(outcome.first.as_micros()).unwrap_or(MAX_TIME_US);
             class.first.saturating_record(micros);
         }
     }
@@ -205,10 +205,10 @@
     }
 }
 
-fn share(part: u64, whole: u64) -> f64 {
-    if whole == 0 {
+fn share(part: u64, total: u64) -> f64 {
+    if total == 0 {
         0.0
     } else {
-        part as f64 / whole as f64
+        part as f64 / total as f64
     }
 }
--- a/crates/plumgate-standin/src/main.rs
+++ b/crates/plumgate-standin/src/main.rs
@@ -18,7 +18,7 @@
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
-    let done = match matches.subcommand() {
+    let result = match matches.subcommand() {
         Some(("engine", matches)) => run_engine(matches),
         Some(("service", matches)) => run_service(matches),
         Some(("platform", matches)) => run_platform(matches),
@@ -27,7 +27,7 @@
         Some(("cost", matches)) => return load::cost::run(matches),
         _ => return ExitCode::from(2),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("plumgate-standin: {error}");
@@ -39,12 +39,12 @@
 fn command() -> Command {
     let engine = Command::new("engine")
         .about("A model engine")
-        .arg(listen())
-        .arg(text("name", "engine"))
-        .arg(number("slots", "8"))
-        .arg(number("first-token-ms", "20"))
-        .arg(number("token-ms", "5"))
-        .arg(number("report-lag-ms", "500"))
+        .arg(listen_arg())
+        .arg(text_arg("name", "engine"))
+        .arg(number_arg("slots", "8"))
+        .arg(number_arg("first-token-ms", "20"))
+        .arg(number_arg("token-ms", "5"))
+        .arg(number_arg("report-lag-ms", "500"))
         .arg(
             Arg::new("strict-models")
                 .long("strict-models")
@@ -57,16 +57,16 @@
         );
     let service = Command::new("service")
         .about("A plain service")
-        .arg(listen())
-        .arg(text("name", "service"));
+        .arg(listen_arg())
+        .arg(text_arg("name", "service"));
     let platform = Command::new("platform")
         .about("The platform: table, object store, weight store and list of VMs")
-        .arg(listen())
-        .arg(number("writes", "400"))
-        .arg(number("reads", "2000"))
-        .arg(number("list-lag-ms", "2000"));
+        .arg(listen_arg())
+        .arg(number_arg("writes", "400"))
+        .arg(number_arg("reads", "2000"))
+        .arg(number_arg("list-lag-ms", "2000"));
     Command::new("plumgate-standin")
-        .about("Stand-ins for what plumgate meets, and its load tool")
+        .about("Stand-ins for the systems that plumgate connects to, and its load tool")
         .subcommand_required(true)
         .subcommands([
             engine,
@@ -78,37 +78,37 @@
         ])
 }
 
-fn listen() -> Arg {
+fn listen_arg() -> Arg {
     Arg::new("listen")
         .long("listen")
         .required(true)
         .value_parser(value_parser!(SocketAddr))
 }
 
-fn text(name: &'static str, default: &'static str) -> Arg {
+fn text_arg(name: &'static str, default: &'static str) -> Arg {
     Arg::new(name).long(name).default_value(default)
 }
 
-fn number(name: &'static str, default: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .default_value(default)
         .value_parser(value_parser!(u64))
 }
 
-fn get_number(matches: &ArgMatches, name: &str) -> u64 {
+fn number(matches: &ArgMatches, name: &str) -> u64 {
     matches.get_one::<u64>(name).copied().unwrap_or_default()
 }
 
-fn get_milliseconds(matches: &ArgMatches, name: &str) -> Duration {
-    Duration::from_millis(get_number(matches, name))
+fn milliseconds(matches: &ArgMatches, name: &str) -> Duration {
+    Duration::from_millis(number(matches, name))
 }
 
-fn get_text(matches: &ArgMatches, name: &str) -> String {
+fn text(matches: &ArgMatches, name: &str) -> String {
     matches.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-fn get_listen(matches: &ArgMatches) -> SocketAddr {
+fn listen_address(matches: &ArgMatches) -> SocketAddr {
     matches
         .get_one("listen")
         .copied()
@@ -116,26 +116,26 @@
 }
 
 fn run_engine(matches: &ArgMatches) -> std::io::Result<()> {
-    let mut options = EngineOptions::new(get_text(matches, "name"))
-        .with_slots(get_number(matches, "slots") as usize)
+    let mut options = EngineOptions::new(text(matches, "name"))
+        .with_slots(number(matches, "slots") as usize)
         .with_times(
-            get_milliseconds(matches, "first-token-ms"),
-            get_milliseconds(matches, "token-ms"),
+            milliseconds(matches, "first-token-ms"),
+            milliseconds(matches, "token-ms"),
         )
         .with_fencing(!matches.get_flag("ignores-fencing"));
     options.strict_models = matches.get_flag("strict-models");
-    options.report_lag = get_milliseconds(matches, "report-lag-ms");
+    options.report_lag = milliseconds(matches, "report-lag-ms");
     let executor = Rc::new(LocalExecutor::new());
     let engine = StandinEngine::new(SystemClock, options, executor.clone());
-    let listener = bind(get_listen(matches))?;
+    let listener = bind(listen_address(matches))?;
     futures_lite::future::block_on(executor.run(engine.run(listener)));
     Ok(())
 }
 
 fn run_service(matches: &ArgMatches) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let service = StandinService::new(SystemClock, get_text(matches, "name"));
-    let listener = bind(get_listen(matches))?;
+    let service = StandinService::new(SystemClock, text(matches, "name"));
+    let listener = bind(listen_address(matches))?;
     futures_lite::future::block_on(executor.run(service.run(executor.clone(), listener)));
     Ok(())
 }
@@ -143,13 +143,13 @@
 fn run_platform(matches: &ArgMatches) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let limits = PlatformLimits {
-        writes: get_number(matches, "writes") as u32,
-        reads: get_number(matches, "reads") as u32,
-        list_lag: get_milliseconds(matches, "list-lag-ms"),
+        writes: number(matches, "writes") as u32,
+        reads: number(matches, "reads") as u32,
+        list_lag: milliseconds(matches, "list-lag-ms"),
         ..PlatformLimits::default()
     };
     let platform = StandinPlatform::new(SystemClock, limits);
-    let listener = bind(get_listen(matches))?;
+    let listener = bind(listen_address(matches))?;
     futures_lite::future::block_on(executor.run(platform.run(executor.clone(), listener)));
     Ok(())
 }
--- a/crates/plumgate-standin/src/platform.rs
+++ b/crates/plumgate-standin/src/platform.rs
@@ -23,15 +23,15 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Cuts every call without an answer and without effect.
+    /// Whether every call is cut without an answer and without effect.
     pub down: bool,
     /// Delay of every call, in milliseconds.
     pub slow_ms: u64,
     /// Number of writes that take effect, but whose answers are lost.
     pub lose_answers: u32,
-    /// Returns the value before the last write for reads of rows.
+    /// Whether reads of rows return the value before the last write.
     pub stale_reads: bool,
-    /// Answers reads with text that can't be parsed.
+    /// Whether reads are answered with text that can't be parsed.
     pub nonsense: bool,
     /// Path prefix of the calls that the other faults affect; all calls if absent.
     pub only: Option<String>,
@@ -79,10 +79,10 @@
 
 impl RateWindow {
     fn allows(&mut self, limit: u32, now: Instant) -> bool {
-        let fresh = self
+        let is_current = self
             .started
             .is_some_and(|started| now < started + Duration::from_secs(1));
-        if !fresh {
+        if !is_current {
             *self = Self {
                 started: Some(now),
                 count: 0,
@@ -98,7 +98,9 @@
     faults: PlatformFaults,
     rows: HashMap<String, StoredRow>,
     objects: HashMap<String, Bytes>,
+    /// VMs as set, each with the time from which the list shows it.
     vms: BTreeMap<String, (Instant, ListedVm)>,
+    /// VMs as the list shows them, `list_lag` behind.
     listed: BTreeMap<String, ListedVm>,
     next_version: u64,
     writes: RateWindow,
@@ -159,7 +161,7 @@
         let affected = faults
             .only
             .as_ref()
-            .is_none_or(|start| path.starts_with(start));
+            .is_none_or(|prefix| path.starts_with(prefix));
         if affected && faults.down {
             return cut();
         }
@@ -223,8 +225,8 @@
         match serde_json::from_slice::<ListedVm>(body) {
             Ok(vm) => {
                 let mut state = self.state.borrow_mut();
-                let shown_at = self.clock.now() + state.limits.list_lag;
-                state.vms.insert(vm.name.clone(), (shown_at, vm));
+                let visible_at = self.clock.now() + state.limits.list_lag;
+                state.vms.insert(vm.name.clone(), (visible_at, vm));
                 respond(StatusCode::OK, "ok")
             }
             Err(error) => respond(StatusCode::BAD_REQUEST, error.to_string()),
@@ -275,10 +277,10 @@
             state.rows.remove(name);
         }
         let current = state.rows.get(name).cloned();
-        let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
-        let absent_only = text(IF_NONE_MATCH) == Some("*");
-        let wanted = text(IF_MATCH).and_then(|tag| tag.trim_matches('"').parse::<u64>().ok());
-        let condition_holds = match (&current, wanted) {
+        let header = |name| headers.get(name).and_then(|value| value.to_str().ok());
+        let absent_only = header(IF_NONE_MATCH) == Some("*");
+        let expected = header(IF_MATCH).and_then(|tag| tag.trim_matches('"').parse::<u64>().ok());
+        let condition_holds = match (&current, expected) {
             (Some(row), Some(version)) => row.version == version,
             (None, Some(_)) => false,
             (Some(_), None) => !absent_only,
@@ -291,7 +293,7 @@
         let version = state.next_version;
         state.next_version += 1;
         let previous = current.map(|row| (row.version, row.value));
-        let lifetime = text(hyper::header::HeaderName::from_static(ROW_LIFETIME));
+        let lifetime = header(hyper::header::HeaderName::from_static(ROW_LIFETIME));
         let lifetime = lifetime
             .and_then(|text| text.parse().ok())
             .map(Duration::from_millis);
@@ -358,7 +360,10 @@
     fn list_vms(&self) -> StandinResponse {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        let due = state.vms.values().filter(|(shown_at, _)| *shown_at <= now);
+        let due = state
+            .vms
+            .values()
+            .filter(|(visible_at, _)| *visible_at <= now);
         let due: Vec<ListedVm> = due.map(|(_, vm)| vm.clone()).collect();
         for vm in due {
             state.listed.insert(vm.name.clone(), vm);
--- a/crates/plumgate-standin/src/service.rs
+++ b/crates/plumgate-standin/src/service.rs
@@ -28,9 +28,9 @@
     pub cut_after_run: u32,
     /// Number of calls whose connection is cut before they run.
     pub cut_before_run: u32,
-    /// Refuses calls as not run.
+    /// Whether calls are refused as not run.
     pub refuse: bool,
-    /// Runs calls and never answers them.
+    /// Whether calls run and are never answered.
     pub silent: bool,
 }
 
