--- a/crates/plumgate-standin/src/engine.rs
+++ b/crates/plumgate-standin/src/engine.rs
@@ -48,8 +48,8 @@
     /// Whether the answer is no longer available: the run was lost by a fault, cancelled, or orphaned for too long.
     lost: bool,
     stream: bool,
-    listeners: u32,
-    /// Time since which the run has had no listener.
+    open_streams: u32,
+    /// Time at which the last stream of the run ended; `None` while a stream is open and before the first one.
     orphaned_at: Option<Instant>,
 }
 
@@ -302,7 +302,7 @@
             done: false,
             lost: false,
             stream: request.stream,
-            listeners: 0,
+            open_streams: 0,
             orphaned_at: None,
         };
         state.runs.insert(id.clone(), run);
@@ -406,7 +406,8 @@
         self.state().runs.get(id).is_none_or(|run| run.done)
     }
 
-    /// Returns whether a run is done; a run without listeners for `orphan_time` is marked as lost first.
+    /// Returns whether a run is done. A run whose last stream ended more than `orphan_time` ago is marked as lost
+    /// first.
     fn is_finished(&self, id: &str) -> bool {
         let now = self.clock.now();
         let mut state = self.state_mut();
--- a/crates/plumgate-standin/src/engine/options.rs
+++ b/crates/plumgate-standin/src/engine/options.rs
@@ -21,7 +21,7 @@
     pub cached_prefixes: usize,
     /// Whether orders with an outdated fencing number are refused.
     pub checks_fencing: bool,
-    /// Time for which a run continues after its last listener disconnected.
+    /// Time for which a streamed run continues after its last stream ended.
     pub orphan_time: Duration,
     /// Whether requests for models that are not loaded are refused.
     pub strict_models: bool,
--- a/crates/plumgate-standin/src/engine/stream.rs
+++ b/crates/plumgate-standin/src/engine/stream.rs
@@ -64,7 +64,7 @@
         from: u32,
         chunks: Sender<Result<Bytes, ConnectionCut>>,
     ) {
-        self.adjust_listeners(&id, 1);
+        self.adjust_open_streams(&id, 1);
         let fault = self.stream_fault();
         let mut sent = from;
         let end = loop {
@@ -117,7 +117,7 @@
             // The reader may have disconnected; the run is retained, so that it can be resumed.
             let _ = chunks.send(last).await;
         }
-        self.adjust_listeners(&id, -1);
+        self.adjust_open_streams(&id, -1);
     }
 
     /// Returns the fault that applies to a new stream, if any, and decrements its counter.
@@ -129,12 +129,12 @@
             .then_some(StreamFault::Silent)
     }
 
-    /// Changes the number of listeners of a run and records since when it has had none.
-    pub(super) fn adjust_listeners(&self, id: &str, by: i32) {
+    /// Changes the number of open streams of a run, and records when the last one ended.
+    pub(super) fn adjust_open_streams(&self, id: &str, by: i32) {
         let now = self.clock.now();
         if let Some(run) = self.state_mut().runs.get_mut(id) {
-            run.listeners = run.listeners.saturating_add_signed(by);
-            run.orphaned_at = (run.listeners == 0).then_some(now);
+            run.open_streams = run.open_streams.saturating_add_signed(by);
+            run.orphaned_at = (run.open_streams == 0).then_some(now);
         }
     }
 
--- a/crates/plumgate-standin/src/load/cost.rs
+++ b/crates/plumgate-standin/src/load/cost.rs
@@ -1,4 +1,4 @@
-//! Tool that measures the cost of a node: added latency compared with direct requests, processor time per token
+//! Tool that measures the cost of a node: added latency compared with direct requests, processor time per token,
 //! and memory.
 
 use std::io;
--- a/crates/plumgate-standin/tests/at_most_once.rs
+++ b/crates/plumgate-standin/tests/at_most_once.rs
@@ -5,20 +5,20 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use fleet::{FleetPlan, call_later, model_call, outcome, receipt_call};
+use fleet::{FleetPlan, model_call, outcome, receipt_call, spawn_call};
 use serde_json::json;
 
 // Guards against a second run when repeats race for the claim: eight equal receipts go through four nodes at the
 // same time. There is one run, and all callers get the same answer.
 #[test]
-fn simultaneous_repeats_run_once_and_agree() {
+fn simultaneous_repeats_run_once_and_get_the_same_answer() {
     let fleet = FleetPlan::new()
         .with_nodes(&["dc-a", "dc-b", "dc-a", "dc-b"])
         .start();
-    fleet.faults(fleet.services[0].direct, &json!({ "delay_ms": 150 }));
+    fleet.set_faults(fleet.services[0].direct, &json!({ "delay_ms": 150 }));
     let callers: Vec<_> = (0..8)
         .map(|number| {
-            call_later(
+            spawn_call(
                 fleet.nodes[number % 4].callers,
                 receipt_call("norte", Some("sack 1"), "rice"),
             )
@@ -26,7 +26,7 @@
         .collect();
     let answers: Vec<_> = callers
         .into_iter()
-        .map(|c| c.join().expect("no panic").expect("an answer"))
+        .map(|caller| caller.join().expect("no panic").expect("an answer"))
         .collect();
     assert_eq!(fleet.runs_of("sack 1"), 1);
     for answer in &answers {
@@ -35,10 +35,10 @@
     }
 }
 
-// Guards against a second receipt after the node that answered was killed: the caller did not get the answer,
+// Guards against a second receipt after the node that answered was killed: the caller did not receive the answer,
 // repeats the request through another node, and gets the stored answer.
 #[test]
-fn kept_answer_comes_back_after_its_node_is_gone() {
+fn stored_answer_is_returned_after_its_node_was_killed() {
     let mut fleet = FleetPlan::new().start();
     let request = receipt_call("norte", Some("sack 2"), "rice");
     let first = fleet.call_node(0, &request);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn kept_stream_comes_back_whole() {
+fn stored_stream_is_returned_completely() {
     let fleet = FleetPlan::new().start();
     let request =
         model_call("norte", "certificate", "stream", 5, true).with_header("idempotency-key", "s");
@@ -65,7 +65,7 @@
 #[test]
 fn claim_whose_answer_is_lost_still_runs_once() {
     let fleet = FleetPlan::new().start();
-    fleet.faults(
+    fleet.set_faults(
         fleet.platform_address,
         &json!({ "lose_answers": 1, "only": "/table/claims" }),
     );
@@ -80,7 +80,7 @@
 fn receipt_without_a_store_is_not_run() {
     let fleet = FleetPlan::new().start();
     let request = receipt_call("norte", Some("sack 4"), "rice");
-    fleet.faults(fleet.platform_address, &json!({ "down": true }));
+    fleet.set_faults(fleet.platform_address, &json!({ "down": true }));
     let answer = fleet.call_node(0, &request);
     assert_eq!(
         (answer.status.as_u16(), outcome(&answer).as_str()),
@@ -88,7 +88,7 @@
     );
     assert!(answer.headers.contains_key("retry-after"));
     assert_eq!(fleet.runs_of("sack 4"), 0);
-    fleet.faults(fleet.platform_address, &json!({}));
+    fleet.set_faults(fleet.platform_address, &json!({}));
     let answer = fleet.call_node(1, &request);
     assert!(answer.status.is_success(), "{}", answer.text());
     assert_eq!(fleet.runs_of("sack 4"), 1);
@@ -97,17 +97,17 @@
 // The store applies the claim but loses every answer, and the node gives up. The row says "claimed" although
 // nothing ran; unless the node corrects it, a repeat would never run.
 #[test]
-fn claim_in_doubt_is_set_right_after_it_was_given_up() {
+fn unconfirmed_claim_is_corrected_after_the_node_gave_up() {
     let fleet = FleetPlan::new().start();
     let request = receipt_call("norte", Some("sack 5"), "rice");
-    fleet.faults(
+    fleet.set_faults(
         fleet.platform_address,
         &json!({ "lose_answers": 1, "nonsense": true, "only": "/table/claims" }),
     );
     let answer = fleet.call_node(0, &request);
     assert_eq!(outcome(&answer), "not_run", "{}", answer.text());
     assert_eq!(fleet.runs_of("sack 5"), 0);
-    fleet.faults(fleet.platform_address, &json!({}));
+    fleet.set_faults(fleet.platform_address, &json!({}));
     fleet.wait_until("the repeat runs", |fleet| {
         fleet.call_node(1, &request).status.is_success()
     });
@@ -117,11 +117,11 @@
 // The claiming node is killed while the service works. A repeat through another node waits until the claimer is
 // known to be dead, then returns "unknown", and nothing runs again.
 #[test]
-fn repeat_after_the_claimer_died_is_unknown_and_never_runs() {
+fn repeat_after_the_claimer_was_killed_is_unknown_and_not_run() {
     let mut fleet = FleetPlan::new().start();
-    fleet.faults(fleet.services[0].direct, &json!({ "delay_ms": 3000 }));
+    fleet.set_faults(fleet.services[0].direct, &json!({ "delay_ms": 3000 }));
     let request = receipt_call("norte", Some("sack 6"), "rice");
-    let caller = call_later(fleet.nodes[0].callers, request.clone());
+    let caller = spawn_call(fleet.nodes[0].callers, request.clone());
     sleep(Duration::from_millis(500));
     fleet.nodes[0].process.kill();
     assert!(caller.join().expect("no panic").is_err());
@@ -133,22 +133,22 @@
 // The claiming node is suspended while the service works, and resumes after its peers declared it dead. The
 // repeat returns "unknown"; the resumed node finishes its only run, and later repeats get that answer.
 #[test]
-fn frozen_claimer_finishes_its_one_run() {
+fn suspended_claimer_finishes_its_only_run() {
     let fleet = FleetPlan::new().start();
-    fleet.faults(fleet.services[0].direct, &json!({ "delay_ms": 300 }));
+    fleet.set_faults(fleet.services[0].direct, &json!({ "delay_ms": 300 }));
     let request = receipt_call("norte", Some("sack 7"), "rice");
-    let caller = call_later(fleet.nodes[0].callers, request.clone());
+    let caller = spawn_call(fleet.nodes[0].callers, request.clone());
     sleep(Duration::from_millis(150));
-    fleet.nodes[0].process.freeze();
+    fleet.nodes[0].process.suspend();
     let answer = fleet.call_node(1, &request);
     assert_eq!(outcome(&answer), "unknown");
-    fleet.nodes[0].process.thaw();
+    fleet.nodes[0].process.resume();
     let first = caller
         .join()
         .expect("no panic")
-        .expect("the woken node answers");
+        .expect("the resumed node answers");
     assert!(first.status.is_success(), "{}", first.text());
-    fleet.wait_until("the kept answer", |fleet| {
+    fleet.wait_until("the stored answer is returned", |fleet| {
         fleet.call_node(1, &request).body == first.body
     });
     assert_eq!(fleet.runs_of("sack 7"), 1);
@@ -170,12 +170,12 @@
 // The service ran the receipt, but its answer was cut, so the outcome is unknown. A repeat must return the same
 // outcome and not run the receipt again.
 #[test]
-fn repeat_of_an_unknown_receipt_is_unknown() {
+fn repeat_of_a_receipt_with_unknown_outcome_is_unknown() {
     let fleet = FleetPlan::new().start();
-    fleet.faults(fleet.services[0].direct, &json!({ "cut_after_run": 1 }));
+    fleet.set_faults(fleet.services[0].direct, &json!({ "cut_after_run": 1 }));
     let request = receipt_call("norte", Some("sack 9"), "rice");
     assert_eq!(outcome(&fleet.call_node(0, &request)), "unknown");
-    fleet.wait_until("the end of the run is written", |fleet| {
+    fleet.wait_until("the outcome is stored", |fleet| {
         outcome(&fleet.call_node(1, &request)) == "unknown"
     });
     assert_eq!(fleet.runs_of("sack 9"), 1);
@@ -185,7 +185,7 @@
 #[test]
 fn receipt_without_a_key_is_sent_once() {
     let fleet = FleetPlan::new().start();
-    fleet.faults(fleet.services[0].direct, &json!({ "cut_after_run": 1 }));
+    fleet.set_faults(fleet.services[0].direct, &json!({ "cut_after_run": 1 }));
     assert_eq!(
         outcome(&fleet.call_node(0, &receipt_call("norte", None, "keyless"))),
         "unknown"
--- a/crates/plumgate-standin/tests/config_in_force.rs
+++ b/crates/plumgate-standin/tests/config_in_force.rs
@@ -37,9 +37,9 @@
 }
 
 // Two operators start from the same version. One succeeds; the other must be shown what changed in the meantime,
-// and nothing of its change is applied.
+// and no part of its change is applied.
 #[test]
-fn racing_operators_are_told_exactly_what_changed() {
+fn apply_to_an_outdated_version_shows_what_changed() {
     let mut fleet = FleetPlan::new().start();
     edit(&mut fleet, 1500, 1600);
     assert_eq!(
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn operators_at_the_same_moment_get_one_version_each() {
+fn one_of_several_simultaneous_applies_succeeds() {
     let fleet = FleetPlan::new().start();
     let codes: Vec<_> = std::thread::scope(|scope| {
         let appliers: Vec<_> = (0..6)
@@ -82,7 +82,9 @@
         5,
         "{codes:?}"
     );
-    fleet.wait_until("all have it", |fleet| versions(fleet) == [2, 2]);
+    fleet.wait_until("all nodes have version 2", |fleet| {
+        versions(fleet) == [2, 2]
+    });
 }
 
 // The write of the head takes effect, but its answer is lost. The tool must recognize its own change by the
@@ -91,7 +93,7 @@
 fn apply_whose_answer_is_lost_is_accepted_once() {
     let mut fleet = FleetPlan::new().start();
     edit(&mut fleet, 1500, 1600);
-    fleet.faults(
+    fleet.set_faults(
         fleet.platform_address,
         &json!({ "lose_answers": 1, "only": "/table/config/head" }),
     );
@@ -101,11 +103,12 @@
     assert_eq!(versions(&fleet), [2, 2]);
 }
 
-// The store is down: nothing is applied, and the operator's tool says so. Nodes continue to serve requests.
+// The store is down: nothing is applied, and the operator's tool reports that by its exit code. Nodes continue to
+// serve requests.
 #[test]
-fn apply_without_a_store_says_that_nothing_was_applied() {
+fn apply_without_a_store_reports_that_nothing_was_applied() {
     let fleet = FleetPlan::new().start();
-    fleet.faults(fleet.platform_address, &json!({ "down": true }));
+    fleet.set_faults(fleet.platform_address, &json!({ "down": true }));
     let (code, text) = apply(&fleet, &[]);
     assert_eq!(code, Some(4), "{text}");
     assert!(
@@ -118,7 +121,7 @@
 
 // A data centre that is cut off from the platform, but not from its peers, must still get the new configuration.
 #[test]
-fn data_centre_without_the_platform_is_in_force_too() {
+fn change_is_in_force_in_a_data_centre_without_the_platform() {
     let mut fleet = FleetPlan::new()
         .with_nodes(&["dc-a", "dc-b", "dc-b"])
         .start();
@@ -134,21 +137,23 @@
 
 // The tool must name the data centre that can't be reached.
 #[test]
-fn data_centre_that_is_away_is_named() {
+fn unreachable_data_centre_is_named() {
     let mut fleet = FleetPlan::new().start();
-    fleet.nodes[1].process.freeze();
+    fleet.nodes[1].process.suspend();
     edit(&mut fleet, 1500, 1600);
     let (code, text) = apply(&fleet, &["--wait", "--wait-ms", "1500"]);
     assert_eq!(code, Some(6), "{text}");
     assert!(text.contains("not in force in: dc-b"), "{text}");
-    fleet.nodes[1].process.thaw();
-    fleet.wait_until("it catches up", |fleet| versions(fleet) == [2, 2]);
+    fleet.nodes[1].process.resume();
+    fleet.wait_until("the resumed node catches up", |fleet| {
+        versions(fleet) == [2, 2]
+    });
 }
 
 // The store answers with the value before the last write, then with unparsable text, then slowly. No node may
 // return to an older version, and all continue to serve requests.
 #[test]
-fn stale_and_senseless_answers_change_nothing() {
+fn stale_malformed_and_slow_answers_change_nothing() {
     let mut fleet = FleetPlan::new().start();
     edit(&mut fleet, 1500, 1600);
     assert_eq!(apply(&fleet, &["--wait"]).0, Some(0));
@@ -157,7 +162,7 @@
         json!({ "nonsense": true }),
         json!({ "slow_ms": 3000 }),
     ] {
-        fleet.faults(fleet.platform_address, &faults);
+        fleet.set_faults(fleet.platform_address, &faults);
         sleep(Duration::from_millis(1200));
         assert_eq!(versions(&fleet), [2, 2], "{faults}");
         assert!(
@@ -177,9 +182,9 @@
     edit(&mut fleet, 1500, 1600);
     assert_eq!(apply(&fleet, &["--wait"]).0, Some(0));
     fleet.nodes[1].process.kill();
-    fleet.faults(fleet.platform_address, &json!({ "down": true }));
-    let fresh = fleet.start_node_unlisted("dc-b");
-    fleet.wait_until("it is ready", |fleet| {
+    fleet.set_faults(fleet.platform_address, &json!({ "down": true }));
+    let fresh = fleet.start_unlisted_node("dc-b");
+    fleet.wait_until("the new node is ready", |fleet| {
         fleet
             .status(&fleet.nodes[fresh])
             .is_some_and(|status| status.config == 2 && status.state == "ready")
@@ -241,10 +246,10 @@
 // The operator's own connection to the platform breaks during the apply. The reported result must agree with the
 // contents of the table.
 #[test]
-fn apply_over_a_breaking_link_is_told_truthfully() {
+fn apply_over_a_failing_link_reports_its_true_outcome() {
     let mut fleet = FleetPlan::new().start();
-    let link =
-        FaultyLink::start(([127, 0, 0, 1], 0).into(), fleet.platform_address).expect("starts");
+    let link = FaultyLink::start(([127, 0, 0, 1], 0).into(), fleet.platform_address)
+        .expect("the link starts");
     for (number, bytes) in [100_u64, 400, 900].into_iter().enumerate() {
         edit(&mut fleet, 1500 + number as u64, 1501 + number as u64);
         let before = versions(&fleet)[0];
--- a/crates/plumgate-standin/tests/fleet/mod.rs
+++ b/crates/plumgate-standin/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Starts a small fleet of real processes for one test, and ends each process by its id.
+//! Fixture that starts a small fleet of real processes for one test, and kills each process by its id.
 #![allow(dead_code, reason = "each test file uses a part of the module")]
 
 use std::fs::File;
@@ -29,8 +29,8 @@
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// Held while a port is probed and while a process is started: a process that is being forked holds every socket of
-/// this one for a moment, and a port that is probed then appears to be in use.
+/// Lock that is held while a port is probed and while a process is started: a forked child holds every socket of this
+/// process until it executes its program, and a port that is probed in that moment appears to be in use.
 static FORK_LOCK: Mutex<()> = Mutex::new(());
 
 fn fork_lock() -> MutexGuard<'static, ()> {
@@ -88,19 +88,19 @@
         let _ = kill_process(pid, signal);
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process (SIGKILL) and waits until it has exited.
     pub(crate) fn kill(&mut self) {
         self.signal(Signal::KILL);
         let _ = self.child.wait();
     }
 
     /// Suspends the process (SIGSTOP).
-    pub(crate) fn freeze(&self) {
+    pub(crate) fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
     /// Resumes a suspended process (SIGCONT).
-    pub(crate) fn thaw(&self) {
+    pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -109,7 +109,7 @@
         self.signal(Signal::TERM);
     }
 
-    /// Returns the exit code if the process has ended; -1 after a signal.
+    /// Returns the exit code if the process has exited; -1 after a signal.
     pub(crate) fn exit_code(&mut self) -> Option<i32> {
         self.child
             .try_wait()
@@ -251,7 +251,7 @@
         self
     }
 
-    /// Makes engines ignore fencing numbers, and the inventory say so.
+    /// Makes engines ignore fencing numbers, and declares that in the inventory.
     pub(crate) fn without_fencing(mut self) -> Self {
         self.checks_fencing = false;
         self
@@ -319,7 +319,7 @@
             for node in &self.nodes {
                 let log = node.process.log();
                 let tail: Vec<&str> = log.lines().rev().take(25).collect();
-                eprintln!("--- the end of the log of {}:", node.name);
+                eprintln!("--- last lines of the log of {}:", node.name);
                 tail.iter().rev().for_each(|line| eprintln!("{line}"));
             }
         }
@@ -399,7 +399,7 @@
     }
 
     /// Starts another node that isn't in the platform's list, and returns its index.
-    pub(crate) fn start_node_unlisted(&mut self, data_centre: &str) -> usize {
+    pub(crate) fn start_unlisted_node(&mut self, data_centre: &str) -> usize {
         let index = self.nodes.len();
         let name = format!("entry-{}", index + 1);
         let platform =
@@ -442,9 +442,9 @@
 
     /// Starts another node, adds it to the platform's list, and returns its index.
     pub(crate) fn start_node(&mut self, data_centre: &str) -> usize {
-        let index = self.start_node_unlisted(data_centre);
+        let index = self.start_unlisted_node(data_centre);
         let node = &self.nodes[index];
-        self.list_vm(&ListedVm {
+        self.set_listed_vm(&ListedVm {
             name: node.name.clone(),
             role: VmRole::Entry,
             data_centre: node.data_centre.clone(),
@@ -455,7 +455,7 @@
     }
 
     /// Sets an entry in the platform's list of VMs.
-    pub(crate) fn list_vm(&self, vm: &ListedVm) {
+    pub(crate) fn set_listed_vm(&self, vm: &ListedVm) {
         let request = ClientCall::new(Method::POST, "/vms").with_json(&json!(vm));
         assert!(
             self.call(self.platform_address, &request)
@@ -465,10 +465,10 @@
     }
 
     /// Sets in the platform's list whether a backend server is leaving.
-    pub(crate) fn list_server(&self, name: &str, leaving: bool) {
+    pub(crate) fn set_listed_server(&self, name: &str, leaving: bool) {
         let address = "127.0.0.1:1".to_owned();
         let data_centre = "dc-a".to_owned();
-        self.list_vm(&ListedVm {
+        self.set_listed_vm(&ListedVm {
             name: name.to_owned(),
             role: VmRole::Server,
             data_centre,
@@ -519,7 +519,7 @@
             .expect("the rules are written");
     }
 
-    /// Changes a text of the rules file; the caller applies it.
+    /// Replaces a text of the rules file, without applying it.
     pub(crate) fn change_rules(&mut self, old: &str, new: &str) {
         assert!(self.plan.rules.contains(old), "{old} is not in the rules");
         self.plan.rules = self.plan.rules.replacen(old, new, 1);
@@ -551,7 +551,7 @@
             let _lock = fork_lock();
             command.spawn().expect("the tool was built by scripts/test")
         };
-        child.wait_with_output().expect("the tool ends")
+        child.wait_with_output().expect("the tool exits")
     }
 
     /// Sends a request and returns its answer.
@@ -565,7 +565,7 @@
     }
 
     /// Sets the faults of a stand-in; faults that aren't named are off.
-    pub(crate) fn faults(&self, address: SocketAddr, faults: &Value) {
+    pub(crate) fn set_faults(&self, address: SocketAddr, faults: &Value) {
         let request = ClientCall::new(Method::POST, "/faults").with_json(faults);
         let answer = self.call(address, &request);
         assert!(answer.status.is_success(), "{}", answer.text());
@@ -595,9 +595,9 @@
     }
 
     /// Waits until a condition holds and returns the time taken; fails the test after [`MAX_WAIT`].
-    pub(crate) fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) -> Duration {
+    pub(crate) fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) -> Duration {
         let start = Instant::now();
-        while !holds(self) {
+        while !condition(self) {
             assert!(start.elapsed() < MAX_WAIT, "timed out waiting until {what}");
             sleep(Duration::from_millis(20));
         }
@@ -618,7 +618,7 @@
 }
 
 /// Sends a request on a separate thread.
-pub(crate) fn call_later(
+pub(crate) fn spawn_call(
     address: SocketAddr,
     request: ClientCall,
 ) -> std::thread::JoinHandle<io::Result<ClientAnswer>> {
--- a/crates/plumgate-standin/tests/golden.rs
+++ b/crates/plumgate-standin/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Compares whole sessions byte for byte with files: requests and answers of the caller, requests to each server, and
-//! log lines. The clock is paused and the seed is fixed.
+//! Golden tests that compare complete sessions byte for byte with files: requests and answers of the caller, requests
+//! to each server, and log lines. The clock is paused and the seed is fixed.
 //!
 //! `PLUMGATE_GOLDEN=write` rewrites the files under `tests/golden`.
 
@@ -105,8 +105,11 @@
 }
 
 fn listener() -> (async_io::Async<TcpListener>, SocketAddr) {
-    let listener = bind(([127, 0, 0, 1], 0).into()).expect("binds");
-    let address = listener.get_ref().local_addr().expect("bound");
+    let listener = bind(([127, 0, 0, 1], 0).into()).expect("the listener binds");
+    let address = listener
+        .get_ref()
+        .local_addr()
+        .expect("the listener is bound");
     (listener, address)
 }
 
@@ -138,13 +141,13 @@
         });
         publish(&clock, platform, engine, service, slots);
         let sink = Arc::new(LineSink::default());
-        let log = sink_log(sink.clone(), LevelFilter::All).expect("a log");
+        let log = sink_log(sink.clone(), LevelFilter::All).expect("the log is created");
         let settings = NodeSettings::new("entry-1", "here", ([127, 0, 0, 1], 0).into(), platform)
             .with_peer_listen(fleet::free_address())
             .with_peer_key("a key for the tests")
             .with_traffic_threads(1)
             .with_seed(7);
-        let node = Node::start(settings, clock.clone(), log).expect("starts");
+        let node = Node::start(settings, clock.clone(), log).expect("the node starts");
         let callers = node.addresses().callers;
         let session = Self {
             clock,
@@ -189,7 +192,7 @@
             }
             assert!(
                 start.elapsed() < MAX_WAIT,
-                "the engine was not asked for {part}"
+                "the engine received no request that contains {part}"
             );
             sleep(Duration::from_millis(2));
         }
@@ -207,13 +210,13 @@
     }
 
     /// Sets the faults of the service and records them.
-    fn service_faults(&mut self, faults: &serde_json::Value) {
+    fn set_service_faults(&mut self, faults: &serde_json::Value) {
         self.append_line(&format!("-- faults of receipt-1: {faults}"));
         let request = ClientCall::new(Method::POST, "/faults").with_json(faults);
         async_io::block_on(call(self.service, &request)).expect("an answer");
     }
 
-    /// Waits until the service has begun a number of runs.
+    /// Waits until the service has started a number of runs.
     fn wait_for_runs(&self, runs: u64) {
         let start = Instant::now();
         let counts = ClientCall::new(Method::GET, "/counts");
@@ -222,13 +225,16 @@
             if answer.json()["total"].as_u64() == Some(runs) {
                 return;
             }
-            assert!(start.elapsed() < MAX_WAIT, "the service has not begun");
+            assert!(
+                start.elapsed() < MAX_WAIT,
+                "the service has not started {runs} runs"
+            );
             sleep(Duration::from_millis(2));
         }
     }
 
     /// Sets the faults of the engine and records them.
-    fn engine_faults(&mut self, faults: &serde_json::Value) {
+    fn set_engine_faults(&mut self, faults: &serde_json::Value) {
         self.append_line(&format!("-- faults of engine-1: {faults}"));
         let request = ClientCall::new(Method::POST, "/faults").with_json(faults);
         async_io::block_on(call(self.engine, &request)).expect("an answer");
@@ -306,19 +312,19 @@
         let start = Instant::now();
         let count =
             |lines: &[String], part: &str| lines.iter().filter(|line| line.contains(part)).count();
-        let asked = self
+        let sent = self
             .text
             .lines()
             .filter(|line| line.starts_with("> POST"))
             .count();
         loop {
             let lines = self.lines();
-            if count(&lines, "event=request ") + count(&lines, "event=rejected") == asked {
+            if count(&lines, "event=request ") + count(&lines, "event=rejected") == sent {
                 return;
             }
             assert!(
                 start.elapsed() < MAX_WAIT,
-                "a request has not logged its end"
+                "not every request has logged its end"
             );
             sleep(Duration::from_millis(2));
         }
@@ -329,7 +335,7 @@
         for _ in 0..3 {
             node.stop();
         }
-        // The control thread handles its events without the clock, and ends on the third stop.
+        // The control thread handles stops while the clock is paused, and exits on the third.
         node.join();
     }
 }
@@ -357,7 +363,7 @@
     };
     let client = PlatformClient::new(platform, clock.clone());
     async_io::block_on(async {
-        let body = serde_json::to_vec(&bundle).expect("packs");
+        let body = serde_json::to_vec(&bundle).expect("the bundle serializes");
         assert!(client.write_object(&head.digest, body.into(), None).await);
         let absent = WriteCondition::Absent;
         client
@@ -388,7 +394,7 @@
 }
 
 #[test]
-fn answers_whole_and_streamed() {
+fn non_streamed_and_streamed_answers() {
     let mut session = Session::start(4);
     session.exchange(&model_request("caption", 3, false));
     session.exchange(&model_request("caption", 2, true));
@@ -408,17 +414,17 @@
 #[test]
 fn stream_that_is_resumed() {
     let mut session = Session::start(4);
-    session.engine_faults(&json!({ "cut_streams": 1, "after_tokens": 2 }));
+    session.set_engine_faults(&json!({ "cut_streams": 1, "after_tokens": 2 }));
     session.exchange(&model_request("caption", 4, true));
     session.compare("resumed");
 }
 
-// The only slot of the service is taken. The next receipt waits for its maximum time and is then refused at once
+// The only slot of the service is in use. The next receipt waits for its maximum time and is then refused at once
 // with a `retry-after` header; the first one still gets its answer.
 #[test]
 fn receipt_that_expires() {
     let mut session = Session::start(1);
-    session.service_faults(&json!({ "delay_ms": 3000 }));
+    session.set_service_faults(&json!({ "delay_ms": 3000 }));
     let first = session.send(&receipt_request("sack-18", "one sack"));
     session.wait_for_line("server=receipt-1");
     // The claim is written over a connection, so its log line could come before or after that of the next request.
@@ -433,12 +439,11 @@
     session.compare("expired");
 }
 
-// The run of a certificate is lost. It may not run again, and the caller must be told that the outcome is
-// unknown.
+// The run of a certificate is lost. It may not run again, and its caller must get the outcome "unknown".
 #[test]
-fn certificate_in_doubt() {
+fn certificate_whose_run_is_lost() {
     let mut session = Session::start(4);
-    session.engine_faults(&json!({ "lose_runs": 1, "after_tokens": 1 }));
+    session.set_engine_faults(&json!({ "lose_runs": 1, "after_tokens": 1 }));
     session.exchange(&model_request("certificate", 3, false));
     session.wait_for_journal("DELETE");
     session.compare("in_doubt");
@@ -448,11 +453,13 @@
 fn requests_that_are_rejected() {
     let mut session = Session::start(4);
     session.exchange(&model_request("gold", 1, false));
-    let mut stranger = model_request("caption", 1, false);
-    stranger.headers.retain(|(name, _)| name != "authorization");
-    session.exchange(&stranger);
-    let mut broken = model_request("caption", 1, false);
-    broken.body = "{\"model\":".into();
-    session.exchange(&broken);
+    let mut without_key = model_request("caption", 1, false);
+    without_key
+        .headers
+        .retain(|(name, _)| name != "authorization");
+    session.exchange(&without_key);
+    let mut malformed = model_request("caption", 1, false);
+    malformed.body = "{\"model\":".into();
+    session.exchange(&malformed);
     session.compare("rejected");
 }
--- a/crates/plumgate-standin/tests/leaving.rs
+++ b/crates/plumgate-standin/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Tests that a backend server that is leaving gets no new requests after a few seconds, whatever the source.
+//! Tests that a backend server that is leaving gets no new requests after a few seconds, whichever source
+//! reports it.
 
 mod fleet;
 
@@ -12,7 +13,7 @@
 const MAX_DELAY: Duration = Duration::from_secs(4);
 
 /// Sends 12 requests through all nodes and returns how many of them ran on the first engine.
-fn new_runs(fleet: &Fleet) -> u64 {
+fn runs_on_first_engine(fleet: &Fleet) -> u64 {
     let count = || {
         let runs = fleet.counts(fleet.engines[0].direct)["runs"].clone();
         runs.as_object().map_or(0, |runs| {
@@ -45,22 +46,24 @@
 
 // The platform's list marks a server as leaving, with a delay. No node may send it new requests.
 #[test]
-fn server_on_the_platforms_list_gets_nothing() {
+fn server_listed_as_leaving_gets_no_new_requests() {
     let fleet = FleetPlan::new().with_engines(2, 4, 1).start();
-    assert!(new_runs(&fleet) > 0);
-    fleet.list_server("engine-1", true);
-    let elapsed = fleet.wait_until("all know", |fleet| {
+    assert!(runs_on_first_engine(&fleet) > 0);
+    fleet.set_listed_server("engine-1", true);
+    let elapsed = fleet.wait_until("all nodes report the server as leaving", |fleet| {
         all_nodes_report_leaving(fleet, "engine-1")
     });
     assert!(elapsed < MAX_DELAY, "{elapsed:?}");
-    assert_eq!(new_runs(&fleet), 0);
-    fleet.list_server("engine-1", false);
-    fleet.wait_until("it is back", |fleet| new_runs(fleet) > 0);
+    assert_eq!(runs_on_first_engine(&fleet), 0);
+    fleet.set_listed_server("engine-1", false);
+    fleet.wait_until("the server gets requests again", |fleet| {
+        runs_on_first_engine(fleet) > 0
+    });
 }
 
-// An operator drains a server and later undrains it.
+// An operator drains a server and later undrains it. The server must get no requests in between.
 #[test]
-fn drained_server_gets_nothing_until_it_is_brought_back() {
+fn drained_server_gets_no_new_requests_until_undrained() {
     let fleet = FleetPlan::new().with_engines(2, 4, 1).start();
     assert!(
         fleet
@@ -68,22 +71,22 @@
             .status
             .success()
     );
-    assert_eq!(new_runs(&fleet), 0);
+    assert_eq!(runs_on_first_engine(&fleet), 0);
     assert!(
         fleet
             .plumgate(&["undrain", "engine-1", "--wait"])
             .status
             .success()
     );
-    assert!(new_runs(&fleet) > 0);
+    assert!(runs_on_first_engine(&fleet) > 0);
 }
 
 // A server marks itself as leaving when it refuses a request. The node that received the refusal, and its peers,
 // must send it no more requests; no caller notices.
 #[test]
-fn server_that_says_so_itself_gets_nothing_from_any_node() {
+fn server_that_marks_itself_as_leaving_gets_no_new_requests() {
     let fleet = FleetPlan::new().with_engines(2, 4, 1).start();
-    fleet.faults(fleet.engines[0].direct, &json!({ "leaving": true }));
+    fleet.set_faults(fleet.engines[0].direct, &json!({ "leaving": true }));
     for _ in 0..4 {
         assert!(
             fleet
@@ -92,33 +95,33 @@
                 .is_success()
         );
     }
-    let elapsed = fleet.wait_until("all know", |fleet| {
+    let elapsed = fleet.wait_until("all nodes report the server as leaving", |fleet| {
         all_nodes_report_leaving(fleet, "engine-1")
     });
     assert!(elapsed < MAX_DELAY, "{elapsed:?}");
-    fleet.faults(fleet.engines[0].direct, &json!({}));
-    assert_eq!(new_runs(&fleet), 0);
+    fleet.set_faults(fleet.engines[0].direct, &json!({}));
+    assert_eq!(runs_on_first_engine(&fleet), 0);
 }
 
 // A data centre is cut off from the platform when one of its servers starts to leave. Its node must learn of it
 // from its peer and send the server no more requests.
 #[test]
-fn node_without_the_platform_hears_it_from_its_peers() {
+fn node_without_the_platform_learns_leaving_servers_from_peers() {
     let fleet = FleetPlan::new().with_engines(2, 4, 1).start();
     fleet.nodes[1].platform.cut();
-    fleet.list_server("engine-1", true);
-    let elapsed = fleet.wait_until("all know", |fleet| {
+    fleet.set_listed_server("engine-1", true);
+    let elapsed = fleet.wait_until("all nodes report the server as leaving", |fleet| {
         all_nodes_report_leaving(fleet, "engine-1")
     });
     assert!(elapsed < MAX_DELAY, "{elapsed:?}");
-    assert_eq!(new_runs(&fleet), 0);
+    assert_eq!(runs_on_first_engine(&fleet), 0);
 }
 
 // Guards against cutting off requests that are in flight on a server when it starts to leave.
 #[test]
-fn work_in_flight_on_a_leaving_server_is_finished() {
+fn requests_in_flight_on_a_leaving_server_are_finished() {
     let fleet = FleetPlan::new().with_engines(1, 4, 20).start();
-    let caller = fleet::call_later(
+    let caller = fleet::spawn_call(
         fleet.nodes[0].callers,
         model_call("norte", "caption", "long", 60, true),
     );
--- a/crates/plumgate-standin/tests/own_answer.rs
+++ b/crates/plumgate-standin/tests/own_answer.rs
@@ -5,12 +5,12 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use fleet::{FleetPlan, answer_content, call_later, expected_content, model_call, outcome};
+use fleet::{FleetPlan, answer_content, expected_content, model_call, outcome, spawn_call};
 use plumgate_standin::load::stream_content;
 use serde_json::json;
 
 #[test]
-fn many_callers_at_once_each_get_their_own_answer() {
+fn concurrent_callers_each_get_their_own_answer() {
     let fleet = FleetPlan::new().with_engines(2, 8, 2).start();
     let callers: Vec<_> = (0..60)
         .map(|number| {
@@ -20,7 +20,7 @@
             (
                 number,
                 prompt,
-                call_later(fleet.nodes[number as usize % 2].callers, request),
+                spawn_call(fleet.nodes[number as usize % 2].callers, request),
             )
         })
         .collect();
@@ -41,9 +41,9 @@
 // A stream's connection to its engine breaks after three tokens, and the engine repeats two of them when the
 // stream is resumed. The caller must get each token once, in order, and the end mark.
 #[test]
-fn cut_stream_is_resumed_without_a_token_twice_or_missing() {
+fn cut_stream_is_resumed_without_repeated_or_missing_tokens() {
     let fleet = FleetPlan::new().start();
-    fleet.faults(
+    fleet.set_faults(
         fleet.engines[0].direct,
         &json!({ "cut_streams": 1, "after_tokens": 3, "repeat_events": 1 }),
     );
@@ -58,10 +58,10 @@
 // The connection of a stream stays open but delivers nothing more, while new connections work, as when a
 // middlebox loses its state. The caller must get the rest of the stream, not a failure.
 #[test]
-fn silent_stream_goes_on_over_a_new_connection() {
+fn silent_stream_continues_over_a_new_connection() {
     let fleet = FleetPlan::new().with_engines(1, 4, 30).start();
     let request = model_call("norte", "caption", "silence", 40, true);
-    let caller = call_later(fleet.nodes[0].callers, request);
+    let caller = spawn_call(fleet.nodes[0].callers, request);
     sleep(Duration::from_millis(400));
     fleet.engines[0].link.silence();
     let answer = caller.join().expect("no panic").expect("an answer");
@@ -78,11 +78,11 @@
     );
 }
 
-// Same as above for a complete answer: the connection goes silent while the engine works on it.
+// Same as above for an answer that is not streamed: the connection goes silent while the engine generates it.
 #[test]
-fn silent_whole_answer_is_fetched_over_a_new_connection() {
+fn silent_non_streamed_answer_is_fetched_over_a_new_connection() {
     let fleet = FleetPlan::new().with_engines(1, 4, 30).start();
-    let caller = call_later(
+    let caller = spawn_call(
         fleet.nodes[0].callers,
         model_call("norte", "caption", "whole", 40, false),
     );
@@ -92,19 +92,19 @@
     assert_eq!(answer_content(&answer), expected_content("whole", 40));
 }
 
-// The only engine dies during a stream. The caller has some tokens, and no other run can continue from them; it
-// must get an error and a broken answer, never an end mark.
+// The only engine crashes during a stream. The caller has some tokens, and no other run can continue from them; it
+// must get an error and a truncated answer, never an end mark.
 #[test]
-fn stream_of_a_dead_engine_never_looks_whole() {
+fn stream_of_a_crashed_engine_never_gets_an_end_mark() {
     let mut fleet = FleetPlan::new().with_engines(1, 4, 30).start();
-    let caller = call_later(
+    let caller = spawn_call(
         fleet.nodes[0].callers,
         model_call("norte", "caption", "doomed", 100, true),
     );
     sleep(Duration::from_millis(600));
     fleet.engines[0].process.kill();
-    let answer = caller.join().expect("no panic").expect("the head came");
-    assert!(!answer.complete, "the connection must break off");
+    let answer = caller.join().expect("no panic").expect("the response head");
+    assert!(!answer.complete, "the connection must be cut");
     assert_eq!(stream_content(&answer.text()), None);
     assert!(
         answer.text().contains("\"outcome\":\"unknown\""),
@@ -113,24 +113,24 @@
     );
 }
 
-// One of two engines crashes during a complete answer of which the caller has received nothing. The caption may
-// run again, and its caller must get a complete answer from the other engine.
+// One of two engines crashes while it generates a non-streamed answer, of which the caller has received nothing. The
+// caption may run again, and its caller must get a complete answer from the other engine.
 #[test]
-fn whole_answer_of_a_crashed_engine_comes_from_another() {
+fn non_streamed_answer_of_a_crashed_engine_comes_from_another() {
     let fleet = FleetPlan::new()
         .with_engines(2, 4, 5)
         .with_nodes(&["dc-a"])
         .start();
     for engine in &fleet.engines {
-        fleet.faults(engine.direct, &json!({ "crash": true, "after_tokens": 5 }));
+        fleet.set_faults(engine.direct, &json!({ "crash": true, "after_tokens": 5 }));
     }
-    let caller = call_later(
+    let caller = spawn_call(
         fleet.nodes[0].callers,
         model_call("norte", "caption", "again", 50, false),
     );
     sleep(Duration::from_millis(20));
     let second = &fleet.engines[1];
-    fleet.faults(second.direct, &json!({}));
+    fleet.set_faults(second.direct, &json!({}));
     let answer = caller.join().expect("no panic").expect("an answer");
     assert_eq!(answer_content(&answer), expected_content("again", 50));
 }
@@ -138,16 +138,16 @@
 // An engine returns the head of another request's answer, as after a mix-up on a reused connection. No caller may
 // receive that answer; the caption runs again.
 #[test]
-fn answer_to_another_request_reaches_nobody() {
+fn answer_to_another_request_reaches_no_caller() {
     let fleet = FleetPlan::new().start();
-    fleet.faults(fleet.engines[0].direct, &json!({ "wrong_ids": 1 }));
+    fleet.set_faults(fleet.engines[0].direct, &json!({ "wrong_ids": 1 }));
     let answer = fleet.call_node(0, &model_call("norte", "caption", "mine", 6, false));
     assert_eq!(answer_content(&answer), expected_content("mine", 6));
 }
 
 // Two workspaces use the same key and the same prompt. Each must get its own run and not the answer of the other.
 #[test]
-fn equal_keys_and_prompts_of_two_workspaces_stay_apart() {
+fn equal_keys_and_prompts_of_two_workspaces_run_separately() {
     let fleet = FleetPlan::new().start();
     let request = |workspace| {
         model_call(workspace, "certificate", "same", 4, false)
@@ -160,12 +160,12 @@
     assert_eq!(fleet.runs_of("same key"), 2);
 }
 
-// A run is lost between its tokens and its end mark. A certificate may not run again, so its caller must be told
-// that the outcome is unknown.
+// A run is lost between its tokens and its end mark. A certificate may not run again, so its caller must get the
+// outcome "unknown".
 #[test]
 fn lost_run_of_a_certificate_is_unknown() {
     let fleet = FleetPlan::new().start();
-    fleet.faults(
+    fleet.set_faults(
         fleet.engines[0].direct,
         &json!({ "lose_runs": 1, "after_tokens": 6 }),
     );
--- a/crates/plumgate-standin/tests/stop.rs
+++ b/crates/plumgate-standin/tests/stop.rs
@@ -7,22 +7,22 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use fleet::{FleetPlan, call_later, expected_content, model_call, outcome, receipt_call, try_call};
+use fleet::{FleetPlan, expected_content, model_call, outcome, receipt_call, spawn_call, try_call};
 use hyper::Method;
 use plumgate_standin::http::ClientCall;
 use plumgate_standin::load::stream_content;
 use serde_json::json;
 
-// A node is asked to stop while a stream, a complete answer and a receipt are in flight. Each caller must get its
+// A node is asked to stop while a stream, a non-streamed answer and a receipt are in flight. Each caller must get its
 // complete answer; then the process exits with 0.
 #[test]
-fn requests_in_flight_are_answered_whole() {
+fn requests_in_flight_are_answered_completely() {
     let mut fleet = FleetPlan::new().with_engines(1, 4, 20).start();
-    fleet.faults(fleet.services[0].direct, &json!({ "delay_ms": 1500 }));
+    fleet.set_faults(fleet.services[0].direct, &json!({ "delay_ms": 1500 }));
     let node = fleet.nodes[0].callers;
-    let stream = call_later(node, model_call("norte", "caption", "stream", 60, true));
-    let whole = call_later(node, model_call("norte", "caption", "whole", 60, false));
-    let receipt = call_later(node, receipt_call("norte", Some("stop"), "rice"));
+    let stream = spawn_call(node, model_call("norte", "caption", "stream", 60, true));
+    let non_streamed = spawn_call(node, model_call("norte", "caption", "whole", 60, false));
+    let receipt = spawn_call(node, receipt_call("norte", Some("stop"), "rice"));
     sleep(Duration::from_millis(300));
     fleet.nodes[0].process.terminate();
     let stream = stream.join().expect("no panic").expect("an answer");
@@ -30,8 +30,11 @@
         stream_content(&stream.text()),
         Some(expected_content("stream", 60))
     );
-    let whole = whole.join().expect("no panic").expect("an answer");
-    assert_eq!(fleet::answer_content(&whole), expected_content("whole", 60));
+    let non_streamed = non_streamed.join().expect("no panic").expect("an answer");
+    assert_eq!(
+        fleet::answer_content(&non_streamed),
+        expected_content("whole", 60)
+    );
     assert!(
         receipt
             .join()
@@ -40,7 +43,7 @@
             .status
             .is_success()
     );
-    wait_for_end(&mut fleet, 0);
+    wait_for_exit(&mut fleet, 0);
     // The answer of the receipt was stored before the node exited.
     assert!(
         fleet
@@ -52,7 +55,7 @@
 }
 
 /// Waits until a node exits, and checks that its exit code is 0.
-fn wait_for_end(fleet: &mut fleet::Fleet, node: usize) {
+fn wait_for_exit(fleet: &mut fleet::Fleet, node: usize) {
     let start = Instant::now();
     loop {
         if let Some(code) = fleet.nodes[node].process.exit_code() {
@@ -61,7 +64,7 @@
         }
         assert!(
             start.elapsed() < Duration::from_secs(15),
-            "the node does not end"
+            "the node does not exit"
         );
         sleep(Duration::from_millis(20));
     }
@@ -70,7 +73,7 @@
 // The load balancer lags: it continues to send requests for a while after the node withdrew its readiness. Those
 // requests must be served, not refused.
 #[test]
-fn new_work_is_taken_while_the_balancer_lags() {
+fn new_requests_are_accepted_while_the_balancer_lags() {
     let mut fleet = FleetPlan::new()
         .with_variable("PLUMGATE_BALANCER_LAG_MS", "1500")
         .start();
@@ -81,7 +84,7 @@
     });
     let answer = fleet.call_node(0, &model_call("norte", "caption", "late", 3, false));
     assert!(answer.status.is_success(), "{}", answer.text());
-    wait_for_end(&mut fleet, 0);
+    wait_for_exit(&mut fleet, 0);
 }
 
 // Requests are queued when the node stops accepting work. They must be refused as not run at once, so that their
@@ -93,12 +96,12 @@
         .with_nodes(&["dc-a"])
         .start();
     let node = fleet.nodes[0].callers;
-    let running = call_later(
+    let running = spawn_call(
         node,
         model_call("norte", "certificate", "running", 100, true),
     );
     sleep(Duration::from_millis(300));
-    let queued = call_later(node, model_call("norte", "certificate", "queued", 5, false));
+    let queued = spawn_call(node, model_call("norte", "certificate", "queued", 5, false));
     sleep(Duration::from_millis(100));
     fleet.nodes[0].process.terminate();
     let queued = queued.join().expect("no panic").expect("an answer");
@@ -111,12 +114,12 @@
         stream_content(&running.text()),
         Some(expected_content("running", 100))
     );
-    wait_for_end(&mut fleet, 0);
+    wait_for_exit(&mut fleet, 0);
 }
 
-// Guards against a stop that waits for an idle connection of a caller.
+// Guards against a stop that waits for idle connections of callers.
 #[test]
-fn idle_connections_do_not_hold_up_the_stop() {
+fn idle_connections_do_not_delay_the_stop() {
     let mut fleet = FleetPlan::new().start();
     let mut idle = TcpStream::connect(fleet.nodes[0].callers).expect("connects");
     idle.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
@@ -125,33 +128,33 @@
     assert!(idle.read(&mut buffer).expect("an answer") > 0);
     let start = Instant::now();
     fleet.nodes[0].process.terminate();
-    wait_for_end(&mut fleet, 0);
+    wait_for_exit(&mut fleet, 0);
     assert!(start.elapsed() < Duration::from_secs(3));
     assert_eq!(
-        idle.read(&mut buffer).expect("the end"),
+        idle.read(&mut buffer).expect("the end of the connection"),
         0,
         "the connection is closed"
     );
 }
 
 // A stream lasts longer than the configured grace period. The process must exit all the same, and the caller must
-// see a broken answer, not a complete one.
+// see a truncated answer, not a complete one.
 #[test]
 fn stream_longer_than_the_grace_period_is_cut_visibly() {
     let mut fleet = FleetPlan::new()
         .with_engines(1, 4, 50)
         .with_variable("PLUMGATE_GRACE_MS", "500")
         .start();
-    let caller = call_later(
+    let caller = spawn_call(
         fleet.nodes[0].callers,
         model_call("norte", "caption", "long", 200, true),
     );
     sleep(Duration::from_millis(300));
     let start = Instant::now();
     fleet.nodes[0].process.terminate();
-    wait_for_end(&mut fleet, 0);
+    wait_for_exit(&mut fleet, 0);
     assert!(start.elapsed() < Duration::from_secs(5));
-    let answer = caller.join().expect("no panic").expect("the head came");
+    let answer = caller.join().expect("no panic").expect("the response head");
     assert!(!answer.complete);
     assert_eq!(stream_content(&answer.text()), None);
 }
@@ -159,18 +162,18 @@
 // A second signal ends the wait for the load balancer, and requests in flight still finish. A third signal ends
 // the process at once.
 #[test]
-fn second_signal_hurries_and_third_ends() {
+fn second_signal_skips_the_balancer_lag_and_third_exits_at_once() {
     let mut fleet = FleetPlan::new()
         .with_engines(1, 4, 20)
         .with_variable("PLUMGATE_BALANCER_LAG_MS", "60000")
         .start();
-    let caller = call_later(
+    let caller = spawn_call(
         fleet.nodes[0].callers,
         model_call("norte", "caption", "hurry", 50, true),
     );
     sleep(Duration::from_millis(300));
     fleet.nodes[0].process.terminate();
-    fleet.wait_until("it announces", |fleet| {
+    fleet.wait_until("the node announces its stop", |fleet| {
         fleet.nodes[0].process.log().contains("state=announcing")
     });
     fleet.nodes[0].process.terminate();
@@ -179,9 +182,9 @@
         stream_content(&answer.text()),
         Some(expected_content("hurry", 50))
     );
-    wait_for_end(&mut fleet, 0);
+    wait_for_exit(&mut fleet, 0);
 
-    let long = call_later(
+    let long = spawn_call(
         fleet.nodes[1].callers,
         model_call("norte", "caption", "endless", 500, true),
     );
@@ -192,7 +195,7 @@
         fleet.wait_until(state, |fleet| fleet.nodes[1].process.log().contains(&mark));
     }
     fleet.nodes[1].process.terminate();
-    wait_for_end(&mut fleet, 1);
+    wait_for_exit(&mut fleet, 1);
     assert!(
         !long
             .join()
@@ -203,19 +206,19 @@
 
 // Peers must remove a stopping node at once, not only after it has been silent for a while.
 #[test]
-fn peers_hear_that_a_node_stops() {
+fn peers_remove_a_stopping_node_at_once() {
     let mut fleet = FleetPlan::new()
         .with_variable("PLUMGATE_BALANCER_LAG_MS", "1500")
         .start();
     fleet.nodes[0].process.terminate();
-    fleet.wait_until("the peer knows", |fleet| {
+    fleet.wait_until("the peer removes the node", |fleet| {
         fleet
             .status(&fleet.nodes[1])
             .is_some_and(|status| status.nodes.len() == 1)
     });
     assert!(
         fleet.nodes[0].process.exit_code().is_none(),
-        "it still takes late callers"
+        "the node exited before the balancer lag was over"
     );
     assert!(
         try_call(
--- a/crates/plumgate-standin/tests/waste.rs
+++ b/crates/plumgate-standin/tests/waste.rs
@@ -1,5 +1,5 @@
-//! Tests that work without a receiver is stopped and counted, and that retries don't multiply the load of a failing
-//! fleet.
+//! Tests that runs of disconnected callers are cancelled and counted, and that retries don't multiply the load of a
+//! failing fleet.
 
 mod fleet;
 
@@ -24,7 +24,7 @@
 // A caller disconnects during its stream. The engine must stop working on it, its slot must be free for the next
 // caller, and the wasted tokens must be counted.
 #[test]
-fn run_of_a_caller_that_went_away_is_cancelled_and_counted() {
+fn run_of_a_disconnected_caller_is_cancelled_and_counted() {
     let fleet = FleetPlan::new()
         .with_nodes(&["dc-a"])
         .with_engines(1, 1, 20)
@@ -56,7 +56,7 @@
 
 // All engines lose every run before its first token. Without a bound each caption would run five times, and the
 // failing fleet would get five times its load. The budget allows 10 retries and one more for each ten requests;
-// beyond it the caller is told at once that the outcome is unknown.
+// beyond it the caller gets the outcome "unknown" at once.
 #[test]
 fn retries_are_bounded_by_the_budget() {
     let fleet = FleetPlan::new()
@@ -64,7 +64,7 @@
         .with_engines(2, 8, 1)
         .start();
     for engine in &fleet.engines {
-        fleet.faults(
+        fleet.set_faults(
             engine.direct,
             &json!({ "lose_runs": 100_000, "after_tokens": 0 }),
         );
