--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -80,7 +80,7 @@
             AttemptOutcome::InDoubt("broken")
         }
         None if shared.clock.now() < order.request.due => {
-            work.set_outcome(WorkOutcome::Silent);
+            work.set_outcome(WorkOutcome::TimedOut);
             shared.links.clear(&order.server.id);
             AttemptOutcome::InDoubt("silent")
         }
--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -156,7 +156,7 @@
     fn probe_data_centres(&self, now: Instant) {
         let (probes, unreachable) = {
             let mut loads = self.shared.loads();
-            (loads.probes(now), loads.cut_off_data_centres())
+            (loads.probes(now), loads.unreachable_data_centres())
         };
         self.log_unreachable_data_centres(unreachable);
         for server in probes {
--- a/crates/plumgate-node/src/gateway/relay.rs
+++ b/crates/plumgate-node/src/gateway/relay.rs
@@ -110,7 +110,7 @@
     async fn wait_for_server(&mut self) -> Result<(), CallerError> {
         let now = self.shared.clock.now();
         let placement = self.request.placement(&self.tried, false);
-        let Some(deferral) = self.shared.loads().deferred_until(&placement, now) else {
+        let Some(deferral) = self.shared.loads().deferral(&placement, now) else {
             return Ok(());
         };
         let deferred_for = deferral.until.saturating_duration_since(now);
@@ -145,15 +145,13 @@
         let pick = self.shared.loads().pick(&placement, now);
         let spread = self.shared.random_share();
         let Some(pick) = pick else {
-            if self
-                .shared
-                .loads()
-                .deferred_until(&placement, now)
-                .is_some()
-            {
+            if self.shared.loads().deferral(&placement, now).is_some() {
                 return Ok(None);
             }
-            let has_only_leaving = self.shared.loads().has_only_leaving(&self.request.pool);
+            let has_only_leaving = self
+                .shared
+                .loads()
+                .has_only_leaving_servers(&self.request.pool);
             let (reason, delay) = if has_only_leaving {
                 (SendRefusal::Leaving.as_str(), ALL_LEAVING_RETRY_DELAY)
             } else {
--- a/crates/plumgate-node/src/gateway/stream.rs
+++ b/crates/plumgate-node/src/gateway/stream.rs
@@ -135,7 +135,7 @@
                 StreamInput::Failed(reason) => {
                     self.set_outcome(match reason {
                         RESTARTED => WorkOutcome::Restarted,
-                        SILENT => WorkOutcome::Silent,
+                        SILENT => WorkOutcome::TimedOut,
                         _ => WorkOutcome::Broken,
                     });
                     if !self.resume(reason).await {
--- a/crates/plumgate-node/src/gateway/suspects.rs
+++ b/crates/plumgate-node/src/gateway/suspects.rs
@@ -72,7 +72,7 @@
         let now = self.clock.now();
         let crashed = self
             .quarantine()
-            .on_server_gone(server, CrashSign::Refused, now);
+            .on_server_crashed(server, CrashSign::Refused, now);
         self.record_crashes(&crashed, server, CrashSign::Refused);
     }
 
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -162,7 +162,7 @@
         for update in outcome.changes {
             match update {
                 ServerUpdate::Entry(entry) => self.put_servers(vec![entry], "told"),
-                ServerUpdate::Gone { id, unconfirmed } => {
+                ServerUpdate::Removed { id, unconfirmed } => {
                     let grace_period = self
                         .grace_period(now)
                         .or(unconfirmed.then_some(UNCONFIRMED_GRACE_PERIOD));
--- a/crates/plumgate-node/src/gateway/view_servers.rs
+++ b/crates/plumgate-node/src/gateway/view_servers.rs
@@ -27,7 +27,7 @@
         for update in &updates {
             match update {
                 ServerUpdate::Entry(entry) => self.put_servers(vec![entry.clone()], "watched"),
-                ServerUpdate::Gone { id, .. } => self.remove_server(id, grace_period, "watched"),
+                ServerUpdate::Removed { id, .. } => self.remove_server(id, grace_period, "watched"),
                 ServerUpdate::Unusable(id) => self.remove_server(id, None, "watched"),
             }
         }
@@ -49,7 +49,7 @@
                 Some(ServerUpdate::Unusable(entry.id))
             }
             SourceEvent::Server(entry) => Some(ServerUpdate::Entry(entry)),
-            SourceEvent::ServerRemoved(id) => Some(ServerUpdate::Gone { id, unconfirmed }),
+            SourceEvent::ServerRemoved(id) => Some(ServerUpdate::Removed { id, unconfirmed }),
             SourceEvent::InvalidServer(id, findings) => {
                 self.log_findings(SourceTopic::Servers, &findings);
                 Some(ServerUpdate::Unusable(id))
@@ -66,7 +66,7 @@
             match update {
                 ServerUpdate::Entry(entry) => entries.push(entry),
                 ServerUpdate::Unusable(id) => unusable.push(id),
-                ServerUpdate::Gone { .. } => {}
+                ServerUpdate::Removed { .. } => {}
             }
         }
         let now = self.shared.clock.now();
@@ -105,11 +105,11 @@
     /// crashed while it ran a request.
     fn check_for_crash(&self, loads: &LoadTable, change: &ServerChange, now: Instant) {
         let (id, sign) = match change {
-            ServerChange::Gone(id) => (id, CrashSign::Lapsed),
+            ServerChange::Removed(id) => (id, CrashSign::Lapsed),
             ServerChange::Restarted(entry) => (&entry.id, CrashSign::Restarted),
             ServerChange::Changed(entry) => {
                 if loads.entry(&entry.id).is_none() {
-                    self.shared.quarantine().on_server_back(entry);
+                    self.shared.quarantine().on_server_listed(entry);
                 }
                 return;
             }
@@ -121,7 +121,10 @@
             entry.state == ServerState::Ready && leaves.is_none()
         };
         if let Some(previous) = previous.filter(was_ready) {
-            let identities = self.shared.quarantine().on_server_gone(previous, sign, now);
+            let identities = self
+                .shared
+                .quarantine()
+                .on_server_crashed(previous, sign, now);
             self.shared.record_crashes(&identities, previous, sign);
         }
     }
@@ -154,12 +157,12 @@
                     .with("pool", &entry.pool)
                     .with("address", entry.address)
                     .with("data_centre", &entry.data_centre),
-                ServerChange::Gone(id) => line.with("server", id).with("state", "gone"),
+                ServerChange::Removed(id) => line.with("server", id).with("state", "gone"),
                 ServerChange::Unconfirmed(id) => line.with("server", id).with("state", "doubted"),
             };
             line.info(&self.shared.log);
             match change {
-                ServerChange::Gone(id) => {
+                ServerChange::Removed(id) => {
                     self.shared.links.clear(id);
                     self.shared.incarnations.forget(id);
                 }
--- a/crates/plumgate/src/gateway/placement/candidates.rs
+++ b/crates/plumgate/src/gateway/placement/candidates.rs
@@ -61,11 +61,7 @@
 
     /// Returns the earliest time at which one of the servers that could take the request is no longer
     /// deferred, or `None` where none is deferred.
-    pub fn deferred_until(
-        &self,
-        request: &PlacementRequest<'_>,
-        now: Instant,
-    ) -> Option<SendDeferral> {
+    pub fn deferral(&self, request: &PlacementRequest<'_>, now: Instant) -> Option<SendDeferral> {
         let untried = self
             .of_pool(request)
             .filter(|load| load.accepts_work() && !request.avoid.contains(&load.entry.id));
@@ -75,7 +71,7 @@
     }
 
     /// Returns whether the pool has known servers and all of them are leaving.
-    pub fn has_only_leaving(&self, pool: &PoolId) -> bool {
+    pub fn has_only_leaving_servers(&self, pool: &PoolId) -> bool {
         let of_pool = || {
             self.servers
                 .values()
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -96,7 +96,7 @@
                 let load = ServerLoad::new(entry.clone(), now);
                 self.servers.insert(entry.id.clone(), load);
             }
-            ServerChange::Gone(id) => {
+            ServerChange::Removed(id) => {
                 self.servers.remove(id);
             }
             ServerChange::Unconfirmed(_) => {}
@@ -421,7 +421,7 @@
             }
             WorkOutcome::Failed
             | WorkOutcome::Broken
-            | WorkOutcome::Silent
+            | WorkOutcome::TimedOut
             | WorkOutcome::Restarted
             | WorkOutcome::Unsent
             | WorkOutcome::Inconclusive => {}
@@ -454,8 +454,8 @@
         self.data_centres.record_answer(&server.data_centre);
     }
 
-    /// Returns the data centres that seem cut off from this node.
-    pub fn cut_off_data_centres(&self) -> Vec<DataCentreId> {
+    /// Returns the data centres that seem unreachable from this node.
+    pub fn unreachable_data_centres(&self) -> Vec<DataCentreId> {
         self.data_centres.cut_off()
     }
 }
--- a/crates/plumgate/src/gateway/placement/server_load.rs
+++ b/crates/plumgate/src/gateway/placement/server_load.rs
@@ -337,7 +337,7 @@
                 self.record_answer(now);
                 0.0
             }
-            WorkOutcome::Failed | WorkOutcome::Broken | WorkOutcome::Silent => 1.0,
+            WorkOutcome::Failed | WorkOutcome::Broken | WorkOutcome::TimedOut => 1.0,
             WorkOutcome::Refused | WorkOutcome::Unreachable => {
                 self.breaker.record_failure(now);
                 self.unreachable_until = Some(now + UNREACHABLE_PAUSE);
--- a/crates/plumgate/src/gateway/quarantine/table.rs
+++ b/crates/plumgate/src/gateway/quarantine/table.rs
@@ -184,7 +184,7 @@
             .remove(ticket.server, ticket.identity, ticket.began);
         let is_unexplained = matches!(
             outcome,
-            WorkOutcome::Broken | WorkOutcome::Silent | WorkOutcome::Inconclusive
+            WorkOutcome::Broken | WorkOutcome::TimedOut | WorkOutcome::Inconclusive
         );
         if let Some(run) = ticket.in_doubt_run(outcome, now).filter(|_| is_unexplained) {
             return self.on_in_doubt_run(run, outcome, now);
@@ -208,7 +208,7 @@
                 }
             }
             WorkOutcome::Broken
-            | WorkOutcome::Silent
+            | WorkOutcome::TimedOut
             | WorkOutcome::Inconclusive
             | WorkOutcome::Unsent
             | WorkOutcome::Refused
@@ -261,7 +261,7 @@
     /// Handles a server that was removed without having drained, that restarted, or whose machine refuses
     /// connections. Its in-doubt runs are explained by a crash, and if its entry lapsed, its in-flight runs
     /// too. Returns the requests of these runs.
-    pub fn on_server_gone(
+    pub fn on_server_crashed(
         &mut self,
         server: &ServerEntry,
         sign: CrashSign,
@@ -298,7 +298,7 @@
     }
 
     /// Handles a server whose entry is listed again.
-    pub fn on_server_back(&mut self, server: &ServerEntry) {
+    pub fn on_server_listed(&mut self, server: &ServerEntry) {
         self.in_doubt.on_server_listed(server_key(server));
     }
 
--- a/crates/plumgate/src/gateway/quarantine/verdict.rs
+++ b/crates/plumgate/src/gateway/quarantine/verdict.rs
@@ -80,7 +80,7 @@
     /// same holds for a run without any response on a new connection, as the machine of a hung server still
     /// accepts connections.
     pub(crate) fn in_doubt_run(&self, outcome: WorkOutcome, now: Instant) -> Option<InDoubtRun> {
-        let is_silent = matches!(outcome, WorkOutcome::Silent | WorkOutcome::Inconclusive);
+        let is_silent = matches!(outcome, WorkOutcome::TimedOut | WorkOutcome::Inconclusive);
         let earliest_crash = if is_silent {
             self.earliest_silent_crash
         } else {
--- a/crates/plumgate/src/gateway/servers.rs
+++ b/crates/plumgate/src/gateway/servers.rs
@@ -112,7 +112,7 @@
     /// A server restarted under its id, and has lost all state of its earlier incarnation.
     Restarted(ServerEntry),
     /// A server's entry was removed; the server gets no new requests.
-    Gone(ServerId),
+    Removed(ServerId),
     /// A server's entry was removed, but the store was unavailable shortly before; the server stays in use for
     /// now.
     Unconfirmed(ServerId),
@@ -230,7 +230,7 @@
         let Some(grace_period) = grace_period else {
             let removed = self.servers.remove(id)?;
             self.record_departed(&removed.entry, now);
-            return Some(ServerChange::Gone(id.clone()));
+            return Some(ServerChange::Removed(id.clone()));
         };
         let known = self.servers.get_mut(id)?;
         if known.expires_at.is_some() {
--- a/crates/plumgate/src/gateway/sync/messages.rs
+++ b/crates/plumgate/src/gateway/sync/messages.rs
@@ -21,7 +21,7 @@
     /// An entry was written.
     Entry(ServerEntry),
     /// An entry was removed.
-    Gone {
+    Removed {
         /// Id of the server.
         id: ServerId,
         /// Whether the entry may have expired because of an outage of the store.
--- a/crates/plumgate/src/gateway/work.rs
+++ b/crates/plumgate/src/gateway/work.rs
@@ -68,7 +68,7 @@
     /// The connection broke before the answer was complete.
     Broken,
     /// The server sent nothing for too long.
-    Silent,
+    TimedOut,
     /// The server restarted meanwhile and lost the request.
     Restarted,
     /// The connection was closed before the request was sent.
--- a/crates/plumgate/tests/gateway_copies.rs
+++ b/crates/plumgate/tests/gateway_copies.rs
@@ -138,7 +138,7 @@
     assert_eq!(copy_from(&next), Some(&first.id));
     bench
         .table
-        .apply(&ServerChange::Gone(first.id.clone()), bench.now);
+        .apply(&ServerChange::Removed(first.id.clone()), bench.now);
     let after_removal = bench.pick(&prompt, &[]);
     assert_eq!(
         copy_from(&after_removal),
--- a/crates/plumgate/tests/gateway_quarantine.rs
+++ b/crates/plumgate/tests/gateway_quarantine.rs
@@ -36,7 +36,7 @@
     let ticket = table.begin(request, server, ConnectionKind::New, started_at);
     let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, crashed_at);
     assert_eq!(finding, RunFinding::ProbeServer);
-    let crashes = table.on_server_gone(server, CrashSign::Refused, crashed_at);
+    let crashes = table.on_server_crashed(server, CrashSign::Refused, crashed_at);
     assert_eq!(crashes, [request]);
 }
 
@@ -243,7 +243,7 @@
         fleet.send_to(server, popular, server);
     }
     for server in 0..4 {
-        fleet.crash_server(server, WorkOutcome::Silent);
+        fleet.crash_server(server, WorkOutcome::TimedOut);
     }
     // Requests on reused connections get no answer, one after another.
     let before = fleet.now - STEP;
@@ -261,7 +261,7 @@
         let now = fleet.now;
         fleet.nodes[0]
             .table
-            .finish(ticket, WorkOutcome::Silent, now);
+            .finish(ticket, WorkOutcome::TimedOut, now);
     }
     for server in 0..4 {
         fleet.lapse(server);
@@ -279,7 +279,7 @@
 // answer, and only the lapsed entry shows the crash.
 #[test]
 fn unresponsive_server_counts_once_its_entry_lapses() {
-    for outcome in [WorkOutcome::Silent, WorkOutcome::Inconclusive] {
+    for outcome in [WorkOutcome::TimedOut, WorkOutcome::Inconclusive] {
         let mut table = lone_table();
         let request = identity("lab", "deadly");
         let mut now = Instant::now();
@@ -291,7 +291,7 @@
             now += SECOND * 2;
             assert_eq!(table.finish(ticket, outcome, now), RunFinding::Nothing);
             now += SECOND;
-            table.on_server_gone(&server, CrashSign::Lapsed, now);
+            table.on_server_crashed(&server, CrashSign::Lapsed, now);
             now += SECOND;
         }
         let late = server_entry("s3");
@@ -313,7 +313,7 @@
     let ticket = table
         .begin(request, &server, ConnectionKind::New, now)
         .expect("sent");
-    table.on_server_gone(&server, CrashSign::Lapsed, now + SECOND);
+    table.on_server_crashed(&server, CrashSign::Lapsed, now + SECOND);
     let finding = table.finish(ticket, WorkOutcome::Inconclusive, now + SECOND * 2);
     assert_eq!(finding, RunFinding::ServerCrashed(CrashSign::Lapsed));
 }
@@ -349,7 +349,7 @@
     let ticket = table.begin(popular, &unresponsive, ConnectionKind::New, sent);
     let late = sent + SECOND * 2;
     table.finish(ticket.expect("sent"), WorkOutcome::Inconclusive, late);
-    table.on_server_gone(&unresponsive, CrashSign::Lapsed, late);
+    table.on_server_crashed(&unresponsive, CrashSign::Lapsed, late);
     let verdict = table.verdict(popular, late);
     assert_eq!(verdict, RequestVerdict::SendIsolated);
 }
@@ -368,7 +368,7 @@
         let ticket = table.begin(request, &server, ConnectionKind::New, now);
         waiting.push(ticket.expect("sent"));
         now += SECOND * 3;
-        let crashes = table.on_server_gone(&server, CrashSign::Lapsed, now);
+        let crashes = table.on_server_crashed(&server, CrashSign::Lapsed, now);
         assert_eq!(crashes, [request]);
         now += SECOND;
     }
@@ -404,9 +404,9 @@
             .expect("sent");
         table.finish(ticket, WorkOutcome::Answered, now + STEP);
         // The server was removed as planned, or for other reasons, after it had answered again.
-        table.on_server_gone(&server, CrashSign::Lapsed, now + SECOND);
+        table.on_server_crashed(&server, CrashSign::Lapsed, now + SECOND);
         now += SECOND * 2;
-        table.on_server_back(&server);
+        table.on_server_listed(&server);
     }
     assert!(table.is_empty());
 }
@@ -446,9 +446,9 @@
         assert_eq!(finding, RunFinding::ProbeServer);
         table.on_server_reached(&server, now, now);
         // The entry may lapse later, for other reasons.
-        let crashes = table.on_server_gone(&server, CrashSign::Lapsed, now + STEP);
+        let crashes = table.on_server_crashed(&server, CrashSign::Lapsed, now + STEP);
         assert!(crashes.is_empty());
-        table.on_server_back(&server);
+        table.on_server_listed(&server);
         now += SECOND;
     }
     assert!(table.is_empty());
@@ -472,7 +472,7 @@
         .map(|ticket| table.finish(ticket, WorkOutcome::Broken, now + STEP));
     let probes = findings.filter(|finding| *finding == RunFinding::ProbeServer);
     assert_eq!(probes.count(), 1);
-    let crashes = table.on_server_gone(&server, CrashSign::Refused, now + STEP);
+    let crashes = table.on_server_crashed(&server, CrashSign::Refused, now + STEP);
     assert_eq!(crashes.len(), 9);
 }
 
@@ -494,7 +494,7 @@
             continue;
         };
         table.finish(ticket, WorkOutcome::Broken, sent + STEP);
-        table.on_server_gone(&server, CrashSign::Refused, sent + STEP);
+        table.on_server_crashed(&server, CrashSign::Refused, sent + STEP);
     }
     let verdict = table.verdict(request, now + SECOND * 5);
     assert_eq!(verdict, RequestVerdict::SendIsolated);
@@ -521,7 +521,7 @@
         let ticket = table.begin(request, &server, connection, now);
         let finding = table.finish(ticket.expect("sent"), WorkOutcome::Broken, now + STEP);
         assert_eq!(finding, RunFinding::ProbeServer);
-        table.on_server_gone(&server, CrashSign::Refused, now + STEP);
+        table.on_server_crashed(&server, CrashSign::Refused, now + STEP);
         now += SECOND;
     }
     let verdict = table.verdict(request, now);
--- a/crates/plumgate/tests/gateway_servers.rs
+++ b/crates/plumgate/tests/gateway_servers.rs
@@ -52,7 +52,7 @@
     assert_eq!(ready(&table), ["running", "stopped"], "both stay in use");
     table.put(server_entry("running"));
     let expired = table.tick(now + Duration::from_secs(2));
-    assert_eq!(expired, [ServerChange::Gone("stopped".into())]);
+    assert_eq!(expired, [ServerChange::Removed("stopped".into())]);
     assert_eq!(ready(&table), ["running"]);
 }
 
@@ -62,7 +62,7 @@
     let mut table = ServerTable::new();
     table.put(server_entry("a"));
     let change = table.remove(&"a".into(), None, now);
-    assert_eq!(change, Some(ServerChange::Gone("a".into())));
+    assert_eq!(change, Some(ServerChange::Removed("a".into())));
     assert!(table.is_empty());
 }
 
@@ -153,7 +153,7 @@
     let changes = table.replace(Vec::new(), &["overwritten".into()], grace_period, now);
     let expected = [
         ServerChange::Unconfirmed("lapsed".into()),
-        ServerChange::Gone("overwritten".into()),
+        ServerChange::Removed("overwritten".into()),
     ];
     assert_eq!(changes, expected);
     assert_eq!(ready(&table), ["lapsed"]);
--- a/crates/plumgate/tests/gateway_sync.rs
+++ b/crates/plumgate/tests/gateway_sync.rs
@@ -28,7 +28,7 @@
 }
 
 fn removed(id: &str) -> ServerUpdate {
-    ServerUpdate::Gone {
+    ServerUpdate::Removed {
         id: id.into(),
         unconfirmed: false,
     }
--- a/crates/plumgate/tests/load/mod.rs
+++ b/crates/plumgate/tests/load/mod.rs
@@ -326,7 +326,7 @@
         };
         let node = &mut self.nodes[index];
         let Some(pick) = node.table.pick(&request, at) else {
-            let deferral = node.table.deferred_until(&request, at);
+            let deferral = node.table.deferral(&request, at);
             let deferred_for =
                 deferral.map(|deferral| deferral.until.saturating_duration_since(at));
             self.wait_for_engine(pending, deferred_for, now);
--- a/crates/plumgate/tests/server_notices.rs
+++ b/crates/plumgate/tests/server_notices.rs
@@ -44,7 +44,7 @@
     ready.writes += 1;
     bench.apply(&ServerChange::Changed(ready));
     assert!(bench.servers_of(20).iter().all(|id| **id == *"b"));
-    bench.apply(&ServerChange::Gone("a".into()));
+    bench.apply(&ServerChange::Removed("a".into()));
     bench.apply(&ServerChange::Changed(server_entry("a")));
     assert!(bench.servers_of(20).iter().all(|id| **id == *"b"));
 }
@@ -77,7 +77,7 @@
     bench.advance(DRAIN_TIME);
     assert_eq!(bench.servers_of(10).len(), 0);
     assert_eq!(bench.check(&pick), Err(SendRefusal::Leaving));
-    assert!(bench.table.has_only_leaving(&"models".into()));
+    assert!(bench.table.has_only_leaving_servers(&"models".into()));
     bench.apply(&ServerChange::Changed(server_entry("c")));
     assert!(bench.servers_of(10).iter().all(|id| **id == *"c"));
 }
@@ -203,7 +203,7 @@
         &entry_with_start_time("a", 7),
         resting(Duration::from_secs(10)),
     );
-    bench.apply(&ServerChange::Gone("a".into()));
+    bench.apply(&ServerChange::Removed("a".into()));
     bench.apply(&ServerChange::Changed(entry_with_start_time("a", 7)));
     assert!(bench.servers_of(20).iter().all(|id| **id == *"b"));
     bench.apply(&ServerChange::Restarted(entry_with_start_time("a", 8)));
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -286,7 +286,7 @@
             let table = &mut self.nodes[run.node].table;
             let finding = table.finish(run.ticket, outcome, self.now);
             if finding == RunFinding::ProbeServer {
-                table.on_server_gone(&entry, CrashSign::Refused, self.now);
+                table.on_server_crashed(&entry, CrashSign::Refused, self.now);
             }
         }
     }
@@ -309,7 +309,7 @@
         let entry = self.servers[server].entry.clone();
         for node in &mut self.nodes {
             node.table
-                .on_server_gone(&entry, CrashSign::Lapsed, self.now);
+                .on_server_crashed(&entry, CrashSign::Lapsed, self.now);
         }
     }
 
