--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -156,7 +156,7 @@
         let mut tally = self.shared.usage();
         let mut usage_table = self.usage_table.borrow_mut();
         usage_table.tick(&mut tally, moment.unix);
-        if exchange.duty_messages().take_has_new_receiver() {
+        if exchange.duty_messages().take_receiver_change() {
             usage_table.resend_all();
         }
         let updates = if is_collector {
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -293,7 +293,7 @@
                 .with("need", format!("{:.1}", policy.mean_need(now)))
                 .with("peak_need", format!("{:.1}", policy.peak_need()))
                 .with("servers", load.servers())
-                .with("limited", format!("{:.1}", load.limited))
+                .with("limited", format!("{:.1}", load.unused_limited_servers))
                 .info(&self.shared.log);
         }
         orders
--- a/crates/plumgate-node/src/gateway/exchange.rs
+++ b/crates/plumgate-node/src/gateway/exchange.rs
@@ -254,7 +254,7 @@
                     loads.set_availabilities(&statements.notices, moment.boot, moment.now);
                 }
                 let is_known = |id| loads.entries().any(|entry| entry.incarnation_id() == id);
-                statements.notices.forget_old(moment.boot, is_known);
+                statements.notices.remove_expired(moment.boot, is_known);
                 if had_limits {
                     loads.set_limits(&statements.limits);
                 }
--- a/crates/plumgate/src/duty/scale.rs
+++ b/crates/plumgate/src/duty/scale.rs
@@ -91,7 +91,7 @@
     /// Prompt tokens that one server prefills per second.
     pub server_speed: f64,
     /// Prefill capacity that servers with a rate limit leave unused, as a number of servers.
-    pub limited: f64,
+    pub unused_limited_servers: f64,
 }
 
 impl PoolLoad {
@@ -106,7 +106,7 @@
     /// Returns the number of servers required in addition to the need, to make up for the capacity that servers
     /// with a rate limit leave unused.
     fn extra_servers(&self) -> u32 {
-        self.limited.ceil() as u32
+        self.unused_limited_servers.ceil() as u32
     }
 
     fn reclaimable(&self) -> u32 {
--- a/crates/plumgate/src/gateway/admission/policy.rs
+++ b/crates/plumgate/src/gateway/admission/policy.rs
@@ -83,7 +83,7 @@
     /// Returns the delay after which a caller should retry; `spread`, from 0 to 1, is as in [`Self::decide`].
     pub fn retry_delay(&self, wait: Duration, left: Duration, spread: f64) -> Duration {
         let longest = left.mul_f64(RETRY_DELAY_SHARE).min(MAX_RETRY_DELAY);
-        let spread = if self.switches.has(PolicyPart::ReturnSpread) {
+        let spread = if self.switches.has(PolicyPart::RetrySpread) {
             spread
         } else {
             0.5
--- a/crates/plumgate/src/gateway/exchange/duty_messages.rs
+++ b/crates/plumgate/src/gateway/exchange/duty_messages.rs
@@ -190,7 +190,7 @@
     }
 
     /// Returns whether the receiver of the reports has changed since the last call. A new one needs all of them.
-    pub fn take_has_new_receiver(&mut self) -> bool {
+    pub fn take_receiver_change(&mut self) -> bool {
         std::mem::take(&mut self.has_new_receiver)
     }
 
--- a/crates/plumgate/src/gateway/placement/load.rs
+++ b/crates/plumgate/src/gateway/placement/load.rs
@@ -192,7 +192,7 @@
                 if let Some(limit) = server.limit.filter(|_| mean_tokens > 0.0) {
                     let usable_share =
                         limit.per_second() * mean_tokens / load.server_speed.max(1.0);
-                    load.limited += (1.0 - usable_share).max(0.0);
+                    load.unused_limited_servers += (1.0 - usable_share).max(0.0);
                 }
             }
             let pending = server.own.plus(&server.peers).pending_prefill;
--- a/crates/plumgate/src/gateway/statements/notice_table.rs
+++ b/crates/plumgate/src/gateway/statements/notice_table.rs
@@ -258,7 +258,7 @@
         now: BootTime,
     ) -> Option<&mut ServerNotice> {
         if !self.notices.contains_key(&incarnation) && self.notices.len() >= MAX_NOTICES {
-            self.forget_old(now, |_| false);
+            self.remove_expired(now, |_| false);
             if self.notices.len() >= MAX_NOTICES {
                 self.dropped += 1;
                 return None;
@@ -299,7 +299,7 @@
     }
 
     /// Removes notices that no longer apply. Leave notices of servers that are still known are retained.
-    pub fn forget_old(&mut self, now: BootTime, is_known: impl Fn(IncarnationId) -> bool) {
+    pub fn remove_expired(&mut self, now: BootTime, is_known: impl Fn(IncarnationId) -> bool) {
         self.notices.retain(|incarnation, notice| {
             if !notice.is_relevant(now) && notice.leaving_since.is_some() && is_known(*incarnation)
             {
--- a/crates/plumgate/src/gateway/switches.rs
+++ b/crates/plumgate/src/gateway/switches.rs
@@ -27,7 +27,7 @@
     /// Requests are refused if the queue ahead of them is too long.
     Refusing,
     /// Refused callers get different retry delays.
-    ReturnSpread,
+    RetrySpread,
     /// A high share of failures makes a server less preferred.
     FailureShare,
     /// A circuit breaker excludes servers that refuse connections, for longer each time.
@@ -62,7 +62,7 @@
     (PolicyPart::AdaptiveShare, "adaptive-share"),
     (PolicyPart::Sampling, "sampling"),
     (PolicyPart::Refusing, "refusing"),
-    (PolicyPart::ReturnSpread, "return-spread"),
+    (PolicyPart::RetrySpread, "return-spread"),
     (PolicyPart::FailureShare, "failure-share"),
     (PolicyPart::Circuit, "circuit"),
     (PolicyPart::FullPause, "full-pause"),
--- a/crates/plumgate/tests/gateway_quarantine.rs
+++ b/crates/plumgate/tests/gateway_quarantine.rs
@@ -589,7 +589,7 @@
     }
     let other = identity("lab", "other");
     fleet.poison.insert(other);
-    fleet.is_cut = true;
+    fleet.is_partitioned = true;
     for number in 0..30 {
         fleet.send(3 * (number % 2), other);
         fleet.advance(Duration::from_millis(500));
@@ -600,7 +600,7 @@
         SuspectState::Free,
         "the other side of the partition"
     );
-    fleet.is_cut = false;
+    fleet.is_partitioned = false;
     fleet.advance(PROPAGATION_TIME);
     assert!(fleet.all_block(other));
 }
--- a/crates/plumgate/tests/limited_capacity.rs
+++ b/crates/plumgate/tests/limited_capacity.rs
@@ -63,9 +63,9 @@
 fn limited_server_counts_by_its_limit() {
     let load = pool_load(0.1);
     assert_eq!(load.servers(), 3);
-    assert!(load.limited > 0.9, "{load:?}");
+    assert!(load.unused_limited_servers > 0.9, "{load:?}");
     assert_eq!(
-        pool_load(1_000.0).limited,
+        pool_load(1_000.0).unused_limited_servers,
         0.0,
         "the limit is above what the server can prefill"
     );
@@ -75,7 +75,7 @@
 /// because of their limits.
 #[test]
 fn servers_are_ordered_to_replace_limited_capacity() {
-    let ordered = |limited: f64| {
+    let ordered = |unused_limited_servers: f64| {
         let mut now = Instant::now();
         let mut policy = LoadScaling::default();
         let servers = DataCentreServers {
@@ -86,7 +86,7 @@
             data_centres: [("hall-a".into(), servers)].into(),
             tokens_per_second: 200_000.0,
             server_speed: 40_000.0,
-            limited,
+            unused_limited_servers,
             ..PoolLoad::default()
         };
         let scaling = PoolScaling {
--- a/crates/plumgate/tests/server_notices.rs
+++ b/crates/plumgate/tests/server_notices.rs
@@ -112,11 +112,14 @@
     bench.receive(&server_entry("a"), leaving());
     let incarnation = server_entry("a").incarnation_id();
     bench.advance(Duration::from_secs(3_600));
-    (bench.statements.notices).forget_old(bench.boot, |known| known == incarnation);
+    (bench.statements.notices).remove_expired(bench.boot, |known| known == incarnation);
     bench.advance(Duration::from_secs(1));
     assert!(bench.servers_of(20).iter().all(|id| **id == *"b"));
     bench.advance(Duration::from_secs(3_600));
-    bench.statements.notices.forget_old(bench.boot, |_| false);
+    bench
+        .statements
+        .notices
+        .remove_expired(bench.boot, |_| false);
     assert!(bench.statements.notices.is_empty());
 }
 
@@ -187,7 +190,10 @@
         bench.receive(&server_entry("a"), resting(rest));
         bench.advance(Duration::from_secs(86_400));
         assert!(bench.servers_of(10).iter().all(|id| **id == *"b"));
-        bench.statements.notices.forget_old(bench.boot, |_| false);
+        bench
+            .statements
+            .notices
+            .remove_expired(bench.boot, |_| false);
         let a = server_entry("a");
         assert!(bench.statements.notices.rest_left(&a, bench.boot).is_some());
     }
--- a/crates/plumgate/tests/suspects/mod.rs
+++ b/crates/plumgate/tests/suspects/mod.rs
@@ -98,8 +98,8 @@
     /// Times at which poison requests were sent to a server.
     pub(crate) sent: Vec<(RequestIdentity, Instant)>,
     pub(crate) results: Vec<(RequestIdentity, SimResult)>,
-    /// Whether the data centres are cut off from each other.
-    pub(crate) is_cut: bool,
+    /// Whether the data centres are partitioned from each other.
+    pub(crate) is_partitioned: bool,
     data_centres: usize,
     /// Bytes of all messages between nodes.
     pub(crate) bytes: usize,
@@ -122,7 +122,7 @@
             crashes: Vec::new(),
             sent: Vec::new(),
             results: Vec::new(),
-            is_cut: false,
+            is_partitioned: false,
             data_centres,
             bytes: 0,
             rng: fastrand::Rng::with_seed(7),
@@ -172,7 +172,7 @@
                 let to = usize::from(address.port() - 1000);
                 let is_remote = to % self.data_centres != from % self.data_centres;
                 let node = &mut self.nodes[to];
-                if node.is_down || self.is_cut && is_remote {
+                if node.is_down || self.is_partitioned && is_remote {
                     continue;
                 }
                 let moment = ExchangeMoment { now, boot };
