--- a/crates/plumgate-node/src/claims.rs
+++ b/crates/plumgate-node/src/claims.rs
@@ -210,10 +210,10 @@
     };
     let row = match settled {
         SettledRun::Answered(answer) => match store_answer(shared, claim, answer).await {
-            Some(object) => claim.run.answered(object),
+            Some(object) => claim.run.row_with_response(object),
             None => return false,
         },
-        SettledRun::Ended(outcome) => claim.run.ended(*outcome),
+        SettledRun::Ended(outcome) => claim.run.row_without_response(*outcome),
     };
     let condition = WriteCondition::Version(version);
     let lifetime = Some(claim.lifetime);
--- a/crates/plumgate-node/src/gateway/run.rs
+++ b/crates/plumgate-node/src/gateway/run.rs
@@ -58,7 +58,7 @@
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>, request: RelayRequest) -> Self {
         let guard = RequestGuard::new(shared.clone());
         let now = shared.clock.now();
-        shared.budget().earn(&request.pool, now);
+        shared.budget().deposit(&request.pool, now);
         Self {
             shared,
             request,
@@ -222,7 +222,7 @@
         }
         let now = self.shared.clock.now();
         let mut budget = self.shared.budget();
-        let is_allowed = budget.spend(&self.request.pool, now);
+        let is_allowed = budget.try_withdraw(&self.request.pool, now);
         let left = budget.left(&self.request.pool, now);
         drop(budget);
         let counter = if is_allowed {
--- a/crates/plumgate/src/claim.rs
+++ b/crates/plumgate/src/claim.rs
@@ -143,7 +143,7 @@
     }
 
     /// Returns the row to write after the attempt ended without a stored response.
-    pub fn ended(&self, outcome: RunOutcome) -> ClaimRow {
+    pub fn row_without_response(&self, outcome: RunOutcome) -> ClaimRow {
         let state = match outcome {
             RunOutcome::NotRun => ClaimState::NotRun,
             RunOutcome::Answered | RunOutcome::Unknown => ClaimState::Unknown,
@@ -155,7 +155,7 @@
     }
 
     /// Returns the row to write after the response was stored as `object`.
-    pub fn answered(&self, object: impl Into<String>) -> ClaimRow {
+    pub fn row_with_response(&self, object: impl Into<String>) -> ClaimRow {
         ClaimRow {
             state: ClaimState::Answered(object.into()),
             ..self.row.clone()
--- a/crates/plumgate/src/dispatch/dispatcher.rs
+++ b/crates/plumgate/src/dispatch/dispatcher.rs
@@ -141,7 +141,7 @@
     /// reports on the limits stay valid.
     pub fn set_nodes(&mut self, groups: SharingNodes, lifetime: Duration) {
         self.limits
-            .set_nodes(groups.values().map(|group| group.nodes.len()).sum());
+            .set_node_count(groups.values().map(|group| group.nodes.len()).sum());
         self.limits.set_lifetime(lifetime);
         self.routes.set_nodes(groups);
     }
@@ -179,7 +179,7 @@
         if let Some(refusal) = self.check_admission(&ticket, now) {
             return vec![refusal];
         }
-        self.budget.earn();
+        self.budget.deposit();
         let mut actions = self.enqueue(ticket.clone(), now);
         actions.extend(self.dispatch(&ticket.pool, now));
         if self.is_waiting(&ticket.id) {
@@ -319,7 +319,7 @@
                 .workspaces
                 .get(&head.workspace)
                 .map_or(0, |workspace| workspace.concurrency);
-            if !self.limits.has_room(&head.workspace, limit, now) {
+            if !self.limits.has_capacity(&head.workspace, limit, now) {
                 continue;
             }
             let effective_rank = if head.by_floor {
@@ -412,7 +412,7 @@
         uses_budget: bool,
         now: Instant,
     ) -> Option<Vec<DispatchAction>> {
-        if uses_budget && !self.budget.spend() {
+        if uses_budget && !self.budget.try_withdraw() {
             return None;
         }
         ticket.avoid.extend(avoid);
--- a/crates/plumgate/src/gateway/admission/budget.rs
+++ b/crates/plumgate/src/gateway/admission/budget.rs
@@ -21,7 +21,7 @@
 
 /// Budget of retries to each pool over a sliding window.
 ///
-/// All nodes together may send `ratio` times the requests plus `extra`. A node's own requests earn their
+/// All nodes together may send `ratio` times the requests plus `extra`. A node's own requests add their
 /// ratio here; `extra` is divided by the number of nodes that may be alive, so that the shares add up
 /// without messages between the nodes.
 #[derive(Clone, Debug)]
@@ -66,12 +66,12 @@
     }
 
     /// Records a request that a caller sent for the pool.
-    pub fn earn(&mut self, pool: &PoolId, now: Instant) {
+    pub fn deposit(&mut self, pool: &PoolId, now: Instant) {
         self.part(pool, now).requests += 1;
     }
 
-    /// Spends one retry and returns true, or returns false if none is left.
-    pub fn spend(&mut self, pool: &PoolId, now: Instant) -> bool {
+    /// Withdraws one retry and returns true, or returns false if none is left.
+    pub fn try_withdraw(&mut self, pool: &PoolId, now: Instant) -> bool {
         if self.left(pool, now) < 1.0 {
             return false;
         }
--- a/crates/plumgate/src/limits.rs
+++ b/crates/plumgate/src/limits.rs
@@ -78,7 +78,7 @@
     }
 
     /// Sets how many nodes share the limits, this one included.
-    pub fn set_nodes(&mut self, nodes: usize) {
+    pub fn set_node_count(&mut self, nodes: usize) {
         self.nodes = nodes.max(1);
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether the workspace may have one more request in flight on this node.
-    pub fn has_room(&self, workspace: &WorkspaceId, limit: u32, now: Instant) -> bool {
+    pub fn has_capacity(&self, workspace: &WorkspaceId, limit: u32, now: Instant) -> bool {
         let in_flight = self
             .usages
             .get(workspace)
--- a/crates/plumgate/src/retry.rs
+++ b/crates/plumgate/src/retry.rs
@@ -38,12 +38,12 @@
     }
 
     /// Adds the share of one accepted request.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.share).min(MAX_SAVED_RETRIES);
     }
 
     /// Takes one retry from the budget; returns whether there was one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/plumgate/tests/claim.rs
+++ b/crates/plumgate/tests/claim.rs
@@ -90,9 +90,12 @@
 
 #[test]
 fn claim_row_stores_the_outcome_of_the_run() {
-    assert_eq!(run("a").ended(RunOutcome::NotRun).state, ClaimState::NotRun);
     assert_eq!(
-        run("a").ended(RunOutcome::Unknown).state,
+        run("a").row_without_response(RunOutcome::NotRun).state,
+        ClaimState::NotRun
+    );
+    assert_eq!(
+        run("a").row_without_response(RunOutcome::Unknown).state,
         ClaimState::Unknown
     );
 }
--- a/crates/plumgate/tests/gateway_budget.rs
+++ b/crates/plumgate/tests/gateway_budget.rs
@@ -16,19 +16,23 @@
 fn node_spends_its_share_of_the_extra_and_earns_the_ratio() {
     let now = Instant::now();
     let mut budget = WindowBudget::new(WINDOW, 0.2, 56.0).with_nodes(8);
-    let spent = (0..100).filter(|_| budget.spend(&pool(), now)).count();
+    let spent = (0..100)
+        .filter(|_| budget.try_withdraw(&pool(), now))
+        .count();
     assert_eq!(spent, 7, "56 retries over 8 nodes");
     for _ in 0..100 {
-        budget.earn(&pool(), now);
+        budget.deposit(&pool(), now);
     }
-    let spent = (0..100).filter(|_| budget.spend(&pool(), now)).count();
+    let spent = (0..100)
+        .filter(|_| budget.try_withdraw(&pool(), now))
+        .count();
     assert_eq!(
         spent, 16,
         "a fifth of 100 requests, with some left for late arrivals"
     );
-    assert!(!budget.spend(&pool(), now + WINDOW / 2));
+    assert!(!budget.try_withdraw(&pool(), now + WINDOW / 2));
     assert!(
-        budget.spend(&pool(), now + WINDOW * 2),
+        budget.try_withdraw(&pool(), now + WINDOW * 2),
         "the window has moved on"
     );
 }
@@ -37,9 +41,9 @@
 fn pools_have_separate_budgets() {
     let now = Instant::now();
     let mut budget = WindowBudget::new(WINDOW, 0.2, 8.0).with_nodes(8);
-    assert!(budget.spend(&pool(), now));
-    assert!(!budget.spend(&pool(), now));
-    assert!(budget.spend(&"records".into(), now));
+    assert!(budget.try_withdraw(&pool(), now));
+    assert!(!budget.try_withdraw(&pool(), now));
+    assert!(budget.try_withdraw(&"records".into(), now));
 }
 
 #[test]
@@ -47,7 +51,9 @@
     let now = Instant::now();
     let mut budget = WindowBudget::new(WINDOW, 0.2, 160.0).with_nodes(8);
     budget.set_nodes(80);
-    let spent = (0..100).filter(|_| budget.spend(&pool(), now)).count();
+    let spent = (0..100)
+        .filter(|_| budget.try_withdraw(&pool(), now))
+        .count();
     assert_eq!(spent, 2);
 }
 
@@ -60,7 +66,9 @@
     let spent: usize = (0..195)
         .map(|_| {
             let mut budget = WindowBudget::new(WINDOW, 0.2, extra);
-            (0..100).filter(|_| budget.spend(&pool(), now)).count()
+            (0..100)
+                .filter(|_| budget.try_withdraw(&pool(), now))
+                .count()
         })
         .sum();
     assert!(spent as f64 <= extra, "{spent} retries of {extra}");
@@ -80,9 +88,9 @@
         for (node, pause) in steps {
             now += Duration::from_millis(u64::from(pause % 400));
             let budget = &mut budgets[usize::from(node) % nodes as usize];
-            budget.earn(&pool(), now);
+            budget.deposit(&pool(), now);
             requests.push(now);
-            while budget.spend(&pool(), now) {
+            while budget.try_withdraw(&pool(), now) {
                 retries.push(now);
             }
         }
--- a/crates/plumgate/tests/limits.rs
+++ b/crates/plumgate/tests/limits.rs
@@ -62,7 +62,7 @@
     let mut node_limits = vec![WorkspaceLimits::new(); count];
     node_limits
         .iter_mut()
-        .for_each(|limits| limits.set_nodes(count));
+        .for_each(|limits| limits.set_node_count(count));
     node_limits
 }
 
@@ -126,16 +126,16 @@
 #[test]
 fn concurrency_is_split_between_nodes_and_released() {
     let mut limits = WorkspaceLimits::new();
-    limits.set_nodes(2);
+    limits.set_node_count(2);
     let now = Instant::now();
     limits.start(&workspace(), now);
     limits.start(&workspace(), now);
     assert!(
-        !limits.has_room(&workspace(), 4, now),
+        !limits.has_capacity(&workspace(), 4, now),
         "an equal share of 4 is 2"
     );
     limits.finish(&workspace(), now);
-    assert!(limits.has_room(&workspace(), 4, now));
+    assert!(limits.has_capacity(&workspace(), 4, now));
 }
 
 /// Guards against a burst at each of many nodes: each let a workspace start its own, however small the
