--- a/crates/plumgate-node/src/control.rs
+++ b/crates/plumgate-node/src/control.rs
@@ -192,13 +192,13 @@
             MemberEvent::Joined(node) => LogLine::new("member")
                 .with("node", node)
                 .with("state", "joined"),
-            MemberEvent::Gone(node) => LogLine::new("member")
+            MemberEvent::Expired(node) => LogLine::new("member")
                 .with("node", node)
                 .with("state", "gone"),
             MemberEvent::Stopping(node) => LogLine::new("member")
                 .with("node", node)
                 .with("state", "stopping"),
-            MemberEvent::Frozen(gap) => LogLine::new("frozen").with("ms", gap.as_millis()),
+            MemberEvent::Suspended(gap) => LogLine::new("frozen").with("ms", gap.as_millis()),
         };
         line.info(&self.shared.log);
     }
@@ -309,7 +309,7 @@
     fn publish_members(&self) {
         self.shared
             .dispatcher()
-            .set_nodes(self.members.sharing(), self.members.lifetime());
+            .set_nodes(self.members.sharing_nodes(), self.members.digest_lifetime());
         self.shared
             .metrics
             .nodes
--- a/crates/plumgate-node/src/control/config.rs
+++ b/crates/plumgate-node/src/control/config.rs
@@ -37,7 +37,7 @@
                 let addresses: Vec<String> = address.into_iter().collect();
                 self.send(&addresses, PeerMessage::ConfigRequest { known_version });
             }
-            FollowAction::Adopt { config, patch } => self.adopt(config, patch),
+            FollowAction::Activate { config, patch } => self.activate(config, patch),
             FollowAction::Reject { version, reason } => {
                 LogLine::new("config_rejected")
                     .with("version", version)
@@ -47,7 +47,7 @@
         }
     }
 
-    pub(super) fn adopt(&mut self, config: Arc<FleetConfig>, patch: Option<(u64, TextPatch)>) {
+    pub(super) fn activate(&mut self, config: Arc<FleetConfig>, patch: Option<(u64, TextPatch)>) {
         let version = config.version;
         let actions = {
             let mut dispatcher = self.shared.dispatcher();
--- a/crates/plumgate-node/src/gateway/duties.rs
+++ b/crates/plumgate-node/src/gateway/duties.rs
@@ -250,21 +250,21 @@
     pub(super) fn log_events(&self, events: &[HolderEvent]) {
         for event in events {
             match event {
-                HolderEvent::Taken {
+                HolderEvent::Acquired {
                     number,
                     era,
-                    before,
+                    previous_holder,
                     is_continued,
                 } => {
                     if !is_continued {
                         // Orders that other holders sent in the meantime are unknown here.
                         *self.orders.borrow_mut() = OrderTracker::new();
                     }
-                    let before = before.as_ref().map(|before| before.node.clone());
+                    let previous_node = previous_holder.as_ref().map(|holder| holder.node.clone());
                     LogLine::new("duty_taken")
                         .with("number", number)
                         .with("era", era)
-                        .with_some("before", before)
+                        .with_some("before", previous_node)
                         .with("continued", is_continued)
                         .with(
                             "passed",
--- a/crates/plumgate-node/src/orders.rs
+++ b/crates/plumgate-node/src/orders.rs
@@ -167,7 +167,7 @@
         now: Instant,
     ) -> Option<OrderTask> {
         let state = self.models.get_mut(model)?;
-        let settled = state.lease.settled_fencing(now);
+        let settled = state.lease.fencing_after_takeover(now);
         let fencing = state.lease.fencing(now)?;
         // While orders of an earlier holder may still be running, orders are sent only if all engines check the
         // fencing number: an engine that doesn't could execute an old order after this one.
--- a/crates/plumgate/examples/slopes.rs
+++ b/crates/plumgate/examples/slopes.rs
@@ -142,7 +142,7 @@
         follower.apply_bundle(1, texts[0].clone(), None);
         let start = Instant::now();
         let action = follower.apply_patch("peer", 1, 2, &patch, &digest);
-        let Some(FollowAction::Adopt { config, .. }) = action else {
+        let Some(FollowAction::Activate { config, .. }) = action else {
             panic!("the patch does not apply")
         };
         dispatcher.set_config(config, now);
@@ -366,8 +366,8 @@
         messages as f64 / node_seconds,
         spent.as_secs_f64() / node_seconds * 100.0,
         live as f64 / nodes as f64,
-        tables[0].round_length(),
-        tables[0].lifetime()
+        tables[0].round_interval(),
+        tables[0].digest_lifetime()
     );
 }
 
--- a/crates/plumgate/src/config_follower.rs
+++ b/crates/plumgate/src/config_follower.rs
@@ -53,7 +53,7 @@
     /// Request the complete version from this peer.
     RequestFromPeer(String),
     /// Put a version into force.
-    Adopt {
+    Activate {
         /// Parsed and checked version.
         config: Arc<FleetConfig>,
         /// Patch from the previous version, to be sent to peers.
@@ -181,7 +181,7 @@
             text,
             digest,
         });
-        Some(FollowAction::Adopt { config, patch })
+        Some(FollowAction::Activate { config, patch })
     }
 
     /// Handles a patch from a peer; if it doesn't apply to the version in force, the complete version is
--- a/crates/plumgate/src/duty/coordinator.rs
+++ b/crates/plumgate/src/duty/coordinator.rs
@@ -94,7 +94,7 @@
         let events = self.holder.take_events();
         for event in &events {
             // After a continuous tenure the state in memory is newer than the row.
-            if let HolderEvent::Taken {
+            if let HolderEvent::Acquired {
                 is_continued: false,
                 ..
             } = event
--- a/crates/plumgate/src/duty/holder.rs
+++ b/crates/plumgate/src/duty/holder.rs
@@ -54,13 +54,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderEvent {
     /// This node acquired the lease.
-    Taken {
+    Acquired {
         /// Fencing number.
         number: FencingNumber,
         /// Era of the store.
         era: StoreEra,
         /// Previous holder, if known.
-        before: Option<DutyIdentity>,
+        previous_holder: Option<DutyIdentity>,
         /// Whether this node was also the previous holder and only acquired the lease again because the store was
         /// restored from an older state.
         is_continued: bool,
@@ -417,10 +417,10 @@
         } else {
             self.times.takeover_delay
         };
-        self.events.push(HolderEvent::Taken {
+        self.events.push(HolderEvent::Acquired {
             number,
             era: version.era,
-            before: seen.and_then(|seen| seen.row).map(|row| row.holder),
+            previous_holder: seen.and_then(|seen| seen.row).map(|row| row.holder),
             is_continued,
         });
         self.tenure = Some(Tenure {
--- a/crates/plumgate/src/lease.rs
+++ b/crates/plumgate/src/lease.rs
@@ -303,7 +303,7 @@
 
     /// Returns the fencing number for an engine that ignores it: only once earlier holders' orders have
     /// ended.
-    pub fn settled_fencing(&self, now: Instant) -> Option<FencingNumber> {
+    pub fn fencing_after_takeover(&self, now: Instant) -> Option<FencingNumber> {
         let settled = self.settled_at.is_some_and(|at| now >= at);
         if settled { self.fencing(now) } else { None }
     }
--- a/crates/plumgate/src/membership.rs
+++ b/crates/plumgate/src/membership.rs
@@ -79,12 +79,12 @@
 pub enum MemberEvent {
     /// A digest of a node arrived for the first time, or again after the node had expired.
     Joined(NodeId),
-    /// No new digest of a node arrived within [`MemberTable::lifetime`].
-    Gone(NodeId),
+    /// No new digest of a node arrived within [`MemberTable::digest_lifetime`].
+    Expired(NodeId),
     /// A node reports that it is stopping.
     Stopping(NodeId),
     /// This process was suspended for this long: its view of other nodes is stale.
-    Frozen(Duration),
+    Suspended(Duration),
 }
 
 /// Gossip round: one message to several peers.
@@ -212,15 +212,15 @@
             .map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
         self.last_tick = Some(now);
         if gap > SUSPENSION_GAP {
-            events.push(MemberEvent::Frozen(gap));
+            events.push(MemberEvent::Suspended(gap));
             self.on_suspension(now);
         }
-        let lifetime = self.lifetime();
+        let lifetime = self.digest_lifetime();
         for (id, peer) in &mut self.peers {
             let silence = now.saturating_duration_since(peer.received_at);
             if !peer.is_expired && silence > lifetime {
                 peer.is_expired = true;
-                events.push(MemberEvent::Gone(id.clone()));
+                events.push(MemberEvent::Expired(id.clone()));
             }
         }
         self.peers.retain(|_, peer| {
@@ -236,7 +236,7 @@
         for peer in self.peers.values_mut().filter(|peer| !peer.is_expired) {
             peer.received_at = now;
         }
-        self.stale_until = Some(now + self.round_length() * 2);
+        self.stale_until = Some(now + self.round_interval() * 2);
     }
 
     /// Returns whether this node's view of others is too old to act on.
@@ -276,7 +276,7 @@
     }
 
     /// Returns the time between two rounds.
-    pub fn round_length(&self) -> Duration {
+    pub fn round_interval(&self) -> Duration {
         self.round
     }
 
@@ -302,7 +302,7 @@
     }
 
     /// Returns the time after which a digest expires if no newer one of its node arrives.
-    pub fn lifetime(&self) -> Duration {
+    pub fn digest_lifetime(&self) -> Duration {
         self.beat.max(MIN_ROUND_INTERVAL) * MAX_MISSED_BEATS
     }
 
@@ -417,7 +417,7 @@
     /// Returns the nodes that share servers and limits, by data centre: the live ones, and those that
     /// the platform lists though they are not alive in gossip. A disconnected node may continue to serve
     /// requests.
-    pub fn sharing(&self) -> SharingNodes {
+    pub fn sharing_nodes(&self) -> SharingNodes {
         let mut groups = SharingNodes::new();
         let own = NodeId::from(self.own.node.as_str());
         groups
--- a/crates/plumgate/tests/lease.rs
+++ b/crates/plumgate/tests/lease.rs
@@ -109,11 +109,14 @@
     let mut a = LeaseHolder::new("a");
     act_until_idle(&mut a, &mut store, start);
     assert_eq!(a.fencing(start), Some(1));
-    assert_eq!(a.settled_fencing(start), None);
+    assert_eq!(a.fencing_after_takeover(start), None);
     for second in 1..=5 {
         act_until_idle(&mut a, &mut store, start + Duration::from_secs(second));
     }
-    assert_eq!(a.settled_fencing(start + Duration::from_secs(5)), Some(1));
+    assert_eq!(
+        a.fencing_after_takeover(start + Duration::from_secs(5)),
+        Some(1)
+    );
 }
 
 /// What happens next to two nodes that want one lease; each flag selects the second node.
--- a/crates/plumgate/tests/membership.rs
+++ b/crates/plumgate/tests/membership.rs
@@ -212,7 +212,7 @@
     net.run(Duration::from_secs(5));
     assert_eq!(net.nodes[0].members.live_count(), 9);
     let expected = [
-        MemberEvent::Gone("n4".into()),
+        MemberEvent::Expired("n4".into()),
         MemberEvent::Joined("n4".into()),
     ];
     assert_eq!(net.nodes[0].events, expected);
@@ -232,7 +232,7 @@
     net.step();
     let node = &net.nodes[3];
     assert!(
-        matches!(node.events[..], [MemberEvent::Frozen(gap)] if gap > Duration::from_secs(9)),
+        matches!(node.events[..], [MemberEvent::Suspended(gap)] if gap > Duration::from_secs(9)),
         "{:?}",
         node.events
     );
@@ -271,7 +271,7 @@
     net.nodes[0]
         .members
         .apply_list(vec![listed("n7", false), listed("n8", true)]);
-    let sharing = net.nodes[0].members.sharing();
+    let sharing = net.nodes[0].members.sharing_nodes();
     assert_eq!(
         sharing
             .values()
@@ -339,7 +339,7 @@
     );
     assert!(matches!(
         follower.apply_bundle(3, bundle(3).1, None),
-        Some(FollowAction::Adopt { config, .. }) if config.version == 3
+        Some(FollowAction::Activate { config, .. }) if config.version == 3
     ));
     assert_eq!(
         follower.apply_peer_version("new", 5, now),
@@ -347,7 +347,7 @@
     );
     assert!(matches!(
         follower.apply_bundle(5, bundle(5).1, None),
-        Some(FollowAction::Adopt { config, .. }) if config.version == 5
+        Some(FollowAction::Activate { config, .. }) if config.version == 5
     ));
     assert_eq!(follower.apply_peer_version("old", 3, now), None);
     assert_eq!(follower.apply_bundle(3, bundle(3).1, None), None);
@@ -382,7 +382,7 @@
     let action = follower.apply_patch("peer", 1, 3, &patch, &digest);
     assert!(matches!(
         action,
-        Some(FollowAction::Adopt { config, .. }) if config.version == 3
+        Some(FollowAction::Activate { config, .. }) if config.version == 3
     ));
 }
 
