--- a/crates/plumgate/tests/dispatch.rs
+++ b/crates/plumgate/tests/dispatch.rs
@@ -9,11 +9,11 @@
 use plumgate::config::ConfigBundle;
 use plumgate::dispatch::{AttemptOutcome, DispatchAction, RefusalReason};
 use plumgate::route::PeerServerLoad;
-use support::{Bench, RULES, inventory, preempted, refused, started};
+use support::{DispatchBench, RULES, inventory, preempted, refused, started};
 
 #[test]
 fn higher_tiers_go_first_and_earlier_deadlines_within_a_tier() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     let (first, actions) = bench.submit("note");
     assert_eq!(started(&actions).len(), 1);
     bench.dispatcher.disable_preemption(&first);
@@ -34,7 +34,7 @@
 // is refused at once, with the reason.
 #[test]
 fn lower_tier_does_not_fill_the_queue_of_a_higher_one() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     let (running, _) = bench.submit("caption");
     for _ in 0..6 {
         assert_eq!(refused(&bench.submit("dossier").1), []);
@@ -50,7 +50,7 @@
 // is preempted, as it loses the least work, and its caller still gets an answer later.
 #[test]
 fn running_lower_tier_is_preempted_for_a_caption_that_would_wait_too_long() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = DispatchBench::new(1, 2);
     let (first, _) = bench.submit("dossier");
     bench.now += Duration::from_secs(1);
     let (second, _) = bench.submit("dossier");
@@ -73,7 +73,7 @@
 // truncated.
 #[test]
 fn request_whose_caller_has_received_bytes_is_not_preempted() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     let (dossier, _) = bench.submit("dossier");
     bench.dispatcher.disable_preemption(&dossier);
     let (_, actions) = bench.submit("caption");
@@ -84,7 +84,7 @@
 // non-idempotent request is never preempted.
 #[test]
 fn non_idempotent_request_is_not_preempted() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     let mut ticket = bench.ticket("receipt");
     ticket.rank = 3;
     bench.dispatcher.submit(ticket, bench.now);
@@ -96,7 +96,7 @@
 // dossiers on the server: that node is asked to preempt one.
 #[test]
 fn caption_is_not_refused_while_a_peer_runs_a_lower_tier() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     let (running, _) = bench.submit("caption");
     bench.now += Duration::from_secs(20);
     bench.answer(&running);
@@ -133,7 +133,7 @@
 // after that it is refused.
 #[test]
 fn every_tier_is_served_under_sustained_overload() {
-    let mut bench = Bench::new(2, 2);
+    let mut bench = DispatchBench::new(2, 2);
     let mut served: BTreeMap<u8, u32> = BTreeMap::new();
     let mut arrived = HashMap::new();
     let mut ends: Vec<(std::time::Instant, plumgate::ids::RequestId)> = Vec::new();
@@ -184,7 +184,7 @@
 // and again, and the floor would have no effect.
 #[test]
 fn request_that_runs_by_its_floor_is_not_preempted() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     let (mut running, _) = bench.submit("caption");
     bench.submit("dossier");
     let mut by_floor = false;
@@ -211,7 +211,7 @@
 // free server, it is refused with a time to retry after.
 #[test]
 fn request_that_waited_beyond_its_patience_is_refused() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     bench.submit("caption");
     let (waiting, _) = bench.submit("caption");
     assert!(refused(&bench.advance(4900)).is_empty());
@@ -227,7 +227,7 @@
 // queue before: an order by deadline alone would put it last.
 #[test]
 fn small_workspace_does_not_wait_behind_a_large_one() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = DispatchBench::new(1, 2);
     let (first, _) = bench.submit("note");
     bench.submit("note");
     bench.submit("note");
@@ -244,7 +244,7 @@
 fn lower_tiers_leave_the_reserve_free_for_a_burst() {
     let rules = format!("burst_reserve = 0.5\n{RULES}");
     let bundle = ConfigBundle::new(inventory(1, 4), rules);
-    let mut bench = Bench::with_config(Arc::new(bundle.read(1).expect("no findings")));
+    let mut bench = DispatchBench::with_config(Arc::new(bundle.read(1).expect("no findings")));
     let running: usize = (0..4)
         .map(|_| started(&bench.submit("dossier").1).len())
         .sum();
@@ -257,7 +257,7 @@
 // that callers can go to another node.
 #[test]
 fn stopping_node_refuses_waiting_and_new_requests() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     bench.submit("caption");
     let (waiting, _) = bench.submit("note");
     assert_eq!(
--- a/crates/plumgate/tests/route.rs
+++ b/crates/plumgate/tests/route.rs
@@ -9,7 +9,7 @@
 use plumgate::dispatch::AttemptOutcome;
 use plumgate::membership::{NodeGroup, SharingNodes};
 use plumgate::route::{LeavingSource, LoadReport, PeerServerLoad, RouteOptions, RouteTable};
-use support::{Bench, RULES, config, inventory, started};
+use support::{DispatchBench, RULES, config, inventory, started};
 
 fn table(servers: usize, slots: u32) -> RouteTable {
     table_of_node("own", servers, slots)
@@ -36,7 +36,7 @@
 
 /// Places requests that do not finish, and returns their number by server.
 fn spread(table: &mut RouteTable, count: usize, now: Instant) -> BTreeMap<String, u32> {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     let mut spread = BTreeMap::new();
     for _ in 0..count {
         let ticket = bench.ticket("caption");
@@ -187,7 +187,7 @@
 
 #[test]
 fn failed_server_is_avoided_while_there_is_another() {
-    let mut bench = Bench::new(2, 4);
+    let mut bench = DispatchBench::new(2, 4);
     let mut ticket = bench.ticket("caption");
     ticket.avoid = vec!["s1".into()];
     let actions = bench.dispatcher.submit(ticket, bench.now);
@@ -200,7 +200,7 @@
 #[test]
 fn cached_prefix_breaks_a_tie() {
     let mut table = table(3, 8);
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     let now = bench.now;
     let mut ticket = bench.ticket("caption");
     ticket.prefix = Some(42);
@@ -232,7 +232,7 @@
 
 #[test]
 fn slot_is_released_after_every_outcome() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = DispatchBench::new(1, 1);
     for outcome in [
         AttemptOutcome::Abandoned,
         AttemptOutcome::Refused { leaving: false },
@@ -295,7 +295,7 @@
             50,
             later,
         );
-        let ticket = Bench::new(1, 1).ticket("caption");
+        let ticket = DispatchBench::new(1, 1).ticket("caption");
         for number in 0..4 {
             let choice = table.choose(&ticket, 1, later).expect("room");
             table.start(&choice.server.id, &ticket, later);
@@ -334,7 +334,7 @@
         table.set_nodes(nodes(&names, false));
         table.apply_peer(&"all".into(), &full, now);
         highest += spread(&mut table, 9, now).values().sum::<u32>();
-        let mut dossier = Bench::new(1, 1).ticket("dossier");
+        let mut dossier = DispatchBench::new(1, 1).ticket("dossier");
         dossier.rank = 3;
         assert!(table.choose(&dossier, 3, now).is_none());
     }
@@ -349,7 +349,7 @@
     let mut table = table_of_node("n1", 1, 4);
     table.set_nodes(nodes(&names, true));
     let now = Instant::now();
-    let dossier = Bench::new(1, 1).ticket("dossier");
+    let dossier = DispatchBench::new(1, 1).ticket("dossier");
     let mut started_count = 0;
     while let Some(choice) = table.choose(&dossier, 3, now) {
         table.start(&choice.server.id, &dossier, now);
--- a/crates/plumgate/tests/support/mod.rs
+++ b/crates/plumgate/tests/support/mod.rs
@@ -72,7 +72,7 @@
 }
 
 /// Dispatcher in the data centre "here", with its clock.
-pub(crate) struct Bench {
+pub(crate) struct DispatchBench {
     /// Dispatcher under test.
     pub(crate) dispatcher: Dispatcher,
     /// Simulated time.
@@ -80,7 +80,7 @@
     ticket_count: u32,
 }
 
-impl Bench {
+impl DispatchBench {
     /// Creates a dispatcher for a small fleet.
     pub(crate) fn new(servers: usize, slots: u32) -> Self {
         Self::with_config(config(servers, slots))
