--- a/crates/plumgate-node/src/body.rs
+++ b/crates/plumgate-node/src/body.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     /// All bytes; the first poll takes them.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Chunks received through a channel.
     Streamed(Pin<Box<Receiver<AnswerChunk>>>),
     /// All chunks were sent, and the answer is truncated after them.
@@ -34,8 +34,8 @@
 
 impl AnswerBody {
     /// Creates a body of these bytes.
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    pub(crate) fn full(bytes: impl Into<Bytes>) -> Self {
+        Self::Full(Some(bytes.into()))
     }
 
     /// Creates a body whose chunks come through a channel.
@@ -53,7 +53,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerTruncated>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Streamed(chunks) => match chunks.as_mut().poll_next(context) {
                 Poll::Ready(Some(Err(AnswerTruncated))) => {
                     // An error drops the connection together with its unwritten bytes, among them the
@@ -69,12 +69,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            Self::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
             Self::Streamed(_) | Self::Truncated => SizeHint::default(),
         }
     }
--- a/crates/plumgate-node/src/callers.rs
+++ b/crates/plumgate-node/src/callers.rs
@@ -104,7 +104,7 @@
     let mut response = match answer {
         CallerAnswer::Error(error) => error.to_response(&id),
         CallerAnswer::Buffered(answer) => {
-            let mut response = Response::new(AnswerBody::whole(answer.body));
+            let mut response = Response::new(AnswerBody::full(answer.body));
             *response.status_mut() = answer.status;
             if let Some(content_type) = answer.content_type {
                 response.headers_mut().insert(CONTENT_TYPE, content_type);
--- a/crates/plumgate-node/src/gateway/answer.rs
+++ b/crates/plumgate-node/src/gateway/answer.rs
@@ -31,7 +31,7 @@
 
 /// Returns a body whose bytes are all known.
 pub(crate) fn full_body<S: Stream<Item = StreamChunk>>(bytes: Bytes) -> GatewayBody<S> {
-    Either::Left(AnswerBody::whole(bytes))
+    Either::Left(AnswerBody::full(bytes))
 }
 
 /// Returns a body that sends the chunks of a stream as they arrive.
--- a/crates/plumgate-node/src/gateway/attempt.rs
+++ b/crates/plumgate-node/src/gateway/attempt.rs
@@ -162,7 +162,7 @@
     let metadata = AttemptMetadata {
         server: &order.server.id,
         workspace: request.workspace.as_ref(),
-        left: request.due.saturating_duration_since(now),
+        time_left: request.due.saturating_duration_since(now),
         urgency: request.metadata.prompt.is_some().then_some(request.urgency),
         resume_after: order.resume_after,
         copy_from: order.copy_from,
@@ -212,11 +212,11 @@
             }
         }
         // An answer to another request, out of order on this connection, must not reach any caller.
-        AnswerMeaning::Foreign => {
+        AnswerMeaning::Mismatched => {
             work.set_outcome(WorkOutcome::Failed);
             AttemptOutcome::InDoubt("foreign_answer")
         }
-        AnswerMeaning::Untrue => {
+        AnswerMeaning::Unverified => {
             work.set_outcome(WorkOutcome::Failed);
             AttemptOutcome::InDoubt("untrue_answer")
         }
--- a/crates/plumgate-node/src/gateway/checks.rs
+++ b/crates/plumgate-node/src/gateway/checks.rs
@@ -57,7 +57,7 @@
     };
     let route = find_route(shared, &config, &head)?;
     let workspace = find_workspace(shared, &config, &route, &metadata)?;
-    let timeout = metadata.patience.unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
     let due = arrived + timeout.min(route.timeout);
     let mut hasher = IdentityHasher::new(RequestHead {
         workspace: workspace.map(|owner| &owner.workspace),
--- a/crates/plumgate-node/src/gateway/control.rs
+++ b/crates/plumgate-node/src/gateway/control.rs
@@ -120,7 +120,7 @@
 
     /// Runs the lifecycle of the node until it ends.
     async fn run_lifecycle(&self, signals: Receiver<GatewaySignal>) {
-        while !self.lifecycle.borrow().is_over() {
+        while !self.lifecycle.borrow().has_stopped() {
             let tick = async {
                 self.shared.clock.sleep(TICK).await;
                 None
@@ -201,12 +201,12 @@
     fn reload(&self, bounds: GatewayBounds) {
         LogLine::new("reload")
             .with("changed", **self.shared.bounds.load() != bounds)
-            .with("key_age_ms", bounds.key_age.as_millis())
+            .with("key_age_ms", bounds.max_key_age.as_millis())
             .with("grace_ms", bounds.grace.as_millis())
             .with("retry_ratio", bounds.retry_ratio)
             .with("retry_extra", bounds.retry_extra)
             .info(&self.shared.log);
-        self.view.sync_state().set_max_age(bounds.key_age);
+        self.view.sync_state().set_max_age(bounds.max_key_age);
         self.shared.set_bounds(bounds);
     }
 }
--- a/crates/plumgate-node/src/gateway/duty_calls.rs
+++ b/crates/plumgate-node/src/gateway/duty_calls.rs
@@ -171,7 +171,7 @@
             let now = self.shared.clock.now();
             match sent {
                 Ok(()) => self.orders.borrow_mut().record_ordered(&order, now),
-                Err(DutyApiError::NoneLeft) => {
+                Err(DutyApiError::NoneAvailable) => {
                     self.orders
                         .borrow_mut()
                         .record_unavailable(&order.subject, now);
--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -200,12 +200,12 @@
     /// Returns how long a watch waits for changes: less if its answers also serve other nodes.
     fn watch_time(&self, topic: SourceTopic) -> Duration {
         let now = self.shared.clock.boot_time();
-        let key_age = self.shared.bounds.load().key_age;
+        let max_key_age = self.shared.bounds.load().max_key_age;
         if self.view.sync_state().has_followers(now) {
-            return key_age.mul_f64(WATCHER_SHARE);
+            return max_key_age.mul_f64(WATCHER_SHARE);
         }
         match topic {
-            SourceTopic::Config => key_age.mul_f64(CONFIG_WATCH_SHARE),
+            SourceTopic::Config => max_key_age.mul_f64(CONFIG_WATCH_SHARE),
             SourceTopic::Servers => SERVERS_WATCH_TIME,
         }
     }
--- a/crates/plumgate-node/src/gateway/lifecycle.rs
+++ b/crates/plumgate-node/src/gateway/lifecycle.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns whether the process may end.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_stopped(&self) -> bool {
         self.run.is_ended()
     }
 
--- a/crates/plumgate-node/src/gateway/node.rs
+++ b/crates/plumgate-node/src/gateway/node.rs
@@ -138,7 +138,7 @@
         .with("callers", options.listen)
         .with("ready", options.ready_listen)
         .with_some("metrics", options.metrics_listen)
-        .with("key_age_ms", options.bounds.key_age.as_millis())
+        .with("key_age_ms", options.bounds.max_key_age.as_millis())
         .with("retry_ratio", options.bounds.retry_ratio)
         .with("retry_extra", options.bounds.retry_extra)
         .with_some("switched_off", switched_off(options.switches))
--- a/crates/plumgate-node/src/gateway/options.rs
+++ b/crates/plumgate-node/src/gateway/options.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GatewayBounds {
     /// Longest time for which a revoked key may still work.
-    pub key_age: Duration,
+    pub max_key_age: Duration,
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
     /// Retries to a pool as a share of its requests, summed over all nodes.
@@ -26,7 +26,7 @@
 impl Default for GatewayBounds {
     fn default() -> Self {
         Self {
-            key_age: Duration::from_secs(5),
+            max_key_age: Duration::from_secs(5),
             grace: Duration::from_secs(8),
             retry_ratio: 0.2,
             retry_extra: 50.0,
--- a/crates/plumgate-node/src/gateway/ports.rs
+++ b/crates/plumgate-node/src/gateway/ports.rs
@@ -138,7 +138,7 @@
     /// too many calls
     Limited,
     /// no servers are available now
-    NoneLeft,
+    NoneAvailable,
     /// refused with status {0}
     Refused(u16),
 }
@@ -177,7 +177,7 @@
     /// API key, which identifies the workspace.
     pub key: Option<String>,
     /// Time for which the caller waits from now on.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Shape of the prompt, where the request has one.
     pub prompt: Option<PromptShape>,
     /// Output tokens that the caller expects: accurate on average, but often far off for a single request.
@@ -194,7 +194,7 @@
     /// Workspace of the caller's API key.
     pub workspace: Option<&'a WorkspaceId>,
     /// Time left until the answer is due.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Urgency, 0 the most urgent, where the server's queue uses it.
     pub urgency: Option<u8>,
     /// Number of the event after which the stream resumes.
@@ -214,10 +214,10 @@
         misdirected: bool,
     },
     /// An answer to another request.
-    Foreign,
+    Mismatched,
     /// An answer that did not come from the server itself, or whose status claims that the request was not run
     /// although the server does not state so.
-    Untrue,
+    Unverified,
 }
 
 /// Values read from the head of a server's answer.
--- a/crates/plumgate-node/src/gateway/shared.rs
+++ b/crates/plumgate-node/src/gateway/shared.rs
@@ -114,7 +114,7 @@
             links: LinkPool::default(),
             incarnations: ServerIncarnations::default(),
             executor: Arc::new(Executor::new()),
-            lease: Mutex::new(FreshnessLease::new(bounds.key_age)),
+            lease: Mutex::new(FreshnessLease::new(bounds.max_key_age)),
             loads: Mutex::new(LoadTable::new(placement)),
             budget: Mutex::new(budget),
             quarantine: Mutex::new(QuarantineTable::new(options.peer_listen.is_some())),
@@ -139,7 +139,7 @@
     pub(crate) fn set_bounds(&self, bounds: GatewayBounds) {
         self.budget()
             .set_bounds(bounds.retry_window, bounds.retry_ratio, bounds.retry_extra);
-        self.lease().set_max_age(bounds.key_age);
+        self.lease().set_max_age(bounds.max_key_age);
         self.statements().notices.set_drain_time(bounds.drain);
         self.bounds.store(Arc::new(bounds));
     }
--- a/crates/plumgate-node/src/gateway/view.rs
+++ b/crates/plumgate-node/src/gateway/view.rs
@@ -45,8 +45,8 @@
 impl<C: Clock, W: Send + Sync + 'static> FleetView<C, W> {
     /// Creates a view without any state.
     pub(crate) fn new(shared: Arc<GatewayShared<C, W>>) -> Self {
-        let key_age = shared.bounds.load().key_age;
-        let sync_state = SyncState::new(key_age, shared.options.seed);
+        let max_key_age = shared.bounds.load().max_key_age;
+        let sync_state = SyncState::new(max_key_age, shared.options.seed);
         Self {
             shared,
             servers: RefCell::new(ServerTable::new()),
--- a/crates/plumgate-node/src/http.rs
+++ b/crates/plumgate-node/src/http.rs
@@ -117,7 +117,7 @@
 
 /// Builds a response with a JSON body.
 pub(crate) fn json_response(status: StatusCode, body: &serde_json::Value) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body.to_string()));
+    let mut response = Response::new(AnswerBody::full(body.to_string()));
     *response.status_mut() = status;
     let json = hyper::header::HeaderValue::from_static("application/json");
     response
@@ -128,7 +128,7 @@
 
 /// Builds a response with a plain-text body.
 pub(crate) fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(text));
+    let mut response = Response::new(AnswerBody::full(text));
     *response.status_mut() = status;
     response
 }
--- a/crates/plumgate-node/src/link.rs
+++ b/crates/plumgate-node/src/link.rs
@@ -45,7 +45,10 @@
     }
 
     /// Connects to an address for calls that must not arrive later than `max_delay` after they were abandoned.
-    pub async fn open_for_calls(address: SocketAddr, max_delay: Duration) -> std::io::Result<Self> {
+    pub async fn open_with_max_delay(
+        address: SocketAddr,
+        max_delay: Duration,
+    ) -> std::io::Result<Self> {
         Self::handshake(open_call_stream(address, max_delay).await?).await
     }
 
