--- a/crates/plumgate/src/gateway/sync/messages.rs
+++ b/crates/plumgate/src/gateway/sync/messages.rs
@@ -21,6 +21,7 @@
     /// An entry was written.
     Entry(ServerEntry),
     /// An entry was removed.
+    #[serde(rename = "Gone")]
     Removed {
         /// Id of the server.
         id: ServerId,
