--- a/crates/plumgate-standin/src/link.rs
+++ b/crates/plumgate-standin/src/link.rs
@@ -75,7 +75,7 @@
     }
 
     /// Discards the answers on open connections, but still forwards their requests; new connections work.
-    pub fn lose_answers(&self) {
+    pub fn discard_answers(&self) {
         let accepted = self.state.accepted.load(Ordering::SeqCst);
         self.state
             .answers_lost_below
