--- a/crates/plumgate-node/src/platform.rs
+++ b/crates/plumgate-node/src/platform.rs
@@ -22,7 +22,7 @@
 /// Largest answer in bytes that is read.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 /// Header with the time in milliseconds for which a row or an object is stored.
-pub const ROW_LIFETIME: &str = "x-ttl-ms";
+pub const LIFETIME_HEADER: &str = "x-ttl-ms";
 
 /// Name of the platform's table with the configuration.
 pub const CONFIG_TABLE: &str = "config";
@@ -154,7 +154,7 @@
         if let Some(lifetime) = lifetime {
             request
                 .headers_mut()
-                .insert(ROW_LIFETIME, (lifetime.as_millis() as u64).into());
+                .insert(LIFETIME_HEADER, (lifetime.as_millis() as u64).into());
         }
         match self.exchange(request).await {
             Some((StatusCode::OK | StatusCode::CREATED, _, bytes)) => read_written(&bytes),
@@ -176,7 +176,7 @@
         if let Some(lifetime) = lifetime {
             request
                 .headers_mut()
-                .insert(ROW_LIFETIME, (lifetime.as_millis() as u64).into());
+                .insert(LIFETIME_HEADER, (lifetime.as_millis() as u64).into());
         }
         self.exchange(request)
             .await
--- a/crates/plumgate-standin/src/platform.rs
+++ b/crates/plumgate-standin/src/platform.rs
@@ -13,7 +13,7 @@
 use hyper::header::{IF_MATCH, IF_NONE_MATCH};
 use hyper::{HeaderMap, Method, Request, StatusCode};
 use plumgate_node::Clock;
-use plumgate_node::platform::{ListedVm, ROW_LIFETIME};
+use plumgate_node::platform::{LIFETIME_HEADER, ListedVm};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
@@ -293,7 +293,7 @@
         let version = state.next_version;
         state.next_version += 1;
         let previous = current.map(|row| (row.version, row.value));
-        let lifetime = header(hyper::header::HeaderName::from_static(ROW_LIFETIME));
+        let lifetime = header(hyper::header::HeaderName::from_static(LIFETIME_HEADER));
         let lifetime = lifetime
             .and_then(|text| text.parse().ok())
             .map(Duration::from_millis);
