--- a/crates/plumgate-node/src/gateway/following.rs
+++ b/crates/plumgate-node/src/gateway/following.rs
@@ -234,7 +234,7 @@
     /// Returns the pause after a failed call, given the node's own backoff pause.
     ///
     /// The collector keeps retrying, and reports within two rounds that the store answers again. Eight nodes made
-    /// 184 calls in 6 s of an outage without this, and less than 75 with it (`platform/tests/told.rs`).
+    /// 184 calls in 6 s of an outage without this, and less than 75 with it (`platform/tests/peer_sync.rs`).
     fn retry_pause(&self, topic: SourceTopic, own_pause: Duration) -> Duration {
         let is_known = self.view.sync_state().known_at(topic).is_some();
         if !is_known || !self.view.relies_on_collector() {
